--- /dev/null
+++ b/internal/core/cwfailover/attempt.go
@@ -0,0 +1,361 @@
+package cwfailover
+
+import (
+	"fmt"
+	"time"
+
+	"cicadawalk.example/cicadawalk/internal/core/cwgroup"
+)
+
+// Timing of one change of primary.
+const (
+	// ClaimLife is how long an attempt may act on its claim, by the monotonic clock
+	// of the proxy that made it, and how long other proxies must not replace the
+	// claim, by their own clocks.
+	ClaimLife = 2 * time.Second
+	// TablePatience is how long an attempt waits for the table to confirm its claim
+	// before it continues without, if the group's configuration allows that.
+	TablePatience = 300 * time.Millisecond
+	// FencePatience is how long an attempt waits for more members after a majority
+	// has adopted the term, in case a more advanced one is about to answer.
+	FencePatience = 50 * time.Millisecond
+	// RecheckLife is how long after reading the claim back a command may be sent to
+	// a member that does not check terms.
+	RecheckLife = 200 * time.Millisecond
+)
+
+// Phase is the progress of an attempt.
+type Phase uint8
+
+// The phases of an attempt, in order. Done and Abandoned are final.
+const (
+	Claiming Phase = iota
+	Fencing
+	Promoting
+	Settling
+	Done
+	Abandoned
+)
+
+// String returns the phase's name in logs.
+func (p Phase) String() string {
+	return [...]string{"claiming", "fencing", "promoting", "settling", "done", "abandoned"}[p]
+}
+
+// Reason is the reason why an attempt was abandoned.
+type Reason string
+
+// The reasons for abandoning an attempt.
+const (
+	ReasonNone       Reason = ""
+	ReasonClaimed    Reason = "another proxy holds the claim"
+	ReasonTable      Reason = "the table is away and this entry does not allow a change without it"
+	ReasonHigherTerm Reason = "a member has adopted a later term"
+	ReasonMajority   Reason = "no majority of the members answered"
+	ReasonExpired    Reason = "the claim ran out, perhaps while this proxy was paused"
+	ReasonPromote    Reason = "the member to be promoted did not answer"
+	ReasonRestarted  Reason = "a member has started again since it was fenced"
+)
+
+// NextTerm returns the term that the next change of primary would move to.
+func NextTerm(v cwgroup.View) cwgroup.Term { return v.Highest() + 1 }
+
+// Keeper carries out one attempt to change the primary, according to a Plan. Create
+// one with NewKeeper. It is not safe for concurrent use.
+type Keeper struct {
+	plan   Plan
+	phase  Phase
+	reason Reason
+	// startedAt is when Start was called; nothing is sent after
+	// startedAt+ClaimLife.
+	startedAt time.Time
+	// fenced holds the status of each member that adopted the term.
+	fenced map[cwgroup.MemberID]cwgroup.Status
+	// majorityFencedAt is when the number of fenced members reached a majority.
+	majorityFencedAt time.Time
+	// fenceFailed holds the members that did not adopt the term or lost it since.
+	fenceFailed map[cwgroup.MemberID]bool
+	// newPrimary is the member selected for promotion.
+	newPrimary cwgroup.MemberID
+	// highestPriorTerm is the newest term that any fenced member was in before.
+	highestPriorTerm cwgroup.Term
+	// claimConfirmed is true once the table has confirmed the claim.
+	claimConfirmed bool
+	// heldCommands holds commands to send once the claim has been read back or the
+	// replaced term has been recorded; announcePending is true for the latter.
+	heldCommands    []Order
+	announcePending bool
+	// deferredAdopts holds the Adopt commands that wait for the leaving primary's
+	// response.
+	deferredAdopts []Order
+	// recordAnswered is true once RecordRow was answered, with any outcome.
+	recordAnswered bool
+	// pendingFollows is the number of Follow commands without a response.
+	pendingFollows int
+}
+
+// NewKeeper returns a Keeper that has not been started.
+func NewKeeper(p Plan) *Keeper {
+	return &Keeper{
+		plan:        p,
+		fenced:      make(map[cwgroup.MemberID]cwgroup.Status),
+		fenceFailed: make(map[cwgroup.MemberID]bool),
+	}
+}
+
+// Phase returns the current phase.
+func (k *Keeper) Phase() Phase { return k.phase }
+
+// Reason returns why the attempt was abandoned, or ReasonNone.
+func (k *Keeper) Reason() Reason { return k.reason }
+
+// Primary returns the member selected as the new primary; it is empty before the
+// selection.
+func (k *Keeper) Primary() cwgroup.MemberID { return k.newPrimary }
+
+// Plan returns the plan.
+func (k *Keeper) Plan() Plan { return k.plan }
+
+// Ended reports whether the attempt is in a final phase.
+func (k *Keeper) Ended() bool { return k.phase == Done || k.phase == Abandoned }
+
+// Start begins the attempt and returns the command that writes the claim.
+func (k *Keeper) Start(now time.Time) []Order {
+	k.startedAt = now
+	return []Order{k.newCommand(ClaimRow, "")}
+}
+
+// Tick ends waits that have timed out by now and returns the next commands.
+func (k *Keeper) Tick(now time.Time) []Order {
+	if k.endIfExpired(now) {
+		return nil
+	}
+	switch k.phase {
+	case Claiming:
+		if now.Sub(k.startedAt) >= TablePatience && k.canProceedWithoutTable() {
+			return k.startFencing()
+		}
+	case Fencing:
+		if k.fencingComplete(now) {
+			return k.startPromotion()
+		}
+	}
+	return nil
+}
+
+// Handle processes the response to a command and returns the next commands.
+func (k *Keeper) Handle(ev Event, now time.Time) []Order {
+	if k.endIfExpired(now) {
+		return nil
+	}
+	switch ev.Kind {
+	case ClaimRow:
+		return k.handleClaim(ev.Row)
+	case ReadRow:
+		if k.announcePending {
+			return nil
+		}
+		return k.handleReadBack(ev.Row, now)
+	case AnnounceRow:
+		return k.handleAnnounce(ev.Row, now)
+	case Adopt:
+		return k.handleAdopt(ev, now)
+	case Promote:
+		return k.handlePromote(ev)
+	case Follow:
+		return k.handleFollow()
+	case RecordRow:
+		k.recordAnswered = true
+		k.finishIfComplete()
+	}
+	return nil
+}
+
+// endIfExpired ends an attempt whose claim has expired. It returns true if the
+// attempt has ended, for this or an earlier reason.
+//
+// It covers a proxy that is paused in the middle of an attempt: another proxy takes
+// over and finishes, then the first one resumes. Without this check there would be
+// a second change of primary or, with members that do not check terms, two
+// primaries. The monotonic clock advances during the pause, so the claim is found
+// expired before anything is sent.
+func (k *Keeper) endIfExpired(now time.Time) bool {
+	if k.Ended() {
+		return true
+	}
+	if now.Sub(k.startedAt) < ClaimLife {
+		return false
+	}
+	if k.phase == Settling {
+		// The new primary has been promoted. The supervisor repairs members that do
+		// not follow it yet.
+		k.phase = Done
+		return true
+	}
+	k.abandon(ReasonExpired)
+	return true
+}
+
+func (k *Keeper) abandon(reason Reason) {
+	k.phase, k.reason = Abandoned, reason
+}
+
+func (k *Keeper) newCommand(kind OrderKind, m cwgroup.MemberID) Order {
+	return Order{
+		Kind:     kind,
+		Member:   m,
+		Term:     k.plan.Term,
+		Claim:    k.plan.Claim,
+		Primary:  k.newPrimary,
+		Replaced: max(k.highestPriorTerm, k.plan.Replaces),
+		Members:  k.plan.Settled,
+		NotAfter: k.startedAt.Add(ClaimLife),
+	}
+}
+
+// canProceedWithoutTable reports whether the members alone make the claim unique.
+// Each member adopts a term for one claim only, so two claims for the same term
+// cannot both get a majority. Terms and positions are counted by the group's
+// databases and do not depend on the table.
+func (k *Keeper) canProceedWithoutTable() bool {
+	return k.plan.ChecksTerm && k.plan.WithoutTable
+}
+
+func (k *Keeper) handleClaim(o RowOutcome) []Order {
+	if k.phase != Claiming {
+		k.claimConfirmed = k.claimConfirmed || o == RowDone
+		return nil
+	}
+	switch o {
+	case RowDone:
+		k.claimConfirmed = true
+		return k.startFencing()
+	case RowConflict:
+		k.abandon(ReasonClaimed)
+	case RowUnknown:
+		// The write may have taken effect, so it must not be repeated; read the row
+		// back instead.
+		return []Order{k.newCommand(ReadRow, "")}
+	case RowUnavailable:
+		if k.canProceedWithoutTable() {
+			return k.startFencing()
+		}
+		k.abandon(ReasonTable)
+	}
+	return nil
+}
+
+func (k *Keeper) handleReadBack(o RowOutcome, now time.Time) []Order {
+	if o == RowConflict {
+		k.abandon(ReasonClaimed)
+		return nil
+	}
+	if k.phase == Claiming {
+		if o == RowDone {
+			k.claimConfirmed = true
+			return k.startFencing()
+		}
+		if k.canProceedWithoutTable() {
+			return k.startFencing()
+		}
+		k.abandon(ReasonTable)
+		return nil
+	}
+	if o != RowDone {
+		k.abandon(ReasonTable)
+		return nil
+	}
+	out := k.heldCommands
+	k.heldCommands = nil
+	for i := range out {
+		if deadline := now.Add(RecheckLife); deadline.Before(out[i].NotAfter) {
+			out[i].NotAfter = deadline
+		}
+	}
+	return out
+}
+
+// announceReplacedTerm records in the group's row which terms are being replaced
+// before it returns the commands that promote a member.
+//
+// It prevents two failures. First, a member that was fenced for the change restarts
+// and loses its fence; together with the replaced primary it looks like a majority
+// of the previous term, which confirms reads and acknowledges commits that the new
+// primary lacks. Second, the proxy is paused right after the promotion, and nothing
+// else shows that the old primary was replaced. A proxy that has read the row
+// trusts no primary of the recorded terms. The successful write also serves as the
+// last check that the claim is still valid. Members that check terms need neither.
+func (k *Keeper) announceReplacedTerm(commands []Order) []Order {
+	if k.plan.ChecksTerm {
+		return commands
+	}
+	k.heldCommands, k.announcePending = commands, true
+	return []Order{k.newCommand(AnnounceRow, "")}
+}
+
+func (k *Keeper) handleAnnounce(o RowOutcome, now time.Time) []Order {
+	if !k.announcePending {
+		return nil
+	}
+	if o == RowUnknown {
+		// Repeating this write is safe: the table accepts it only in the row that
+		// holds this claim.
+		return []Order{k.newCommand(AnnounceRow, "")}
+	}
+	k.announcePending = false
+	return k.handleReadBack(o, now)
+}
+
+// afterReadBack returns the commands unchanged if the members check terms.
+// Otherwise it holds them back and first reads the claim back; the commands must
+// then be sent within RecheckLife. A member that does not check terms would obey an
+// attempt that has long been superseded.
+func (k *Keeper) afterReadBack(commands []Order) []Order {
+	if k.plan.ChecksTerm {
+		return commands
+	}
+	k.heldCommands = append(k.heldCommands, commands...)
+	return []Order{k.newCommand(ReadRow, "")}
+}
+
+func (k *Keeper) handlePromote(ev Event) []Order {
+	if k.phase != Promoting {
+		return nil
+	}
+	if ev.Status.Adopted > k.plan.Term {
+		k.abandon(ReasonHigherTerm)
+		return nil
+	}
+	if ev.Failed {
+		// The member may have been promoted nevertheless. Abandoning is safe
+		// because the next term fences it.
+		k.abandon(ReasonPromote)
+		return nil
+	}
+	k.phase = Settling
+	var commands []Order
+	for _, m := range k.plan.Members {
+		if m != k.newPrimary {
+			commands = append(commands, k.newCommand(Follow, m))
+		}
+	}
+	k.pendingFollows = len(commands)
+	return append(k.afterReadBack(commands), k.newCommand(RecordRow, ""))
+}
+
+func (k *Keeper) handleFollow() []Order {
+	k.pendingFollows--
+	k.finishIfComplete()
+	return nil
+}
+
+func (k *Keeper) finishIfComplete() {
+	if k.phase == Settling && k.pendingFollows <= 0 && k.recordAnswered {
+		k.phase = Done
+	}
+}
+
+// String describes the attempt for logs.
+func (k *Keeper) String() string {
+	return fmt.Sprintf("%s term %d %s", k.plan.Group, k.plan.Term, k.phase)
+}
--- a/internal/core/cwfailover/fence.go
+++ b/internal/core/cwfailover/fence.go
@@ -7,26 +7,27 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwgroup"
 )
 
-// fence orders the members to adopt the term. A primary that is to leave goes
-// first: what it still takes while the others are fenced already would make it
-// the only one that has everything, and it would be promoted once more.
-func (k *Keeper) fence() []Order {
+// startFencing returns the commands that make the members adopt the term. A primary
+// that is leaving is fenced first: if it accepted records while the others were
+// already fenced, it would be the only member with the complete log and would be
+// promoted again.
+func (k *Keeper) startFencing() []Order {
 	k.phase = Fencing
-	orders := make([]Order, 0, len(k.plan.Members))
+	commands := make([]Order, 0, len(k.plan.Members))
 	for _, m := range k.plan.Members {
 		if m == k.plan.Avoid {
 			continue
 		}
-		orders = append(orders, k.order(Adopt, m))
+		commands = append(commands, k.newCommand(Adopt, m))
 	}
 	if !slices.Contains(k.plan.Members, k.plan.Avoid) {
-		return k.guarded(orders)
+		return k.afterReadBack(commands)
 	}
-	k.later = orders
-	return k.guarded([]Order{k.order(Adopt, k.plan.Avoid)})
+	k.deferredAdopts = commands
+	return k.afterReadBack([]Order{k.newCommand(Adopt, k.plan.Avoid)})
 }
 
-func (k *Keeper) adopted(ev Event, now time.Time) []Order {
+func (k *Keeper) handleAdopt(ev Event, now time.Time) []Order {
 	if ev.Status.Adopted > k.plan.Term {
 		k.abandon(ReasonHigherTerm)
 		return nil
@@ -35,36 +36,36 @@
 		return nil
 	}
 	if ev.Failed || ev.Status.Adopted != k.plan.Term || ev.Status.Claim != k.plan.Claim {
-		k.refused[ev.Member] = true
+		k.fenceFailed[ev.Member] = true
 	} else {
 		k.fenced[ev.Member] = ev.Status
-		k.replaced = max(k.replaced, ev.Status.Before)
+		k.highestPriorTerm = max(k.highestPriorTerm, ev.Status.Before)
 	}
 	majority := k.majority()
-	if len(k.refused) > k.counted()-majority {
+	if len(k.fenceFailed) > k.countedMembers()-majority {
 		k.abandon(ReasonMajority)
 		return nil
 	}
-	if len(k.fenced) >= majority && k.majorityAt.IsZero() {
-		k.majorityAt = now
+	if len(k.fenced) >= majority && k.majorityFencedAt.IsZero() {
+		k.majorityFencedAt = now
 	}
-	if ev.Member == k.plan.Avoid && len(k.later) > 0 {
-		orders := k.later
-		k.later = nil
-		return k.guarded(orders)
+	if ev.Member == k.plan.Avoid && len(k.deferredAdopts) > 0 {
+		commands := k.deferredAdopts
+		k.deferredAdopts = nil
+		return k.afterReadBack(commands)
 	}
-	if k.fenceOver(now) {
-		return k.promote()
+	if k.fencingComplete(now) {
+		return k.startPromotion()
 	}
 	return nil
 }
 
-// Forget records that a member has started again: its fence is gone with all else.
+// Forget records that a member has restarted and lost its fence.
 //
-// The failure: a majority is counted with a member that has started again since
-// it was fenced. It may lack what it reported, and follow the old primary. A
-// promotion that has not been ordered yet is given up; the next claim fences
-// anew.
+// It prevents counting a majority that includes a member which has restarted since
+// it was fenced: that member may lack records it reported and may follow the old
+// primary. An attempt whose promotion has not been sent yet is abandoned; the next
+// claim fences the members again.
 func (k *Keeper) Forget(m cwgroup.MemberID) {
 	if _, fenced := k.fenced[m]; !fenced || k.Ended() {
 		return
@@ -72,27 +73,28 @@
 	switch {
 	case k.phase == Fencing:
 		delete(k.fenced, m)
-		k.refused[m] = true
+		k.fenceFailed[m] = true
 		majority := k.majority()
 		if len(k.fenced) < majority {
-			k.majorityAt = time.Time{}
+			k.majorityFencedAt = time.Time{}
 		}
-		if len(k.refused) > k.counted()-majority {
+		if len(k.fenceFailed) > k.countedMembers()-majority {
 			k.abandon(ReasonRestarted)
 		}
-	case k.phase == Promoting && len(k.waiting) > 0:
+	case k.phase == Promoting && len(k.heldCommands) > 0:
 		k.abandon(ReasonRestarted)
 	}
 }
 
-// size returns how many members the group has, listed or not.
-func (k *Keeper) size() int { return max(k.plan.Size, len(k.plan.Members)) }
+// groupSize returns the number of members of the group, including those that are
+// not in the plan's list.
+func (k *Keeper) groupSize() int { return max(k.plan.Size, len(k.plan.Members)) }
 
-func (k *Keeper) majority() int { return cwgroup.Majority(k.size()) }
+func (k *Keeper) majority() int { return cwgroup.Majority(k.groupSize()) }
 
-// counted returns how many members count towards the majority. The majority
-// itself is always that of the whole group.
-func (k *Keeper) counted() int {
+// countedMembers returns how many listed members may contribute to the majority.
+// The majority itself is always that of the whole group.
+func (k *Keeper) countedMembers() int {
 	n := len(k.plan.Members)
 	if k.plan.Exclude != "" {
 		n--
@@ -100,18 +102,18 @@
 	return n
 }
 
-func (k *Keeper) fenceOver(now time.Time) bool {
-	if k.majorityAt.IsZero() {
+func (k *Keeper) fencingComplete(now time.Time) bool {
+	if k.majorityFencedAt.IsZero() {
 		return false
 	}
-	all := len(k.fenced)+len(k.refused) == k.counted()
-	return all || now.Sub(k.majorityAt) >= FencePatience
+	all := len(k.fenced)+len(k.fenceFailed) == k.countedMembers()
+	return all || now.Sub(k.majorityFencedAt) >= FencePatience
 }
 
-// promote chooses the most advanced of the fenced majority. Most advanced
-// means the term of the last record first, then the position: a member that
-// adopted terms while it was cut off has adopted more but has less.
-func (k *Keeper) promote() []Order {
+// startPromotion selects the most advanced of the fenced members. It compares the
+// term of the last record first, then the position: a member that adopted later
+// terms while it was partitioned may still have fewer acknowledged records.
+func (k *Keeper) startPromotion() []Order {
 	k.phase = Promoting
 	var best cwgroup.Status
 	for _, m := range k.plan.Members {
@@ -119,27 +121,29 @@
 		if !ok {
 			continue
 		}
-		if best.Member == "" || k.better(s, best) {
+		if best.Member == "" || k.isBetterCandidate(s, best) {
 			best = s
 		}
 	}
-	k.primary = best.Member
-	return k.announce([]Order{k.order(Promote, k.primary)})
+	k.newPrimary = best.Member
+	return k.announceReplacedTerm([]Order{k.newCommand(Promote, k.newPrimary)})
 }
 
-// othersFenced reports whether every member but the leaving one was fenced. Then
-// one of them has whatever was acknowledged, since the leaving one alone cannot
-// acknowledge anything, and it need not be promoted for what only it has.
-func (k *Keeper) othersFenced() bool {
+// allOthersFenced reports whether every member except the leaving one was fenced.
+// In that case one of them has every acknowledged record, because the leaving
+// member alone cannot acknowledge anything, and the leaving member need not be
+// promoted even if it has the longest log.
+func (k *Keeper) allOthersFenced() bool {
 	n := len(k.fenced)
 	if _, ok := k.fenced[k.plan.Avoid]; ok {
 		n--
 	}
-	return n == k.size()-1
+	return n == k.groupSize()-1
 }
 
-func (k *Keeper) better(a, b cwgroup.Status) bool {
-	if k.othersFenced() && (a.Member == k.plan.Avoid) != (b.Member == k.plan.Avoid) {
+// isBetterCandidate reports whether a should be promoted rather than b.
+func (k *Keeper) isBetterCandidate(a, b cwgroup.Status) bool {
+	if k.allOthersFenced() && (a.Member == k.plan.Avoid) != (b.Member == k.plan.Avoid) {
 		return b.Member == k.plan.Avoid
 	}
 	if c := a.Last.Compare(b.Last); c != 0 {
--- a/internal/core/cwfailover/repair.go
+++ b/internal/core/cwfailover/repair.go
@@ -6,22 +6,22 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwgroup"
 )
 
-// Repairs returns the orders that bring members back which are not following
-// the current primary: a replaced primary that returned, a member that was
-// fenced and then forgotten. The member cuts off whatever its log has beyond
-// the common part before it follows.
+// Repairs returns the commands that make members follow the current primary again,
+// such as a replaced primary that has come back or a member that was fenced by an
+// abandoned attempt. Before it follows, the member truncates its log to the part
+// that it has in common with the primary's.
 func Repairs(v cwgroup.View, following map[cwgroup.MemberID]cwgroup.MemberID, now time.Time) []Order {
 	p, ok := v.Primary()
 	if !ok || !p.Reachable || now.Sub(p.At) > FreshMember {
 		return nil
 	}
-	var orders []Order
+	var commands []Order
 	for _, r := range v.Reports() {
-		astray := r.Role != cwgroup.RoleReplica || r.Adopted < p.Adopted || following[r.Member] != p.Member
-		if r.Member == p.Member || !r.Reachable || r.Adopted > p.Adopted || !astray {
+		notFollowing := r.Role != cwgroup.RoleReplica || r.Adopted < p.Adopted || following[r.Member] != p.Member
+		if r.Member == p.Member || !r.Reachable || r.Adopted > p.Adopted || !notFollowing {
 			continue
 		}
-		orders = append(orders, Order{
+		commands = append(commands, Order{
 			Kind:     Follow,
 			Member:   r.Member,
 			Term:     p.Adopted,
@@ -30,12 +30,12 @@
 			NotAfter: now.Add(RecheckLife),
 		})
 	}
-	return orders
+	return commands
 }
 
-// Stranded reports whether a member cannot follow the primary in its term: it
-// adopted a later one, for a change that failed, or the same one for
-// the claim of another keeper. It can follow only in a later term yet.
+// Stranded reports whether a member cannot follow the primary in the primary's
+// term, because it adopted a later term for an attempt that failed or the same term
+// for another claim. Such a member can follow again only in a later term.
 func Stranded(v cwgroup.View, now time.Time) bool {
 	p, ok := v.Primary()
 	if !ok {
--- a/internal/core/cwfailover/supervisor.go
+++ b/internal/core/cwfailover/supervisor.go
@@ -7,165 +7,181 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwgroup"
 )
 
-// Times of supervision.
+// Timing of supervision.
 const (
-	// RankDelay is how long each lower rank waits for the ranks above it, so
-	// that keepers seldom run at once.
+	// RankDelay is the additional delay per rank before a proxy starts a change of
+	// primary, so that two proxies rarely start one at the same time.
 	RankDelay = 150 * time.Millisecond
-	// RetryChange is the pause after a change, failed or not; the rank's delay
-	// is added.
+	// RetryChange is the delay after a change of primary, successful or not, before
+	// the next one may start. The proxy's rank delay is added to it.
 	RetryChange = 300 * time.Millisecond
-	// RepairEvery is the least time between repairs.
+	// RepairEvery is the minimum time between two rounds of repairs.
 	RepairEvery = 300 * time.Millisecond
-	// StrandedFor is how long a member may be beyond the primary's term before
-	// the term is raised for it.
+	// StrandedFor is how long a member may be stranded in a term that it cannot
+	// follow the primary in, before the group moves to a new term for its sake.
 	StrandedFor = 3 * time.Second
-	// StopSpread is how long after a planned stop became known here it is known
-	// at the other proxies, too. Until then they may still begin transactions.
+	// StopSpread is how long after this proxy learnt of a planned stop all other
+	// proxies are assumed to know of it. Until then they may still begin
+	// transactions at the stopping member.
 	StopSpread = 2 * time.Second
-	// freshDrain is how recent the reports must be that show a stopping primary
-	// without open transactions.
-	freshDrain = 400 * time.Millisecond
+	// drainReportMaxAge is the maximum age of the reports that show that a stopping
+	// primary has no open transactions.
+	drainReportMaxAge = 400 * time.Millisecond
 )
 
-// Conditions are what a Supervisor needs to know of the world at each tick.
+// Conditions are the inputs of Supervisor.Tick that do not come from the group's
+// members.
 type Conditions struct {
-	// Listed is the number of live watchers by the platform's list, and Rank
-	// this proxy's place among them for the group.
+	// Listed is the number of live proxies that monitor the group according to the
+	// platform's instance list. Rank is this proxy's rank among them for the group,
+	// starting at 0; see RankDelay.
 	Listed, Rank int
-	// ChecksTerm and WithoutTable are the entry's; see Plan.
+	// ChecksTerm and WithoutTable come from the group's configuration; see Plan.
 	ChecksTerm, WithoutTable bool
-	// OpenWrites is the number of this proxy's write transactions in progress.
+	// OpenWrites is the number of write transactions in progress at this proxy.
 	OpenWrites int
-	// RowTerm is the term of the group's row as far as it is known here. A
-	// claim must be for a later one.
+	// RowTerm is the term of the group's row as last known to this proxy. A claim
+	// must be for a later term.
 	RowTerm cwgroup.Term
-	// Pending is true while another proxy's change of primary, seen in the
-	// table, has not shown its result yet.
+	// Pending is true while another proxy's change of primary is known from the
+	// table but its result has not been observed yet.
 	Pending bool
 }
 
-// Row is a group's row in the table.
+// Row is the row of a group in the platform's table.
 type Row struct {
 	Term   cwgroup.Term
 	Claim  cwgroup.ClaimID
 	Keeper InstanceID
-	// Primary is whom the last finished change promoted.
+	// Primary is the member promoted by the last change that was finished.
 	Primary cwgroup.MemberID
-	// Replaced is the newest term whose primary has been replaced, or is about to
-	// be: most members were fenced, and another member may have been promoted. It
-	// never falls.
+	// Replaced is the newest term whose primary has been replaced or may have been:
+	// a majority of the members was fenced, and another member may have been
+	// promoted. It never decreases.
 	Replaced cwgroup.Term
-	// Members is how many members the group had then; zero if nobody wrote it.
+	// Members is the number of members of the group when the row was written; zero
+	// if it was not recorded.
 	Members int
-	// Done is true once the change of primary was finished.
+	// Done is true once the change of primary is finished.
 	Done bool
 }
 
-// Result is how a change of primary ended.
+// Result is the result of one change of primary.
 type Result struct {
 	Plan    Plan
 	Before  cwgroup.Report
 	Primary cwgroup.MemberID
 	Reason  Reason
-	// Planned is true for a stop, false for a failure.
+	// Planned is true for a planned stop and false for a failure.
 	Planned bool
 	Took    time.Duration
 }
 
-// Changed reports whether there is a new primary.
+// Changed reports whether the change led to a new primary.
 func (r Result) Changed() bool { return r.Reason == ReasonNone }
 
-// Supervisor decides, for one proxy and one group, when the primary is changed
-// and which members are repaired, and runs the Keeper. Events go in, orders
-// come out. It is not safe for concurrent use; its owner's lock guards it.
+// Supervisor decides, for one proxy and one group, when to change the primary and
+// which members to repair, and runs the Keeper of a change. It consumes reports,
+// votes and command responses, and returns commands. It is not safe for concurrent
+// use; the caller must hold a lock.
 type Supervisor struct {
+	// Self is the instance that runs this proxy.
 	Self InstanceID
-	// Seed makes claim ids unique; it must differ between processes.
+	// Seed is a part of every claim id. It must differ between processes so that
+	// the ids are unique.
 	Seed string
 
-	view      cwgroup.View
+	view cwgroup.View
+	// following holds the primary that each member follows.
 	following map[cwgroup.MemberID]cwgroup.MemberID
-	stopping  map[cwgroup.MemberID]time.Time
-	detector  Detector[ByProxiesAndReplicas]
-
-	keeper  *Keeper
-	began   time.Time
-	before  cwgroup.Report
-	planned bool
-	// due is when this proxy may begin to replace the primary; zero while the
-	// evidence is not enough.
-	due     time.Time
+	// stoppingSince holds since when this proxy has known that a member stops.
+	stoppingSince map[cwgroup.MemberID]time.Time
+	detector      Detector[ByProxiesAndReplicas]
+
+	// attempt is the current change of primary; nil if there is none.
+	attempt          *Keeper
+	attemptStartedAt time.Time
+	// oldPrimary is the last report of the primary that the attempt replaces.
+	oldPrimary cwgroup.Report
+	planned    bool
+	// mayStartAt is when this proxy may start to replace the primary; zero while
+	// there is no reason to.
+	mayStartAt time.Time
+	// retryAt is the earliest time of the next change of primary.
 	retryAt time.Time
-	// repairAt is when members may be repaired again.
-	repairAt      time.Time
+	// repairAt is the earliest time of the next repairs.
+	repairAt time.Time
+	// strandedSince is since when a member has been stranded; zero if none is.
 	strandedSince time.Time
-	claims        int
-	// otherClaim is an unfinished claim of another proxy, seen since otherSince.
+	// claimCount is the number of claims made by this supervisor.
+	claimCount int
+	// otherClaim is an unfinished claim of another proxy, first seen at otherSince.
 	otherClaim cwgroup.ClaimID
 	otherSince time.Time
 }
 
-// NewSupervisor returns a supervisor of a group that nothing is known of yet.
+// NewSupervisor returns a Supervisor that has no reports of the group yet.
 func NewSupervisor(self InstanceID, seed, group string, members []cwgroup.MemberID) *Supervisor {
 	return &Supervisor{
-		Self:      self,
-		Seed:      seed,
-		view:      cwgroup.NewView(group, members),
-		following: make(map[cwgroup.MemberID]cwgroup.MemberID),
-		stopping:  make(map[cwgroup.MemberID]time.Time),
-		detector:  Detector[ByProxiesAndReplicas]{Self: self},
+		Self:          self,
+		Seed:          seed,
+		view:          cwgroup.NewView(group, members),
+		following:     make(map[cwgroup.MemberID]cwgroup.MemberID),
+		stoppingSince: make(map[cwgroup.MemberID]time.Time),
+		detector:      Detector[ByProxiesAndReplicas]{Self: self},
 	}
 }
 
-// View returns what is known of the group.
+// View returns the current view of the group.
 func (s *Supervisor) View() cwgroup.View { return s.view }
 
-// Keeping reports whether this proxy changes the primary at the moment.
-func (s *Supervisor) Keeping() bool { return s.keeper != nil }
+// Keeping reports whether this proxy is currently changing the primary.
+func (s *Supervisor) Keeping() bool { return s.attempt != nil }
 
-// Report takes a member's report. It returns true if this proxy's vote changed
-// and the other watchers are to be told at once.
+// Report records a member's report and the primary that it follows. It returns true
+// if this proxy's vote changed, in which case the other proxies should be notified
+// immediately.
 func (s *Supervisor) Report(r cwgroup.Report, following cwgroup.MemberID, now time.Time) bool {
 	s.view = s.view.WithReport(r)
 	s.following[r.Member] = following
-	return s.vote(now)
+	return s.updateVote(now)
 }
 
-// ReportLatest takes a member's report as Report does, for members that can
-// forget an adopted term; see cwgroup.View.WithLatest.
+// ReportLatest records a report like Report, for members that can forget an adopted
+// term; see cwgroup.View.WithLatest.
 func (s *Supervisor) ReportLatest(r cwgroup.Report, now time.Time) {
 	s.view = s.view.WithLatest(r)
 	if p, ok := s.view.Primary(); ok && r.Role == cwgroup.RoleReplica {
-		// Members of this kind find their primary by themselves.
+		// Members of this kind find their primary themselves.
 		s.following[r.Member] = p.Member
 	}
-	s.vote(now)
+	s.updateVote(now)
 }
 
-// Forget records that a member has started again and knows nothing of before. What
-// it reported counts no more, nor does its fence in a change of primary.
+// Forget records that a member has restarted and lost its state. Its earlier
+// reports no longer count, nor does its fence in a change of primary that is in
+// progress.
 func (s *Supervisor) Forget(id cwgroup.MemberID, now time.Time) {
 	s.view = s.view.WithForgotten(id)
 	delete(s.following, id)
-	if s.keeper != nil {
-		s.keeper.Forget(id)
+	if s.attempt != nil {
+		s.attempt.Forget(id)
 	}
-	s.vote(now)
+	s.updateVote(now)
 }
 
-// SetReplaced records that the primaries of a term and of all before it have been
-// replaced.
+// SetReplaced records that the primaries of term t and of all earlier terms have
+// been replaced.
 func (s *Supervisor) SetReplaced(t cwgroup.Term, now time.Time) {
 	if t <= s.view.Replaced() {
 		return
 	}
 	s.view = s.view.WithReplaced(t)
-	s.vote(now)
+	s.updateVote(now)
 }
 
-// SetMembers replaces the members of the group, which has size members or, if they
-// are more, these.
+// SetMembers sets the listed members of the group and its size. The size counts as
+// len(ids) if that is larger.
 func (s *Supervisor) SetMembers(ids []cwgroup.MemberID, size int) {
 	s.view = s.view.WithMembers(ids).WithSize(size)
 }
@@ -173,54 +189,56 @@
 // Suspects reports whether this proxy suspects the primary.
 func (s *Supervisor) Suspects() bool { return s.detector.Own().Suspect }
 
-// Unreachable records that a fresh connection to the member failed; the result is
-// that of Report.
+// Unreachable records that a new connection to the member failed. It returns true
+// if this proxy's vote changed.
 func (s *Supervisor) Unreachable(id cwgroup.MemberID, now time.Time) bool {
 	s.view = s.view.WithUnreachable(id)
-	return s.vote(now)
+	return s.updateVote(now)
 }
 
-// vote suspects a primary that does not answer, and two more states in which
-// writes cannot go on: nobody leads, since a keeper fenced the members and gave
-// up or the primary was lost before this proxy started; and a primary that
-// answers but that too few members copy from.
-func (s *Supervisor) vote(now time.Time) bool {
+// updateVote updates this proxy's vote. It suspects a primary that does not answer,
+// and also two other states in which no write can succeed: there is no primary,
+// because an attempt fenced the members and was abandoned or because the primary
+// was lost before this proxy started; or the primary answers, but too few members
+// replicate from it.
+func (s *Supervisor) updateVote(now time.Time) bool {
 	p, ok := s.view.Primary()
-	return s.detector.SetOwn(s.view.Term(), !ok || !p.Reachable || deserted(s.view, now), now)
+	return s.detector.SetOwn(s.view.Term(), !ok || !p.Reachable || primaryLostQuorum(s.view, now), now)
 }
 
 // Vote returns this proxy's vote.
 func (s *Supervisor) Vote() Vote { return s.detector.Own() }
 
-// ObserveVote takes another watcher's vote.
+// ObserveVote records another proxy's vote.
 func (s *Supervisor) ObserveVote(v Vote) { s.detector.Observe(v) }
 
-// SetStopping tells which members are to be left in peace.
+// SetStopping sets the members that are being stopped as planned. The time at which
+// each was first set is kept.
 func (s *Supervisor) SetStopping(ids []cwgroup.MemberID, now time.Time) {
 	next := make(map[cwgroup.MemberID]time.Time, len(ids))
 	for _, id := range ids {
-		since, ok := s.stopping[id]
+		knownSince, ok := s.stoppingSince[id]
 		if !ok {
-			since = now
+			knownSince = now
 		}
-		next[id] = since
+		next[id] = knownSince
 	}
-	s.stopping = next
+	s.stoppingSince = next
 }
 
-// Stopping reports whether the member is to be left in peace.
+// Stopping reports whether the member is being stopped as planned.
 func (s *Supervisor) Stopping(id cwgroup.MemberID) bool {
-	_, ok := s.stopping[id]
+	_, ok := s.stoppingSince[id]
 	return ok
 }
 
-// Tick lets time pass and returns the orders that are due.
+// Tick advances the time to now and returns the commands to execute.
 func (s *Supervisor) Tick(now time.Time, c Conditions) []Order {
-	if s.keeper != nil {
-		return s.keeper.Tick(now)
+	if s.attempt != nil {
+		return s.attempt.Tick(now)
 	}
-	if s.begins(now, c) {
-		return s.keeper.Start(now)
+	if s.startIfNeeded(now, c) {
+		return s.attempt.Start(now)
 	}
 	if now.Before(s.repairAt) || now.Before(s.retryAt) {
 		return nil
@@ -229,47 +247,47 @@
 	return Repairs(s.view, s.following, now)
 }
 
-// begins decides whether this proxy starts to change the primary, and makes the
-// keeper.
-func (s *Supervisor) begins(now time.Time, c Conditions) bool {
+// startIfNeeded decides whether this proxy starts to change the primary and, if so,
+// creates the attempt and returns true.
+func (s *Supervisor) startIfNeeded(now time.Time, c Conditions) bool {
 	if now.Before(s.retryAt) || c.Pending {
 		return false
 	}
 	if s.detector.Decide(s.view, c.Listed, now) {
-		if !s.ourTurn(now, c) {
+		if !s.rankDelayPassed(now, c) {
 			return false
 		}
 		s.start(now, c, false)
 		return true
 	}
-	if s.drained(now, c) {
-		if !s.ourTurn(now, c) {
+	if s.readyForPlannedChange(now, c) {
+		if !s.rankDelayPassed(now, c) {
 			return false
 		}
 		s.start(now, c, true)
 		return true
 	}
-	s.due = time.Time{}
-	if s.stranded(now, c) {
+	s.mayStartAt = time.Time{}
+	if s.strandedTooLong(now, c) {
 		s.start(now, c, false)
 		return true
 	}
 	return false
 }
 
-// ourTurn reports whether the ranks above this proxy's have had the time to
-// begin.
-func (s *Supervisor) ourTurn(now time.Time, c Conditions) bool {
-	if s.due.IsZero() {
-		s.due = now.Add(time.Duration(c.Rank) * RankDelay)
+// rankDelayPassed reports whether the proxies of lower rank have had enough time to
+// start first.
+func (s *Supervisor) rankDelayPassed(now time.Time, c Conditions) bool {
+	if s.mayStartAt.IsZero() {
+		s.mayStartAt = now.Add(time.Duration(c.Rank) * RankDelay)
 	}
-	return !now.Before(s.due)
+	return !now.Before(s.mayStartAt)
 }
 
 func (s *Supervisor) start(now time.Time, c Conditions, planned bool) {
-	s.claims++
-	s.began, s.planned = now, planned
-	s.before, _ = s.view.Primary()
+	s.claimCount++
+	s.attemptStartedAt, s.planned = now, planned
+	s.oldPrimary, _ = s.view.Primary()
 	plan := Plan{
 		Group:        s.view.Name(),
 		Members:      s.view.Members(),
@@ -277,34 +295,34 @@
 		Settled:      s.view.Settled(),
 		Replaces:     max(s.view.Term(), s.view.Replaced()),
 		Term:         max(NextTerm(s.view), c.RowTerm+1),
-		Claim:        cwgroup.ClaimID(fmt.Sprintf("%s-%s-%d", s.Self, s.Seed, s.claims)),
+		Claim:        cwgroup.ClaimID(fmt.Sprintf("%s-%s-%d", s.Self, s.Seed, s.claimCount)),
 		ChecksTerm:   c.ChecksTerm,
 		WithoutTable: c.WithoutTable,
-		Prefer:       s.before.Member,
+		Prefer:       s.oldPrimary.Member,
 	}
 	if planned {
-		plan.Avoid, plan.Prefer = s.before.Member, ""
-	} else if s.before.Reachable && deserted(s.view, now) {
-		plan.Exclude = s.before.Member
+		plan.Avoid, plan.Prefer = s.oldPrimary.Member, ""
+	} else if s.oldPrimary.Reachable && primaryLostQuorum(s.view, now) {
+		plan.Exclude = s.oldPrimary.Member
 	}
-	s.keeper = NewKeeper(plan)
+	s.attempt = NewKeeper(plan)
 }
 
-// drained reports whether a stopping primary can be changed without cutting
-// anything: every proxy has known of the stop for long enough to begin nothing
-// new there, no write transaction is open, and a member that stays has the
-// whole log.
-func (s *Supervisor) drained(now time.Time, c Conditions) bool {
+// readyForPlannedChange reports whether a stopping primary can be replaced without
+// interrupting any transaction: every proxy has known of the stop long enough not
+// to begin new transactions there, no write transaction is open, and a member that
+// is not stopping has the complete log.
+func (s *Supervisor) readyForPlannedChange(now time.Time, c Conditions) bool {
 	p, ok := s.view.Primary()
-	since, stopping := s.stopping[p.Member]
-	if !ok || !stopping || now.Sub(since) < StopSpread || c.OpenWrites > 0 {
+	knownSince, isStopping := s.stoppingSince[p.Member]
+	if !ok || !isStopping || now.Sub(knownSince) < StopSpread || c.OpenWrites > 0 {
 		return false
 	}
-	if p.OpenWrites > 0 || !p.Reachable || now.Sub(p.At) > freshDrain {
+	if p.OpenWrites > 0 || !p.Reachable || now.Sub(p.At) > drainReportMaxAge {
 		return false
 	}
 	for _, r := range s.view.Reports() {
-		fresh := r.Reachable && now.Sub(r.At) <= freshDrain
+		fresh := r.Reachable && now.Sub(r.At) <= drainReportMaxAge
 		if r.Member != p.Member && fresh && !s.Stopping(r.Member) && r.Last.AtLeast(p.Last) {
 			return true
 		}
@@ -312,8 +330,10 @@
 	return false
 }
 
-func (s *Supervisor) stranded(now time.Time, c Conditions) bool {
-	if c.Rank != 0 || !Stranded(s.view, now) || !majorityReachable(s.view, now.Add(-freshDrain), now) {
+// strandedTooLong reports whether a member has been stranded for StrandedFor. Only
+// the proxy of rank 0 reports it.
+func (s *Supervisor) strandedTooLong(now time.Time, c Conditions) bool {
+	if c.Rank != 0 || !Stranded(s.view, now) || !majorityReachable(s.view, now.Add(-drainReportMaxAge), now) {
 		s.strandedSince = time.Time{}
 		return false
 	}
@@ -323,33 +343,35 @@
 	return now.Sub(s.strandedSince) >= StrandedFor
 }
 
-// Handle takes the answer to an order. Answers that come after their keeper has
-// ended are ignored.
+// Handle processes the response to a command and returns the next commands.
+// Responses to commands of an earlier attempt are ignored.
 func (s *Supervisor) Handle(ev Event, now time.Time) []Order {
-	if s.keeper == nil || ev.Claim != s.keeper.plan.Claim {
+	if s.attempt == nil || ev.Claim != s.attempt.plan.Claim {
 		return nil
 	}
-	return s.keeper.Handle(ev, now)
+	return s.attempt.Handle(ev, now)
 }
 
-// Ended returns how the change ended, once it has, and clears it.
+// Ended returns the result of the current attempt once it has ended, and clears the
+// attempt.
 func (s *Supervisor) Ended(now time.Time, c Conditions) (Result, bool) {
-	k := s.keeper
+	k := s.attempt
 	if k == nil || !k.Ended() {
 		return Result{}, false
 	}
-	s.keeper = nil
-	s.due, s.strandedSince = time.Time{}, time.Time{}
+	s.attempt = nil
+	s.mayStartAt, s.strandedSince = time.Time{}, time.Time{}
 	s.retryAt = now.Add(RetryChange + time.Duration(c.Rank)*RankDelay)
 	return Result{
-		Plan: k.plan, Before: s.before, Primary: k.primary, Reason: k.why, Planned: s.planned, Took: now.Sub(s.began),
+		Plan: k.plan, Before: s.oldPrimary, Primary: k.newPrimary, Reason: k.reason, Planned: s.planned, Took: now.Sub(s.attemptStartedAt),
 	}, true
 }
 
-// MayClaim reports whether the row may be claimed for a term: the row's change
-// is finished and of an earlier term, or its unfinished claim is this proxy's
-// own, or this proxy has watched it unchanged for the whole life of a claim.
-// Clocks of two machines are never compared.
+// MayClaim reports whether the row may be claimed for term t. That is the case if
+// the row's change is finished and of an earlier term, if the unfinished claim is
+// this proxy's own and not of a later term, or if this proxy has seen the same
+// claim of another proxy for at least ClaimLife. Clocks of different machines are
+// never compared.
 func (s *Supervisor) MayClaim(row Row, t cwgroup.Term, now time.Time) bool {
 	if row.Done || row.Keeper == s.Self {
 		return row.Term < t || row.Term == t && !row.Done
