--- a/internal/core/cwgroup/group.go
+++ b/internal/core/cwgroup/group.go
@@ -1,16 +1,17 @@
-// Package cwgroup models a group of replicated databases as the system sees it.
+// Package cwgroup models a group of replicated databases and what a proxy knows
+// about it.
 //
-// A group has a few members, each a database with a log. One member, the
-// primary, appends records; the others copy them asynchronously. The group's
-// databases count terms: each change of primary belongs to a new term, and a
-// member that adopted a term accepts nothing of an earlier one. A place in the
-// log is a Mark, the term of the record and its position. Marks of different
-// terms compare by term first, since a later term's log holds everything that
-// was acknowledged before it, while a replaced primary can show a higher
-// position on a branch that nobody else has.
+// A group has a few members, each a database with a log. One member, the primary,
+// appends records to its log; the others, the replicas, copy them asynchronously.
+// The databases number the primaries of a group by terms: each change of primary
+// begins a new term, and a member that has adopted a term accepts nothing from an
+// earlier one. A position in the log of a group is a Mark, the term of a record and
+// its position. Marks are compared by term first: the log of a later term contains
+// every record that was acknowledged before, whereas a replaced primary can report
+// a higher position on a diverged branch of the log that no other member has.
 //
-// What one proxy knows about a group is a View: an immutable value made of the
-// last Status of each member and the time at which it was received.
+// A View is what one proxy knows about a group: an immutable value with the last
+// Status received from each member and the time at which it was received.
 package cwgroup
 
 import (
@@ -22,25 +23,27 @@
 	"time"
 )
 
-// Term counts the changes of primary of a group. The first term is 1.
+// Term numbers the primaries of a group. The first term is 1.
 type Term uint64
 
-// Position counts the records of a log. The first record has position 1.
+// Position is the number of a record in a log. The first record has position 1.
 type Position uint64
 
-// MemberID names a target within the whole catalogue.
+// MemberID identifies a member, that is a target. It is unique in the whole
+// catalogue.
 type MemberID string
 
-// ClaimID names one attempt to replace a primary. It is unique.
+// ClaimID identifies one attempt to replace a primary. It is unique.
 type ClaimID string
 
-// Mark is a place in a group's log.
+// Mark identifies a record in the log of a group.
 type Mark struct {
 	Term     Term
 	Position Position
 }
 
-// Compare orders marks by term, then by position.
+// Compare compares marks by term, then by position. It returns -1, 0 or +1 like
+// cmp.Compare.
 func (m Mark) Compare(o Mark) int {
 	if c := cmp.Compare(m.Term, o.Term); c != 0 {
 		return c
@@ -48,7 +51,7 @@
 	return cmp.Compare(m.Position, o.Position)
 }
 
-// AtLeast reports whether a log that ends at m holds every acknowledged record
+// AtLeast reports whether a log that ends at m contains every acknowledged record
 // up to o.
 func (m Mark) AtLeast(o Mark) bool { return m.Compare(o) >= 0 }
 
@@ -57,7 +60,7 @@
 	return strconv.FormatUint(uint64(m.Term), 10) + "/" + strconv.FormatUint(uint64(m.Position), 10)
 }
 
-// ParseMark reads the form that String writes.
+// ParseMark parses the format written by String. The error is a *MarkError.
 func ParseMark(s string) (Mark, error) {
 	t, p, ok := strings.Cut(s, "/")
 	if !ok {
@@ -74,12 +77,12 @@
 	return Mark{Term: Term(term), Position: Position(pos)}, nil
 }
 
-// MarkError reports a text that is no mark.
+// MarkError reports a text that is not a valid mark.
 type MarkError struct{ Text string }
 
 func (e *MarkError) Error() string { return fmt.Sprintf("%q is not term/position", e.Text) }
 
-// Role is what a member does in its group.
+// Role is the role of a member in its group.
 type Role uint8
 
 // The roles of a member.
@@ -88,11 +91,11 @@
 	RoleReplica Role = iota
 	// RolePrimary appends to the log.
 	RolePrimary
-	// RoleFenced adopted a term and waits to be told whom to follow.
+	// RoleFenced has adopted a term and waits for a command to follow a primary.
 	RoleFenced
 )
 
-// String names the role.
+// String returns the role's name.
 func (r Role) String() string {
 	switch r {
 	case RolePrimary:
@@ -108,61 +111,62 @@
 type Status struct {
 	Member MemberID
 	Role   Role
-	// Adopted is the highest term that the member adopted. It never falls.
+	// Adopted is the highest term that the member has adopted. It never decreases.
 	Adopted Term
-	// Before is the term that the member was in when it adopted Adopted; zero if it
-	// was not asked.
+	// Before is the term that the member was in when it adopted the term Adopted;
+	// zero if it was not read.
 	Before Term
-	// Claim is the claim for which Adopted was adopted.
+	// Claim is the claim for which the term Adopted was adopted.
 	Claim ClaimID
-	// Last is the mark of the last record that the member's log holds for good.
-	// Acknowledgement and promotion go by it.
+	// Last is the mark of the last record stored durably in the member's log.
+	// Acknowledgement and promotion are based on it.
 	Last Mark
-	// Applied is the mark up to which reads see the data. It is never beyond
-	// Last.
+	// Applied is the mark up to which reads see the data. It is never beyond Last.
 	Applied Mark
-	// UpstreamAge is the time since a replica last heard from its primary, by
-	// the replica's monotonic clock.
+	// UpstreamAge is the time since a replica last received a message from its
+	// primary, by the replica's monotonic clock.
 	UpstreamAge time.Duration
-	// OpenWrites is the number of write transactions that are open.
+	// OpenWrites is the number of open write transactions.
 	OpenWrites int
 }
 
-// Holds reports whether the status shows that the member has the record at m
-// on the branch of m's term, and has not moved to a later term.
+// Holds reports whether the member has the record at m on the branch of m's term
+// and has not adopted a later term.
 //
-// The guard is against acknowledging on behalf of a primary that has been
-// replaced: its followers adopted a later term, so they no longer count.
+// It prevents acknowledgements on behalf of a replaced primary: the members that
+// follow the new primary have adopted a later term, so they no longer count.
 func (s Status) Holds(m Mark) bool {
 	return s.Adopted == m.Term && s.Last.Term == m.Term && s.Last.Position >= m.Position
 }
 
-// Report is a status with the time at which this proxy received it.
+// Report is a status and the time at which this proxy received it.
 type Report struct {
 	Status
 	At time.Time
-	// Reachable is false after a probe by a fresh connection failed.
+	// Reachable is false once a new connection to the member has failed.
 	Reachable bool
 }
 
-// Majority returns how many of n members are a majority.
+// Majority returns the smallest majority of n members.
 func Majority(n int) int { return n/2 + 1 }
 
 // View is what a proxy knows about a group. It is immutable; the With methods
-// return changed copies. The zero View knows nothing.
+// return modified copies. The zero View has no members.
 type View struct {
 	name    string
 	members []MemberID
-	// reports has the members' order; a zero At means never heard.
+	// reports has the same order as members; a zero At means that there is no
+	// report.
 	reports []Report
-	// size is how many members the group has at least; some may not be listed.
-	size int
-	// replaced is the newest term whose primary is known to have been replaced. It
-	// never falls.
-	replaced Term
+	// minSize is the number of members the group is known to have; some of them may
+	// not be listed.
+	minSize int
+	// replacedTerm is the newest term whose primary is known to have been replaced.
+	// It never decreases.
+	replacedTerm Term
 }
 
-// NewView returns a view of a group whose members are not heard of yet.
+// NewView returns a view of a group without any reports.
 func NewView(name string, members []MemberID) View {
 	return View{name: name, members: slices.Clone(members), reports: make([]Report, len(members))}
 }
@@ -170,13 +174,13 @@
 // Name returns the group's name.
 func (v View) Name() string { return v.name }
 
-// Members returns the members in the catalogue's order. Callers must not
-// change it.
+// Members returns the members in the order in which they were set. Callers must not
+// modify the slice.
 func (v View) Members() []MemberID { return v.members }
 
-// WithReport returns a view in which r replaces the member's last report. A
-// report that is older than the one known, by adopted term, is ignored, since
-// reports from two connections can cross.
+// WithReport returns a view in which r replaces the member's last report. A report
+// with a lower adopted term than the last one is ignored, because reports from two
+// connections can arrive out of order.
 func (v View) WithReport(r Report) View {
 	i := slices.Index(v.members, r.Member)
 	if i < 0 || r.Adopted < v.reports[i].Adopted {
@@ -188,10 +192,10 @@
 	return v
 }
 
-// WithLatest returns a view in which r replaces the member's last report unless
-// that was received after r.At. It is for members that can forget an adopted
-// term, by a restart for one: their reports are ordered by the time at which
-// they were asked for, not by term.
+// WithLatest returns a view in which r replaces the member's last report, unless
+// the At of that report is later than r.At. It is for members that can forget an
+// adopted term, for example in a restart: their reports are ordered by the time of
+// the request, not by term.
 func (v View) WithLatest(r Report) View {
 	i := slices.Index(v.members, r.Member)
 	if i < 0 || r.At.Before(v.reports[i].At) {
@@ -203,8 +207,8 @@
 	return v
 }
 
-// WithMembers returns a view of other members; those that stay keep their
-// reports.
+// WithMembers returns a view with the given members. Those that were members before
+// keep their reports.
 func (v View) WithMembers(ids []MemberID) View {
 	next := v
 	next.members, next.reports = slices.Clone(ids), make([]Report, len(ids))
@@ -216,7 +220,7 @@
 	return next
 }
 
-// WithUnreachable returns a view in which the member does not answer.
+// WithUnreachable returns a view in which the member is not reachable.
 func (v View) WithUnreachable(id MemberID) View {
 	i := slices.Index(v.members, id)
 	if i < 0 || !v.reports[i].Reachable {
@@ -228,7 +232,7 @@
 	return v
 }
 
-// WithForgotten returns a view in which the member was never heard of.
+// WithForgotten returns a view without a report of the member.
 func (v View) WithForgotten(id MemberID) View {
 	i := slices.Index(v.members, id)
 	if i < 0 {
@@ -240,32 +244,32 @@
 	return v
 }
 
-// WithSize returns a view of a group that has n members, or those that are listed if
-// they are more.
+// WithSize returns a view of a group that has n members, or as many as are listed
+// if that is more.
 func (v View) WithSize(n int) View {
-	v.size = n
+	v.minSize = n
 	return v
 }
 
-// Size returns how many members the group has, listed or not.
-func (v View) Size() int { return max(v.size, len(v.members)) }
+// Size returns the number of members of the group, listed or not.
+func (v View) Size() int { return max(v.minSize, len(v.members)) }
 
-// Settled returns how many members the group has whatever is listed; zero if that is
-// not known.
-func (v View) Settled() int { return v.size }
+// Settled returns the size set by WithSize, regardless of which members are listed;
+// zero if it was not set.
+func (v View) Settled() int { return v.minSize }
 
-// WithReplaced returns a view in which primaries of t and of earlier terms lead
-// nobody any more.
+// WithReplaced returns a view in which the primaries of term t and of all earlier
+// terms count as replaced.
 func (v View) WithReplaced(t Term) View {
-	v.replaced = max(v.replaced, t)
+	v.replacedTerm = max(v.replacedTerm, t)
 	return v
 }
 
 // Replaced returns the newest term whose primary is known to have been replaced.
-func (v View) Replaced() Term { return v.replaced }
+func (v View) Replaced() Term { return v.replacedTerm }
 
-// Report returns the last report of a member. The second result is false if
-// the member was never heard of.
+// Report returns the last report of a member. The second result is false if there
+// is none.
 func (v View) Report(id MemberID) (Report, bool) {
 	i := slices.Index(v.members, id)
 	if i < 0 || v.reports[i].At.IsZero() {
@@ -274,7 +278,7 @@
 	return v.reports[i], true
 }
 
-// Reports returns the reports of all members that were heard of.
+// Reports returns the last reports of all members that have one.
 func (v View) Reports() []Report {
 	out := make([]Report, 0, len(v.reports))
 	for _, r := range v.reports {
@@ -285,19 +289,19 @@
 	return out
 }
 
-// Primary returns the report of the member that leads the highest term in
-// which any member leads. A primary of a lower term has been replaced, whatever
-// it believes itself.
+// Primary returns the report of the primary of the highest term for which a primary
+// has reported. The primary of a lower term has been replaced, whatever it reports
+// itself.
 //
-// The failure: the newest primary drops out of sight, and the one that it replaced,
-// which goes on or was not asked since, is the highest of those that are left. It
-// shows as reads that miss what the newest one acknowledged. A term that is known
-// to be over stays over.
+// Terms known to be replaced are excluded. Otherwise, if the newest primary became
+// unreachable and its report was dropped, the primary that it replaced could be
+// taken for the current one, because it goes on or has not been asked since; reads
+// would then miss records that the newest primary had acknowledged.
 func (v View) Primary() (Report, bool) {
 	var best Report
 	found := false
 	for _, r := range v.reports {
-		if r.At.IsZero() || r.Role != RolePrimary || r.Adopted <= v.replaced {
+		if r.At.IsZero() || r.Role != RolePrimary || r.Adopted <= v.replacedTerm {
 			continue
 		}
 		if !found || r.Adopted > best.Adopted {
@@ -322,11 +326,11 @@
 	return t
 }
 
-// Superseded reports whether a majority of members is known to have adopted a
-// term after t, or its primary to have been replaced. From then on a primary of
-// term t cannot acknowledge anything.
+// Superseded reports whether a majority of the members is known to have adopted a
+// term later than t, or the primary of t is known to have been replaced. From then
+// on, the primary of term t cannot get any write acknowledged.
 func (v View) Superseded(t Term) bool {
-	if t <= v.replaced {
+	if t <= v.replacedTerm {
 		return true
 	}
 	n := 0
@@ -338,8 +342,8 @@
 	return n >= Majority(v.Size())
 }
 
-// HeldByMajority reports whether a majority of the members holds the record at
-// m at m's own term.
+// HeldByMajority reports whether a majority of the members has the record at m and
+// is in the term of m.
 func (v View) HeldByMajority(m Mark) bool {
 	n := 0
 	for _, r := range v.reports {
@@ -350,12 +354,12 @@
 	return n >= Majority(v.Size())
 }
 
-// Confirmed reports whether a majority of n members, by their answers to one
-// question, is in the primary's term, and returns the primary's mark.
+// Confirmed reports whether a majority of n members is in the primary's term
+// according to their answers to one request, and returns the primary's mark.
 //
-// A primary may have been replaced without knowing. A majority that had not
-// moved to a later term when it was asked proves that nothing had been
-// acknowledged in a later term by then.
+// A primary may have been replaced without knowing it. A majority that had not
+// adopted a later term when it was asked proves that nothing had been acknowledged
+// in a later term until then.
 func Confirmed(answers []Status, n int) (Mark, bool) {
 	var primary Status
 	for _, s := range answers {
--- a/internal/core/cwgroup/group_test.go
+++ b/internal/core/cwgroup/group_test.go
@@ -8,8 +8,8 @@
 )
 
 func TestMarksCompareByTermFirst(t *testing.T) {
-	// A replaced primary shows position 150 on a branch that nobody else has; a
-	// session that wrote at position 120 of the next term must not read there.
+	// A replaced primary reports position 150 on a branch that no other member has;
+	// a session that wrote at position 120 of the next term must not read there.
 	qt.Assert(t, Mark{Term: 1, Position: 150}.AtLeast(Mark{Term: 2, Position: 120}), qt.IsFalse)
 	qt.Assert(t, Mark{Term: 2, Position: 120}.AtLeast(Mark{Term: 1, Position: 150}), qt.IsTrue)
 	qt.Assert(t, Mark{Term: 2, Position: 120}.AtLeast(Mark{Term: 2, Position: 120}), qt.IsTrue)
@@ -26,9 +26,9 @@
 	}
 }
 
-// A caller's write is acknowledged and lost: a replica that already follows the
-// next term has a record at the same position, of another branch, and was
-// counted for the old primary.
+// Guards against losing an acknowledged write: a replica that already follows the
+// next term has a record at the same position of another branch and was counted for
+// the old primary.
 func TestOnlyMembersOfTheTermHoldARecord(t *testing.T) {
 	m := Mark{Term: 1, Position: 10}
 	for _, tc := range []struct {
@@ -36,11 +36,11 @@
 		s    Status
 		want bool
 	}{
-		{"same term and far enough", Status{Adopted: 1, Last: Mark{1, 10}}, true},
-		{"behind", Status{Adopted: 1, Last: Mark{1, 9}}, false},
-		{"moved to the next term", Status{Adopted: 2, Last: Mark{1, 10}}, false},
-		{"another branch", Status{Adopted: 2, Last: Mark{2, 12}}, false},
-		{"record of an earlier term", Status{Adopted: 1, Last: Mark{0, 12}}, false},
+		{"same term, has the record", Status{Adopted: 1, Last: Mark{1, 10}}, true},
+		{"same term, behind", Status{Adopted: 1, Last: Mark{1, 9}}, false},
+		{"adopted the next term", Status{Adopted: 2, Last: Mark{1, 10}}, false},
+		{"follows another branch", Status{Adopted: 2, Last: Mark{2, 12}}, false},
+		{"last record of an earlier term", Status{Adopted: 1, Last: Mark{0, 12}}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) { qt.Assert(t, tc.s.Holds(m), qt.Equals, tc.want) })
 	}
@@ -58,15 +58,15 @@
 	qt.Assert(t, old.HeldByMajority(Mark{1, 9}), qt.IsTrue)
 	qt.Assert(t, old.HeldByMajority(Mark{1, 10}), qt.IsFalse)
 	_, heard := v.Report("a")
-	qt.Assert(t, heard, qt.IsFalse) // the first view did not change
+	qt.Assert(t, heard, qt.IsFalse) // the first view must not change
 
 	next := old.WithReport(report("b", RolePrimary, 2, Mark{2, 10}))
 	p, _ := next.Primary()
 	qt.Assert(t, p.Member, qt.Equals, MemberID("b"))
 	qt.Assert(t, next.Superseded(1), qt.IsFalse)
 	qt.Assert(t, next.WithReport(report("c", RoleReplica, 2, Mark{1, 9})).Superseded(1), qt.IsTrue)
-	late := next.WithReport(report("b", RoleReplica, 1, Mark{1, 9}))
-	qt.Assert(t, late.Term(), qt.Equals, Term(2)) // a report that was overtaken
+	reordered := next.WithReport(report("b", RoleReplica, 1, Mark{1, 9}))
+	qt.Assert(t, reordered.Term(), qt.Equals, Term(2)) // a report that arrived out of order
 }
 
 func TestConfirmed(t *testing.T) {
@@ -78,10 +78,10 @@
 		answers []Status
 		want    bool
 	}{
-		{"primary alone", []Status{primary}, false},
-		{"primary and a member", []Status{primary, same}, true},
-		{"all but one that moved on", []Status{primary, same, later}, true},
-		{"the other moved on", []Status{primary, later}, false},
+		{"primary only", []Status{primary}, false},
+		{"primary and one member of its term", []Status{primary, same}, true},
+		{"all, one of them in a later term", []Status{primary, same, later}, true},
+		{"primary and one member of a later term", []Status{primary, later}, false},
 		{"no primary", []Status{same, same}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/core/cwgroup/membership.go
+++ b/internal/core/cwgroup/membership.go
@@ -5,121 +5,129 @@
 	"time"
 )
 
-// Times of a membership.
+// Timing of membership changes.
 const (
-	// GrownAfter is how long more members than before must be listed until the group
-	// has grown: longer than one that is lost, and replaced by a new one, stays listed.
+	// GrownAfter is how long more members than before must be listed before the
+	// group counts as larger. It is longer than a failed member stays listed, so
+	// that its replacement does not count as growth.
 	GrownAfter = 20 * time.Second
-	// FormedWithin is how long after the first list each member that comes counts at
-	// once where nothing was known of a group: its members start together and are
-	// listed one after the other.
+	// FormedWithin is the period after the first list during which every new member
+	// counts immediately, for a group that nothing was known of before. Its members
+	// start together and are listed one after the other.
 	FormedWithin = 5 * time.Second
 )
 
-// Membership is how many members a group has, whether or not the platform lists them at
-// the moment. It is immutable. The zero Membership is of a group that was never listed.
+// Membership tracks how many members a group has, including members that the
+// platform does not list at the moment. It is immutable. The zero Membership is
+// that of a group that was never listed.
 //
-// The failure: the entry of a member that lives lapses, and those that are left are
-// taken for the group. Two of three tell where the logs stand, or promote, and what
-// the third acknowledged with one of them is missed or lost. A member that is gone
-// therefore keeps its place until another one takes it, or until it had said itself
-// that it leaves.
+// It prevents majorities of too few members: the platform's entry of a running
+// member expires, and the members still listed are taken for the whole group. Two
+// of three members would then confirm the end of the log or promote a member, and
+// records that the third acknowledged together with one of them would be missed or
+// lost. A member that is gone therefore keeps its place until another member takes
+// it, unless it had announced that it leaves.
 type Membership struct {
-	// size is how many members the group has, or had before it began to grow.
-	size int
-	// listed are the members whose entries are listed and that stay, in order.
+	// stableSize is the number of members of the group; while the group grows, the
+	// number before.
+	stableSize int
+	// listed are the members that are listed and not leaving, sorted.
 	listed []MemberID
-	// began is when the first of them were listed, if nothing was known of the group
-	// then; else it is zero.
-	began time.Time
-	// unknownUntil is until when it is not known how many there are; zero if it is.
-	unknownUntil time.Time
-	// above is since when more than size are listed; zero if they are not.
-	above time.Time
-	// absent are the members that are gone and did not say that they leave, the
-	// latest last.
+	// formingSince is when the first members were listed, if nothing was known of
+	// the group then; otherwise it is zero.
+	formingSince time.Time
+	// sizeUnknownUntil is the time until which the number of members is not known;
+	// zero if it is known.
+	sizeUnknownUntil time.Time
+	// growingSince is since when more than stableSize members are listed; zero if
+	// they are not.
+	growingSince time.Time
+	// absent are the members that are gone without having announced it, the most
+	// recent last.
 	absent []MemberID
 }
 
-// WithListed returns the membership when these members' entries are listed and they stay.
-// One whose entry has lapsed is not among them, so that one that comes then takes its
-// place.
+// WithListed returns the membership after the platform listed exactly these members
+// as not leaving. A member whose entry has expired is not among them, so a new
+// member takes its place.
 func (m Membership) WithListed(ids []MemberID, now time.Time) Membership {
 	m.listed = slices.Clone(ids)
 	slices.Sort(m.listed)
 	m.absent = slices.DeleteFunc(slices.Clone(m.absent), func(id MemberID) bool { return slices.Contains(ids, id) })
-	if m.size == 0 {
-		m.began = now
+	if m.stableSize == 0 {
+		m.formingSince = now
 	}
-	if !now.Before(m.unknownUntil) {
-		m.unknownUntil = time.Time{}
+	if !now.Before(m.sizeUnknownUntil) {
+		m.sizeUnknownUntil = time.Time{}
 	}
 	switch n := len(ids); {
-	case !m.began.IsZero() && now.Sub(m.began) < FormedWithin:
-		m.size = max(m.size, n)
-	case n <= m.size:
-		m.above = time.Time{}
-	case m.above.IsZero():
-		m.above = now
-	case now.Sub(m.above) >= GrownAfter:
-		m.size, m.above = n, time.Time{}
+	case !m.formingSince.IsZero() && now.Sub(m.formingSince) < FormedWithin:
+		m.stableSize = max(m.stableSize, n)
+	case n <= m.stableSize:
+		m.growingSince = time.Time{}
+	case m.growingSince.IsZero():
+		m.growingSince = now
+	case now.Sub(m.growingSince) >= GrownAfter:
+		m.stableSize, m.growingSince = n, time.Time{}
 	}
 	m.absent = m.Absent()
 	return m
 }
 
-// WithGone returns the membership when a member is gone; announced is true if it had said
-// that it leaves.
+// WithGone returns the membership after a member is gone; announced is true if it
+// had announced that it leaves.
 func (m Membership) WithGone(id MemberID, announced bool) Membership {
 	m.listed = slices.DeleteFunc(slices.Clone(m.listed), func(o MemberID) bool { return o == id })
 	if !announced {
 		m.absent = append(slices.Clone(m.absent), id)
 		return m
 	}
-	if len(m.listed) < m.size {
-		m.size--
+	if len(m.listed) < m.stableSize {
+		m.stableSize--
 	}
 	return m
 }
 
-// WithUnknownSize returns the membership of a group of which some members may not be
-// listed, until a time or until it is known how many there are. Those that are listed
-// are no majority meanwhile.
+// WithUnknownSize returns the membership of a group of which some members may not
+// be listed, until the given time or until its size is known. Meanwhile the listed
+// members cannot form a majority.
 func (m Membership) WithUnknownSize(until time.Time) Membership {
-	m.unknownUntil = until
+	m.sizeUnknownUntil = until
 	return m
 }
 
-// WithAtLeast returns the membership of a group that is known to have n members.
+// WithAtLeast returns the membership of a group that is known to have at least n
+// members.
 func (m Membership) WithAtLeast(n int) Membership {
-	m.size = max(m.size, n)
+	m.stableSize = max(m.stableSize, n)
 	if n > 0 {
-		m.unknownUntil = time.Time{}
+		m.sizeUnknownUntil = time.Time{}
 	}
 	return m
 }
 
-// Size returns how many members count.
+// Size returns the number of members of which a majority is needed.
 func (m Membership) Size() int { return max(m.Settled(), len(m.listed)) }
 
-// Settled returns how many members the group has without those that it may be about
-// to exchange.
+// Settled returns the number of members without those that may be part of an
+// exchange in progress, where both the old and the new member are listed. While the
+// size is unknown, it is so large that the listed members are no majority.
 func (m Membership) Settled() int {
-	if m.unknownUntil.IsZero() {
-		return m.size
+	if m.sizeUnknownUntil.IsZero() {
+		return m.stableSize
 	}
-	return 2*max(m.size, len(m.listed)) + 1
+	return 2*max(m.stableSize, len(m.listed)) + 1
 }
 
-// Pending reports whether time alone may change how many members count, without news of
-// those that are listed.
-func (m Membership) Pending() bool { return !m.unknownUntil.IsZero() || !m.above.IsZero() }
+// Pending reports whether the size may change as time passes, without any change to
+// the listed members.
+func (m Membership) Pending() bool { return !m.sizeUnknownUntil.IsZero() || !m.growingSince.IsZero() }
 
-// Known reports whether it is known how many members the group has.
-func (m Membership) Known() bool { return m.unknownUntil.IsZero() }
+// Known reports whether the number of members is known.
+func (m Membership) Known() bool { return m.sizeUnknownUntil.IsZero() }
 
-// Absent returns the members that keep a place though they are not listed.
+// Absent returns the members that count although they are not listed.
 func (m Membership) Absent() []MemberID {
-	n := min(len(m.absent), max(0, m.size-len(m.listed)))
+	n := min(len(m.absent), max(0, m.stableSize-len(m.listed)))
 	return m.absent[len(m.absent)-n:]
 }
--- a/internal/core/cwgroup/membership_test.go
+++ b/internal/core/cwgroup/membership_test.go
@@ -10,9 +10,9 @@
 // Guards against majorities of fewer members than a group has.
 func TestMembership(t *testing.T) {
 	start := time.Unix(1000, 0)
-	ids := func(s ...MemberID) []MemberID { return s }
-	begun := Membership{}.WithListed(ids("a"), start)
-	three := begun.WithListed(ids("a", "b", "c"), start.Add(time.Second))
+	memberIDs := func(s ...MemberID) []MemberID { return s }
+	firstListed := Membership{}.WithListed(memberIDs("a"), start)
+	three := firstListed.WithListed(memberIDs("a", "b", "c"), start.Add(time.Second))
 	start = start.Add(GrownAfter)
 	for _, tc := range []struct {
 		name   string
@@ -21,23 +21,23 @@
 		absent []MemberID
 	}{
 		{"three are listed", three, 3, nil},
-		{"they are listed one after the other, and go", begun.WithListed(ids("a", "b"), start.Add(2*time.Second-GrownAfter)).WithGone("b", false), 2, ids("b")},
-		{"one is gone", three.WithGone("c", false), 3, ids("c")},
-		{"two are gone", three.WithGone("c", false).WithGone("b", false), 3, ids("c", "b")},
-		{"it is back", three.WithGone("c", false).WithListed(ids("a", "b", "c"), start), 3, nil},
-		{"a new one takes its place", three.WithGone("c", false).WithListed(ids("a", "b", "d"), start), 3, nil},
-		{"of two, the one that went first", three.WithGone("c", false).WithGone("b", false).WithListed(ids("a", "d"), start), 3, ids("b")},
-		{"a new one comes after its entry lapsed", three.WithListed(ids("a", "b"), start.Add(2*time.Second-GrownAfter)).WithListed(ids("a", "b", "d"), start.Add(3*time.Second-GrownAfter)).WithGone("c", false), 3, nil},
-		{"a new one comes before it is gone", three.WithListed(ids("a", "b", "c", "d"), start).WithGone("c", false), 3, nil},
-		{"both are listed", three.WithListed(ids("a", "b", "c", "d"), start), 4, nil},
-		{"it had said that it leaves", three.WithListed(ids("a", "b"), start).WithGone("c", true), 2, nil},
-		{"it leaves for a new one", three.WithListed(ids("a", "b", "d"), start).WithGone("c", true), 3, nil},
-		{"the group grows", three.WithListed(ids("a", "b", "c", "d", "e"), start).WithListed(ids("a", "b", "c", "d", "e"), start.Add(GrownAfter)).WithGone("e", false), 5, ids("e")},
-		{"an instance starts and finds a new one beside three that it knows of", Membership{}.WithAtLeast(3).WithListed(ids("a", "b", "c", "d"), start).WithGone("c", false), 3, nil},
-		{"it is not known whether all are listed", Membership{}.WithUnknownSize(start.Add(time.Second)).WithListed(ids("a", "b"), start), 5, nil},
-		{"until it is taken for all", Membership{}.WithUnknownSize(start.Add(time.Second)).WithListed(ids("a", "b"), start).WithListed(ids("a", "b"), start.Add(time.Second)), 2, nil},
-		{"or is known", Membership{}.WithUnknownSize(start.Add(time.Second)).WithListed(ids("a", "b"), start).WithAtLeast(3), 3, nil},
-		{"an instance starts and finds one", Membership{}.WithListed(ids("a"), start).WithAtLeast(3), 3, nil},
+		{"listed one after the other while the group forms, then one is gone", firstListed.WithListed(memberIDs("a", "b"), start.Add(2*time.Second-GrownAfter)).WithGone("b", false), 2, memberIDs("b")},
+		{"one is gone", three.WithGone("c", false), 3, memberIDs("c")},
+		{"two are gone", three.WithGone("c", false).WithGone("b", false), 3, memberIDs("c", "b")},
+		{"a member that was gone is listed again", three.WithGone("c", false).WithListed(memberIDs("a", "b", "c"), start), 3, nil},
+		{"a new member takes the place of one that is gone", three.WithGone("c", false).WithListed(memberIDs("a", "b", "d"), start), 3, nil},
+		{"a new member takes the place of the one that was gone first", three.WithGone("c", false).WithGone("b", false).WithListed(memberIDs("a", "d"), start), 3, memberIDs("b")},
+		{"a new member is listed after the entry of an old one expired", three.WithListed(memberIDs("a", "b"), start.Add(2*time.Second-GrownAfter)).WithListed(memberIDs("a", "b", "d"), start.Add(3*time.Second-GrownAfter)).WithGone("c", false), 3, nil},
+		{"a new member is listed before the old one is gone", three.WithListed(memberIDs("a", "b", "c", "d"), start).WithGone("c", false), 3, nil},
+		{"the old and the new member are listed", three.WithListed(memberIDs("a", "b", "c", "d"), start), 4, nil},
+		{"a member that announced its leaving is gone", three.WithListed(memberIDs("a", "b"), start).WithGone("c", true), 2, nil},
+		{"a new member is listed, then the one that announced its leaving is gone", three.WithListed(memberIDs("a", "b", "d"), start).WithGone("c", true), 3, nil},
+		{"the group grows", three.WithListed(memberIDs("a", "b", "c", "d", "e"), start).WithListed(memberIDs("a", "b", "c", "d", "e"), start.Add(GrownAfter)).WithGone("e", false), 5, memberIDs("e")},
+		{"an instance starts and finds a new member besides three known ones", Membership{}.WithAtLeast(3).WithListed(memberIDs("a", "b", "c", "d"), start).WithGone("c", false), 3, nil},
+		{"the size is unknown", Membership{}.WithUnknownSize(start.Add(time.Second)).WithListed(memberIDs("a", "b"), start), 5, nil},
+		{"the size is unknown until the time is over", Membership{}.WithUnknownSize(start.Add(time.Second)).WithListed(memberIDs("a", "b"), start).WithListed(memberIDs("a", "b"), start.Add(time.Second)), 2, nil},
+		{"the size is unknown until it is set", Membership{}.WithUnknownSize(start.Add(time.Second)).WithListed(memberIDs("a", "b"), start).WithAtLeast(3), 3, nil},
+		{"an instance starts and finds one of three members listed", Membership{}.WithListed(memberIDs("a"), start).WithAtLeast(3), 3, nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			qt.Assert(t, tc.r.Size(), qt.Equals, tc.size)
