--- a/internal/core/cwack/ack.go
+++ b/internal/core/cwack/ack.go
@@ -1,16 +1,16 @@
 // Package cwack decides when a write may be acknowledged to its caller.
 //
-// Replication is asynchronous, so a record that only the primary has is lost
-// with the primary. A write is therefore acknowledged once a majority of the
-// members, the primary among them, reports that its log holds the record at the
-// primary's own term. A change of primary first makes a majority of the members
-// adopt the next term and promotes the most advanced of them. Two majorities
-// have a member in common, so whatever was acknowledged is in the new primary's
-// log; and the replaced primary finds no majority at its term any more, so
+// Replication is asynchronous, so a record that only the primary has is lost with
+// the primary. A write is therefore acknowledged once a majority of the members,
+// including the primary, reports that its log has the record and that it is in the
+// primary's term. A change of primary first makes a majority of the members adopt
+// the next term and then promotes the most advanced of them. Any two majorities
+// have a member in common, so every acknowledged record is in the new primary's
+// log, and the replaced primary can no longer get a majority in its term, so
 // nothing is acknowledged on its behalf.
 //
-// Tracker holds the writes that wait. It does no I/O: views and times go in,
-// outcomes come out.
+// Tracker holds the writes that wait for acknowledgement. It does no I/O: the
+// caller passes in views and times, and the outcomes are delivered by callbacks.
 package cwack
 
 import (
@@ -19,31 +19,32 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwgroup"
 )
 
-// Outcome is how a wait ended.
+// Outcome is the outcome of waiting for the acknowledgement of a write.
 type Outcome uint8
 
 // The outcomes of a wait.
 const (
-	// Pending means that the wait goes on.
+	// Pending means that the wait has not ended.
 	Pending Outcome = iota
-	// Acknowledged means that a majority holds the record.
+	// Acknowledged means that a majority has the record.
 	Acknowledged
-	// Superseded means that the primary was replaced first. The record may have
-	// survived or not.
+	// Superseded means that the primary was replaced before the write was
+	// acknowledged. The record may have survived or not.
 	Superseded
-	// TimedOut means that the deadline passed first. The record may survive.
+	// TimedOut means that the deadline passed before the write was acknowledged.
+	// The record may survive.
 	TimedOut
 )
 
-// String names the outcome.
+// String returns the outcome's name.
 func (o Outcome) String() string {
 	return [...]string{"pending", "acknowledged", "superseded", "timedOut"}[o]
 }
 
-// Judge decides about one write.
+// Judge returns the outcome of a write at mark m, as seen in v at time now.
 func Judge(v cwgroup.View, m cwgroup.Mark, deadline, now time.Time) Outcome {
-	// A replaced primary's write is not acknowledged even if a late report
-	// shows it on a majority: the report may be older than the replacement.
+	// The write of a replaced primary is not acknowledged even if a majority is
+	// reported to have it: the report may be older than the replacement.
 	if v.Superseded(m.Term) || v.Term() > m.Term {
 		return Superseded
 	}
@@ -56,42 +57,43 @@
 	return Pending
 }
 
-// Wait is one write that waits.
+// Wait is a write that waits for acknowledgement.
 type Wait struct {
 	Mark     cwgroup.Mark
 	Deadline time.Time
-	// Done receives the outcome, once. It is called without any lock held by
-	// the package, and must not block.
+	// Done is called once with the outcome. The package holds no lock during the
+	// call; Done must not block.
 	Done func(Outcome)
 }
 
-// Tracker holds the waits of one group. The zero Tracker is empty. It is not
-// safe for concurrent use; its owner's lock guards it.
+// Tracker holds the waiting writes of one group. The zero Tracker is empty. It is
+// not safe for concurrent use; the caller must hold a lock.
 type Tracker struct {
 	waits []Wait
 }
 
-// Add starts a wait.
+// Add adds a waiting write.
 func (t *Tracker) Add(w Wait) { t.waits = append(t.waits, w) }
 
-// Len returns the number of waits in progress.
+// Len returns the number of waiting writes.
 func (t *Tracker) Len() int { return len(t.waits) }
 
-// Observe ends the waits that v or now decide, and calls their Done.
+// Observe ends the waits whose outcome is determined by v and now, and calls their
+// Done.
 func (t *Tracker) Observe(v cwgroup.View, now time.Time) {
-	kept := t.waits[:0]
+	remaining := t.waits[:0]
 	for _, w := range t.waits {
 		if o := Judge(v, w.Mark, w.Deadline, now); o != Pending {
 			w.Done(o)
 			continue
 		}
-		kept = append(kept, w)
+		remaining = append(remaining, w)
 	}
-	clear(t.waits[len(kept):])
-	t.waits = kept
+	clear(t.waits[len(remaining):])
+	t.waits = remaining
 }
 
-// Close ends all waits without knowing their outcome.
+// Close ends all waits with TimedOut: their outcome is not known.
 func (t *Tracker) Close() {
 	waits := t.waits
 	t.waits = nil
--- a/internal/core/cwack/ack_test.go
+++ b/internal/core/cwack/ack_test.go
@@ -11,7 +11,7 @@
 
 var now = time.Unix(1000, 0)
 
-func view(adopted cwgroup.Term, last ...cwgroup.Position) cwgroup.View {
+func testView(adopted cwgroup.Term, last ...cwgroup.Position) cwgroup.View {
 	ids := []cwgroup.MemberID{"a", "b", "c"}
 	v := cwgroup.NewView("g", ids)
 	for i, p := range last {
@@ -35,12 +35,12 @@
 	add(1, 5, time.Second)
 	add(1, 6, time.Second)
 	add(1, 7, time.Millisecond)
-	tr.Observe(view(1, 7, 5, 3), now)
+	tr.Observe(testView(1, 7, 5, 3), now)
 	qt.Assert(t, got, qt.DeepEquals, map[cwgroup.Position]Outcome{5: Acknowledged})
-	tr.Observe(view(1, 7, 5, 3), now.Add(time.Millisecond))
+	tr.Observe(testView(1, 7, 5, 3), now.Add(time.Millisecond))
 	qt.Assert(t, got[7], qt.Equals, TimedOut)
 	// The primary is replaced; a late report of the old term must not count.
-	tr.Observe(view(2, 9, 9, 3), now)
+	tr.Observe(testView(2, 9, 9, 3), now)
 	qt.Assert(t, got[6], qt.Equals, Superseded)
 	qt.Assert(t, tr.Len(), qt.Equals, 0)
 }
