--- a/internal/core/cwrequest/request.go
+++ b/internal/core/cwrequest/request.go
@@ -1,16 +1,19 @@
-// Package cwrequest makes a request run at most once.
+// Package cwrequest implements request keys (idempotency keys), with which a
+// request runs at most once.
 //
-// A caller may give a write a request key. The key is inserted into a table of
-// the target within the write's own transaction, so it commits, replicates and
-// survives a failover together with the write. When an answer is lost, the key
-// tells what became of the request: if it is there, the recorded answer is
-// given again; if it is not, a tombstone is written in its place, after which
-// the lost request cannot commit any more, and "not run" is true.
+// A caller may send a request key with a write. The key is inserted into a table of
+// the target in the write's own transaction, so it is committed, replicated and
+// kept across a failover together with the write. If the response to the caller is
+// lost, the key shows the outcome: if the key is in the table, the recorded
+// response is sent again; if it is not, a tombstone is inserted in its place. After
+// that the lost request can no longer commit, so it is certain that it did not run.
 //
-// Whatever is found is used only once the primary's log up to there is on a
-// majority at the primary's own term; until then it can still be dropped.
+// A row that is found may be used only once a majority of the members, in the
+// primary's own term, has the primary's log up to that row. Until then the row can
+// still be lost in a failover.
 //
-// The package holds the statements and the decisions; its user runs them.
+// The package holds the SQL statements and the decisions; the caller runs the
+// statements.
 package cwrequest
 
 import (
@@ -19,19 +22,20 @@
 	"fmt"
 )
 
-// MaxKeyLen is the longest request key accepted, in bytes.
+// MaxKeyLen is the maximum length of a request key in bytes.
 const MaxKeyLen = 128
 
-// MaxAnswerLen is the longest answer that is recorded, in bytes. A keyed
-// request with a longer answer is rolled back.
+// MaxAnswerLen is the maximum length of a recorded response in bytes. A request
+// with a key whose response is longer is rolled back.
 const MaxAnswerLen = 64 << 10
 
-// KeyError reports a request key that is refused.
+// KeyError reports an invalid request key.
 type KeyError struct{ Why string }
 
 func (e *KeyError) Error() string { return "request key " + e.Why }
 
-// CheckKey checks a key that came from outside.
+// CheckKey checks a key received from a caller. It returns a *KeyError if the key
+// is empty, longer than MaxKeyLen or contains control characters.
 func CheckKey(key string) error {
 	if key == "" {
 		return &KeyError{Why: "is empty"}
@@ -47,36 +51,38 @@
 	return nil
 }
 
-// The statements on the table of request keys. Arguments are text.
+// SQL statements for the table of request keys. All arguments are text.
 const (
-	// CreateTable makes the table; it does nothing if it is there.
+	// CreateTable creates the table if it does not exist.
 	CreateTable = `CREATE TABLE IF NOT EXISTS cicadawalk_requests (` +
 		`key text PRIMARY KEY, digest text NOT NULL, state text NOT NULL, answer text NOT NULL)`
-	// Insert takes key, digest and attempt. The state is the attempt's id until
-	// Finish, within the same transaction.
+	// Insert takes the key, the digest and a state that applies until Finish, which
+	// runs in the same transaction.
 	Insert = `INSERT INTO cicadawalk_requests (key, digest, state, answer) VALUES ($1, $2, $3, '')`
-	// Finish takes key and the encoded answer.
+	// Finish takes the key and the encoded response.
 	Finish = `UPDATE cicadawalk_requests SET state = 'done', answer = $2 WHERE key = $1`
 	// Lookup takes the key.
 	Lookup = `SELECT digest, state, answer FROM cicadawalk_requests WHERE key = $1`
-	// Bury takes key, digest and tombstone id.
+	// Bury inserts a tombstone. It takes the key, the digest and the state from
+	// Tombstone.
 	Bury = `INSERT INTO cicadawalk_requests (key, digest, state, answer) VALUES ($1, $2, $3, '')`
-	// Unbury takes key and tombstone id. A repeat runs it first in its own
-	// transaction.
+	// Unbury deletes a tombstone. It takes the key and the tombstone's state. A
+	// repeated request runs it first in its own transaction.
 	Unbury = `DELETE FROM cicadawalk_requests WHERE key = $1 AND state = $2`
 )
 
-// StateDone is the state of a request that committed.
+// StateDone is the state of a request that has committed.
 const StateDone = "done"
 
-// tombstonePrefix marks the states of tombstones.
+// tombstonePrefix is the prefix of the states of tombstones.
 const tombstonePrefix = "buried:"
 
-// Tombstone returns the state that a tombstone with the unique id has.
+// Tombstone returns the state of a tombstone; id must be unique.
 func Tombstone(id string) string { return tombstonePrefix + id }
 
-// Digest identifies the request that a key belongs to: its statements and
-// arguments.
+// Digest returns a digest of a request, made of its statements and arguments. It is
+// used to detect that a key is reused for another request. It is the hexadecimal
+// form of the first 16 bytes of a SHA-256 hash.
 func Digest(parts ...[]byte) string {
 	h := sha256.New()
 	for _, p := range parts {
@@ -86,7 +92,7 @@
 	return hex.EncodeToString(h.Sum(nil)[:16])
 }
 
-// Row is what Lookup found.
+// Row is the result of Lookup.
 type Row struct {
 	Found  bool
 	Digest string
@@ -94,23 +100,23 @@
 	Answer string
 }
 
-// Verdict is what a row means for a request.
+// Verdict is the meaning of a row for a request.
 type Verdict uint8
 
-// The verdicts.
+// The possible verdicts.
 const (
-	// Absent means that nothing is recorded.
+	// Absent means that there is no row for the key.
 	Absent Verdict = iota
-	// Replay means that the request is done; give Row.Answer.
+	// Replay means that the request has committed; send Row.Answer again.
 	Replay
-	// Buried means that an earlier attempt certainly did not run and never
-	// will; the request may run in place of the tombstone Row.State.
+	// Buried means that an earlier attempt certainly did not run and never will.
+	// The request may run and replace the tombstone, whose state is Row.State.
 	Buried
 	// Mismatch means that the key belongs to another request.
 	Mismatch
 )
 
-// Judge says what a row means for the request with the digest.
+// Judge returns the verdict on a row for the request with the given digest.
 func Judge(r Row, digest string) Verdict {
 	switch {
 	case !r.Found:
