--- a/internal/proxy/cwclaim/claim.go
+++ b/internal/proxy/cwclaim/claim.go
@@ -1,10 +1,11 @@
-// Package cwclaim keeps the claims of changes of primary in the platform's
-// table.
+// Package cwclaim stores the claims for changes of primary in the platform's table.
 //
-// A group has one row. Whoever changes its primary sets the row to a claim of
-// its own by compare-and-set, and marks it done at the end; nobody writes the
-// row at any other time. An answer of the table can be lost after the change
-// took effect, so a claim is unique and is read back, never repeated blindly.
+// Each group has one row. A proxy that changes the group's primary writes its own
+// claim into the row by compare-and-swap, records in it which terms the change
+// replaces, and marks it as done at the end. The row is not written at any other
+// time, except when the table has lost it in a restore. The response to a write can
+// be lost after the write took effect; therefore every claim is unique, and the row
+// is read back before a write is repeated.
 package cwclaim
 
 import (
@@ -18,25 +19,27 @@
 	"cicadawalk.example/cicadawalk/internal/wire/cwplatform"
 )
 
-// KeyPrefix is where the rows of the groups are in the table.
+// KeyPrefix is the key prefix of the groups' rows in the table; the group's name
+// follows.
 const KeyPrefix = "group/"
 
-// rowBody is a group's row as JSON.
+// rowBody is the JSON encoding of a group's row; see cwfailover.Row.
 type rowBody struct {
 	Term    uint64 `json:"term"`
 	Claim   string `json:"claim"`
-	Keeper  string `json:"keeper"`
+	Owner   string `json:"keeper"`
 	Primary string `json:"primary"`
-	// Replaced and Members are missing in rows of instances that did not write them.
+	// Replaced and Members are absent in rows of instances that do not write them.
 	Replaced uint64 `json:"replaced"`
 	Members  int    `json:"members"`
 	Done     bool   `json:"done"`
 }
 
-// Service returns whose group a key of the table is about.
+// Service returns the name of the group whose row has the key. The second result is
+// false for keys of other rows.
 func Service(key string) (string, bool) { return strings.CutPrefix(key, KeyPrefix) }
 
-// Decode reads the value of a group's row.
+// Decode decodes the value of a group's row, which is JSON.
 func Decode(value []byte) (cwfailover.Row, error) {
 	var b rowBody
 	if err := json.Unmarshal(value, &b); err != nil {
@@ -45,7 +48,7 @@
 	return cwfailover.Row{
 		Term:     cwgroup.Term(b.Term),
 		Claim:    cwgroup.ClaimID(b.Claim),
-		Keeper:   cwfailover.InstanceID(b.Keeper),
+		Keeper:   cwfailover.InstanceID(b.Owner),
 		Primary:  cwgroup.MemberID(b.Primary),
 		Replaced: cwgroup.Term(b.Replaced),
 		Members:  b.Members,
@@ -57,7 +60,7 @@
 	return json.Marshal(rowBody{
 		Term:     uint64(r.Term),
 		Claim:    string(r.Claim),
-		Keeper:   string(r.Keeper),
+		Owner:    string(r.Keeper),
 		Primary:  string(r.Primary),
 		Replaced: uint64(r.Replaced),
 		Members:  r.Members,
@@ -65,35 +68,38 @@
 	})
 }
 
-// Claims carries out a keeper's orders to the table for one group.
+// Claims executes the table commands of a cwfailover.Keeper for one group.
 type Claims struct {
 	Table cwplatform.Table
+	// Group is the group's name.
 	Group string
-	Self  cwfailover.InstanceID
-	// MayClaim decides whether a row may be claimed for a term.
+	// Self is the instance that owns the claims that are written.
+	Self cwfailover.InstanceID
+	// MayClaim reports whether a row may be claimed for a term.
 	MayClaim func(cwfailover.Row, cwgroup.Term) bool
 }
 
-// Result is how the table answered, with the row's tag as it was read.
+// Result is the outcome of a command, with the ETag of the row as it was read.
 type Result struct {
 	Outcome cwfailover.RowOutcome
-	// Tag changes with each claim and is empty for a row that is not there.
+	// Tag changes with each write of the row and is empty if there is no row.
 	Tag string
 }
 
-// Send carries out one order.
+// Send executes one command. It reads the row first; the outcome is RowUnavailable
+// if that fails.
 func (c Claims) Send(ctx context.Context, o cwfailover.Order) Result {
 	row, tag, err := c.Read(ctx)
 	if err != nil {
 		return Result{Outcome: cwfailover.RowUnavailable}
 	}
-	mine := row.Claim == o.Claim
+	isOwnClaim := row.Claim == o.Claim
 	switch {
-	case o.Kind == cwfailover.ReadRow && mine:
+	case o.Kind == cwfailover.ReadRow && isOwnClaim:
 		return Result{Outcome: cwfailover.RowDone, Tag: tag}
 	case o.Kind == cwfailover.ReadRow,
-		o.Kind == cwfailover.AnnounceRow && !mine,
-		o.Kind == cwfailover.ClaimRow && !mine && !c.MayClaim(row, o.Term),
+		o.Kind == cwfailover.AnnounceRow && !isOwnClaim,
+		o.Kind == cwfailover.ClaimRow && !isOwnClaim && !c.MayClaim(row, o.Term),
 		o.Kind == cwfailover.RecordRow && row.Term > o.Term:
 		return Result{Outcome: cwfailover.RowConflict, Tag: tag}
 	}
@@ -104,36 +110,38 @@
 	if o.Kind == cwfailover.RecordRow {
 		next.Primary, next.Done = o.Primary, true
 	}
-	return Result{Outcome: c.commit(ctx, next, tag), Tag: tag}
+	return Result{Outcome: c.writeRow(ctx, next, tag), Tag: tag}
 }
 
-// WriteAgain writes a row that is known if the table has lost it with a restore. The
-// outcome is RowConflict if it has not, or if another claim is worked on.
+// WriteAgain writes a known row again if the table has lost it in a restore. The
+// outcome is RowConflict if the table has not lost it or if another claim is in
+// progress.
 func (c Claims) WriteAgain(ctx context.Context, known cwfailover.Row) cwfailover.RowOutcome {
 	row, tag, err := c.Read(ctx)
 	switch {
 	case err != nil:
 		return cwfailover.RowUnavailable
-	case !lost(row, known):
+	case !precedes(row, known):
 		return cwfailover.RowConflict
 	}
-	return c.commit(ctx, known, tag)
+	return c.writeRow(ctx, known, tag)
 }
 
-// lost reports whether the table's row is one that came before the known one.
-func lost(row, known cwfailover.Row) bool {
+// precedes reports whether the table's row is an older version of the known row or
+// a finished one of an earlier term.
+func precedes(row, known cwfailover.Row) bool {
 	if row.Claim == known.Claim {
 		return known.Done && !row.Done || row.Replaced < known.Replaced
 	}
 	return row.Done && row.Term < known.Term
 }
 
-// Read returns the group's row and its tag; a row that is not there is finished,
-// and its tag is empty.
+// Read returns the group's row and its ETag. If there is no row, it returns a row
+// that is done and an empty tag. The error is that of the table or of decoding.
 func (c Claims) Read(ctx context.Context) (cwfailover.Row, string, error) {
 	row, err := c.Table.Get(ctx, KeyPrefix+c.Group)
-	var absent *cwplatform.NotFoundError
-	if errors.As(err, &absent) {
+	var notFound *cwplatform.NotFoundError
+	if errors.As(err, &notFound) {
 		return cwfailover.Row{Done: true}, "", nil
 	}
 	if err != nil {
@@ -143,7 +151,7 @@
 	return r, row.ETag, err
 }
 
-func (c Claims) commit(ctx context.Context, r cwfailover.Row, tag string) cwfailover.RowOutcome {
+func (c Claims) writeRow(ctx context.Context, r cwfailover.Row, tag string) cwfailover.RowOutcome {
 	value, err := encode(r)
 	if err != nil {
 		return cwfailover.RowUnavailable
