--- a/internal/core/cwfailover/attempt.go
+++ b/internal/core/cwfailover/attempt.go
@@ -29,11 +29,18 @@
 
 // The phases of an attempt, in order. Done and Abandoned are final.
 const (
+	// Claiming waits for the table to confirm the claim.
 	Claiming Phase = iota
+	// Fencing waits for a majority of the members to adopt the term.
 	Fencing
+	// Promoting waits for the selected member to become the primary.
 	Promoting
+	// Settling waits for the other members to follow the new primary and for the
+	// table to record it.
 	Settling
+	// Done means that the group has a new primary.
 	Done
+	// Abandoned means that the attempt was given up for its Reason.
 	Abandoned
 )
 
@@ -233,8 +240,8 @@
 	case RowConflict:
 		k.abandon(ReasonClaimed)
 	case RowUnknown:
-		// The write may have taken effect, so it must not be repeated; read the row
-		// back instead.
+		// The write may have taken effect, so it must not simply be repeated; read
+		// the row back instead.
 		return []Order{k.newCommand(ReadRow, "")}
 	case RowUnavailable:
 		if k.canProceedWithoutTable() {
@@ -284,7 +291,8 @@
 // primary lacks. Second, the proxy is paused right after the promotion, and nothing
 // else shows that the old primary was replaced. A proxy that has read the row
 // trusts no primary of the recorded terms. The successful write also serves as the
-// last check that the claim is still valid. Members that check terms need neither.
+// last check that the claim is still valid. If the members check terms, neither the
+// record nor this check is needed.
 func (k *Keeper) announceReplacedTerm(commands []Order) []Order {
 	if k.plan.ChecksTerm {
 		return commands
--- a/internal/core/cwfailover/supervisor.go
+++ b/internal/core/cwfailover/supervisor.go
@@ -50,8 +50,10 @@
 
 // Row is the row of a group in the platform's table.
 type Row struct {
-	Term   cwgroup.Term
-	Claim  cwgroup.ClaimID
+	// Term is the term that the claim is for.
+	Term  cwgroup.Term
+	Claim cwgroup.ClaimID
+	// Keeper is the instance that made the claim.
 	Keeper InstanceID
 	// Primary is the member promoted by the last change that was finished.
 	Primary cwgroup.MemberID
@@ -68,13 +70,17 @@
 
 // Result is the result of one change of primary.
 type Result struct {
-	Plan    Plan
-	Before  cwgroup.Report
+	Plan Plan
+	// Before is the last report of the old primary; it is zero if there was none.
+	Before cwgroup.Report
+	// Primary is the member selected as the new primary, if any.
 	Primary cwgroup.MemberID
-	Reason  Reason
+	// Reason is ReasonNone if the change succeeded.
+	Reason Reason
 	// Planned is true for a planned stop and false for a failure.
 	Planned bool
-	Took    time.Duration
+	// Took is the duration of the attempt.
+	Took time.Duration
 }
 
 // Changed reports whether the change led to a new primary.
@@ -275,8 +281,8 @@
 	return false
 }
 
-// rankDelayPassed reports whether the proxies of lower rank have had enough time to
-// start first.
+// rankDelayPassed reports whether the proxies with smaller ranks have had enough
+// time to start first.
 func (s *Supervisor) rankDelayPassed(now time.Time, c Conditions) bool {
 	if s.mayStartAt.IsZero() {
 		s.mayStartAt = now.Add(time.Duration(c.Rank) * RankDelay)
@@ -330,8 +336,8 @@
 	return false
 }
 
-// strandedTooLong reports whether a member has been stranded for StrandedFor. Only
-// the proxy of rank 0 reports it.
+// strandedTooLong reports whether a member has been stranded for StrandedFor, while
+// a majority of the members was reachable. Only the proxy of rank 0 reports it.
 func (s *Supervisor) strandedTooLong(now time.Time, c Conditions) bool {
 	if c.Rank != 0 || !Stranded(s.view, now) || !majorityReachable(s.view, now.Add(-drainReportMaxAge), now) {
 		s.strandedSince = time.Time{}
--- a/internal/core/cwgroup/group_test.go
+++ b/internal/core/cwgroup/group_test.go
@@ -57,8 +57,8 @@
 	old := v.WithReport(report("a", RolePrimary, 1, Mark{1, 9})).WithReport(report("b", RoleReplica, 1, Mark{1, 9}))
 	qt.Assert(t, old.HeldByMajority(Mark{1, 9}), qt.IsTrue)
 	qt.Assert(t, old.HeldByMajority(Mark{1, 10}), qt.IsFalse)
-	_, heard := v.Report("a")
-	qt.Assert(t, heard, qt.IsFalse) // the first view must not change
+	_, hasReport := v.Report("a")
+	qt.Assert(t, hasReport, qt.IsFalse) // the first view must not change
 
 	next := old.WithReport(report("b", RolePrimary, 2, Mark{2, 10}))
 	p, _ := next.Primary()
