--- a/internal/proxy/cwmembers/members.go
+++ b/internal/proxy/cwmembers/members.go
@@ -1,10 +1,11 @@
-// Package cwmembers remembers in the platform's table which targets a group has.
+// Package cwmembers records in the platform's table which targets are the members of
+// each group.
 //
-// The platform's list of targets is no record of that: an entry lapses when its
-// target, or the store, is away for some seconds. An instance that was there
-// goes on counting such a target. One that starts meanwhile has never seen it,
-// and would take two of three members for all of them. So the holders of a group
-// keep one row with the members that they count, and write it when that changes.
+// The platform's list of targets can't serve as that record: an entry lapses when its
+// target, or the store, is unavailable for some seconds. A running instance still
+// counts such a target, but one that starts in the meantime has never seen it and would
+// take two of three members for the whole group. The holders of a group therefore keep
+// one row with the members that they count, and rewrite it when those change.
 package cwmembers
 
 import (
@@ -27,93 +28,104 @@
 	"cicadawalk.example/cicadawalk/internal/wire/cwplatform"
 )
 
-// KeyPrefix is where the rows are in the table; a service's name follows.
+// KeyPrefix is the prefix of the rows' keys in the table; the service's name follows
+// it.
 const KeyPrefix = "members/"
 
-// Times of writing.
+// Timeouts and intervals of writing.
 const (
-	// step is how often the rows are compared with what is counted.
-	step = time.Second
-	// placeDelay is how much longer than the one before it each holder of a group
-	// waits with a difference: some steps, so that the first one's row arrives.
-	placeDelay = 3 * time.Second
-	// lostDelay is the same where there is no row: an instance that starts finds none.
-	lostDelay = step / 2
-	// spacing is the time between the first rows of two groups, over all instances: a
-	// third of what one part of the table takes.
-	spacing = 10 * time.Millisecond
+	// compareInterval is how often the rows are compared with the members that are
+	// counted.
+	compareInterval = time.Second
+	// rankDelay is how much longer each holder of a group waits before it writes a
+	// difference than the holder of the rank before it: a few intervals, so that the
+	// earlier holder's row has time to arrive.
+	rankDelay = 3 * time.Second
+	// missingRowDelay is used instead of rankDelay if the row is missing, since an
+	// instance that starts without the row doesn't know the members.
+	missingRowDelay = compareInterval / 2
+	// firstRowSpacing is the mean time between the first rows of two groups, over all
+	// instances. It corresponds to a third of the rate of writes that one partition of
+	// the table accepts.
+	firstRowSpacing = 10 * time.Millisecond
 	// writeTimeout bounds one write.
 	writeTimeout = 2 * time.Second
 )
 
-// Record keeps the rows of the groups. Set the fields before Run.
+// Record keeps the rows of the groups up to date. Set the exported fields before
+// calling Run. Its methods are safe for concurrent use.
 type Record struct {
 	Table cwplatform.Table
 	Clock clockwork.Clock
 	Log   *log.Logger
-	// Counted returns the members of each group, by service; nil if the store does not
-	// tell at present which targets there are.
+	// Counted returns the members of each group, by service; nil while the store
+	// doesn't report which targets exist.
 	Counted func() map[string]Count
-	// Place returns this instance's place among the holders of a group; false if
-	// it is none.
+	// Place returns this instance's rank among the holders of a group, and false if it
+	// doesn't hold the group. A negative rank counts as the first, 0.
 	Place func(service string) (int, bool)
-	// Groups returns how many groups there are, held or not. Like Counted and Place it is
-	// called without the record's lock: who answers may ask the record meanwhile.
+	// Groups returns the number of groups, held or not. Record calls Groups, Counted
+	// and Place without holding its lock, because their implementations may call
+	// methods of Record.
 	Groups func() int
 
 	mu   sync.Mutex
-	rows map[string]row
-	// seen are the groups that had a row at some time.
-	seen map[string]bool
-	// differs is since when a group's row and what is counted differ.
-	differs map[string]time.Time
+	rows map[string]groupRow
+	// hadRow holds the groups that have had a row at some time.
+	hadRow map[string]bool
+	// differsSince holds, by service, the time since which the row has differed from the
+	// members that are counted.
+	differsSince map[string]time.Time
 }
 
-// Count is the members of a group, and how many there are without those that it is about
-// to exchange.
+// Count is the members of a group as an instance counts them.
 type Count struct {
 	Members []cwport.Listing
-	Of      int
+	// Of is the number of members without those that are about to be exchanged.
+	Of int
 }
 
-// row is a group's row as it was last read.
-type row struct {
+// groupRow is a group's row as last read.
+type groupRow struct {
 	members []cwport.Listing
-	// of is how many members the group has without those that it is about to exchange.
-	of  int
-	tag string
-	// unreadable is true if members are those of an earlier state of the row.
+	// settledSize is the number of members without those that are about to be
+	// exchanged.
+	settledSize int
+	etag        string
+	// unreadable is true if the row's current value couldn't be decoded, so that
+	// members are from an earlier value.
 	unreadable bool
 }
 
-// Rows takes rows of the product's own; whole is true if these are all.
+// Rows passes in rows of the table that belong to this product. whole is true if these
+// are all of them.
 func (r *Record) Rows(rows []cwport.Row, whole bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.rows == nil || whole {
-		r.rows = make(map[string]row)
+		r.rows = make(map[string]groupRow)
 	}
 	for _, w := range rows {
 		service, ok := strings.CutPrefix(w.Key, KeyPrefix)
 		if !ok {
 			continue
 		}
-		members, of, err := decode(service, w)
+		members, settledSize, err := decode(service, w)
 		if err != nil {
-			// What was known stays, and the row is written anew.
+			// Keep the known members; Run rewrites the row.
 			r.Log.Error("membersUnreadable", "key", w.Key, "cause", err)
-			r.rows[service] = row{members: r.rows[service].members, of: r.rows[service].of, tag: w.Tag(), unreadable: true}
+			r.rows[service] = groupRow{members: r.rows[service].members, settledSize: r.rows[service].settledSize, etag: w.Tag(), unreadable: true}
 			continue
 		}
-		r.rows[service] = row{members: members, of: of, tag: w.Tag()}
-		if r.seen == nil {
-			r.seen = make(map[string]bool)
+		r.rows[service] = groupRow{members: members, settledSize: settledSize, etag: w.Tag()}
+		if r.hadRow == nil {
+			r.hadRow = make(map[string]bool)
 		}
-		r.seen[service] = true
+		r.hadRow[service] = true
 	}
 }
 
-// Remembered returns the members of all groups by their rows.
+// Remembered returns the members of all groups according to their rows.
 func (r *Record) Remembered() []cwport.Listing {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -124,110 +136,114 @@
 	return out
 }
 
-// Recorded returns how many members a service's group has by its row; zero if there is
-// none.
+// Recorded returns the number of members of a service's group according to its row,
+// without those that are about to be exchanged; zero if there is no row.
 func (r *Record) Recorded(service string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.rows[service].of
+	return r.rows[service].settledSize
 }
 
-// Run keeps the rows of the groups that this instance holds until ctx ends.
+// Run keeps the rows of the groups that this instance holds up to date until ctx ends.
+// It always returns nil.
 func (r *Record) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		select {
-		case <-r.Clock.After(step):
+		case <-r.Clock.After(compareInterval):
 		case <-ctx.Done():
 			return nil
 		}
 		counted := r.Counted()
 		for service, c := range counted {
-			if tag, due := r.due(service, c); due {
-				r.write(ctx, service, c, tag)
+			if tag, due := r.writeDue(service, c); due {
+				r.writeRow(ctx, service, c, tag)
 			}
 		}
 		if counted != nil {
-			r.forget(counted)
+			r.dropUncounted(counted)
 		}
 	}
 	return nil
 }
 
-// forget forgets differences of groups that are not counted here any more.
-func (r *Record) forget(counted map[string]Count) {
+// dropUncounted removes the differences of groups that are no longer counted here.
+func (r *Record) dropUncounted(counted map[string]Count) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	maps.DeleteFunc(r.differs, func(service string, _ time.Time) bool {
+	maps.DeleteFunc(r.differsSince, func(service string, _ time.Time) bool {
 		_, ok := counted[service]
 		return !ok
 	})
 }
 
-// due reports whether this instance is to write a group's row now, and the tag
-// of the row that it replaces.
+// writeDue reports whether this instance is to write a group's row now, and returns the
+// tag of the row to be replaced.
 //
-// The failure: the row was lost with a restore of the table, and an instance that has
-// just started writes it with the members that it finds. Others that start count too
-// few, until the turn of one comes that knows better. That one does not wait for it.
-func (r *Record) due(service string, c Count) (tag string, due bool) {
-	place, held := r.Place(service)
+// If a restore of the table loses the row, an instance that has just started may
+// rewrite it with only the members that it finds. Other starting instances then count
+// too few members until a holder that knows more gets its turn. A holder that counts
+// more members than the row therefore doesn't wait for its rank.
+func (r *Record) writeDue(service string, c Count) (tag string, due bool) {
+	rank, held := r.Place(service)
 	groups := r.Groups()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now, w := r.Clock.Now(), r.rows[service]
-	equal := !w.unreadable && c.Of == w.of && slices.EqualFunc(sorted(c.Members), sorted(w.members), same)
+	equal := !w.unreadable && c.Of == w.settledSize && slices.EqualFunc(sortedByID(c.Members), sortedByID(w.members), sameRecorded)
 	if !held || r.rows == nil || equal {
-		delete(r.differs, service)
+		delete(r.differsSince, service)
 		return "", false
 	}
-	if r.differs == nil {
-		r.differs = make(map[string]time.Time)
+	if r.differsSince == nil {
+		r.differsSince = make(map[string]time.Time)
 	}
-	since, known := r.differs[service]
+	since, known := r.differsSince[service]
 	if !known {
 		since = now
-		r.differs[service] = now
+		r.differsSince[service] = now
 	}
-	wait := time.Duration(max(place, 0)) * delayOf(c, w)
-	if w.tag == "" && !r.seen[service] {
-		wait = turn(service, groups) + time.Duration(max(place, 0))*firstDelay(groups)
+	wait := time.Duration(max(rank, 0)) * rewriteRankDelay(c, w)
+	if w.etag == "" && !r.hadRow[service] {
+		wait = firstRowDelay(service, groups) + time.Duration(max(rank, 0))*firstRowRankDelay(groups)
 	}
-	return w.tag, now.Sub(since) >= wait
+	return w.etag, now.Sub(since) >= wait
 }
 
-// firstDelay returns how much longer each holder waits than the one before it with the
-// first row of a group. Among many groups the row of the one before takes its time to
-// arrive, and who does not wait for it writes in vain.
-func firstDelay(groups int) time.Duration {
-	return min(placeDelay, lostDelay+time.Duration(groups)*spacing)
+// firstRowRankDelay returns how much longer each holder waits with the first row of a
+// group than the holder of the rank before it. With many groups the earlier holder's
+// row takes longer to arrive, and a holder that doesn't wait for it writes in vain.
+func firstRowRankDelay(groups int) time.Duration {
+	return min(rankDelay, missingRowDelay+time.Duration(groups)*firstRowSpacing)
 }
 
-// turn returns how long the first row of a group waits for those of others.
+// firstRowDelay returns how long the first holder waits with the first row of a group.
+// It spreads the groups evenly over the time that their rows take at firstRowSpacing.
 //
-// The load it answers: all instances start at once before a thousand groups. The table
-// takes some hundred rows a second; what is beyond is refused, tried again by all after
-// the same pause, and refused once more. A row that was lost is written at once.
-func turn(service string, groups int) time.Duration {
+// When all instances start at once with a thousand groups, the table accepts some
+// hundred rows a second; the other writes are refused, repeated by all instances after
+// the same pause, and refused again. A row that was lost is not delayed in this way.
+func firstRowDelay(service string, groups int) time.Duration {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(service))
 	share := float64(h.Sum32()) / (1 << 32)
-	return time.Duration(share * float64(groups) * float64(spacing))
+	return time.Duration(share * float64(groups) * float64(firstRowSpacing))
 }
 
-// delayOf returns how much longer each holder waits than the one before it.
-func delayOf(c Count, w row) time.Duration {
+// rewriteRankDelay returns how much longer each holder waits before it rewrites a row
+// than the holder of the rank before it.
+func rewriteRankDelay(c Count, w groupRow) time.Duration {
 	switch {
-	case w.tag == "":
-		return lostDelay
-	case c.Of > w.of:
+	case w.etag == "":
+		return missingRowDelay
+	case c.Of > w.settledSize:
 		return 0
 	}
-	return placeDelay
+	return rankDelay
 }
 
-// write sets a group's row. Another instance may have been first, and an answer
-// may be lost: either shows with the row, which comes back with the others.
-func (r *Record) write(ctx context.Context, service string, c Count, tag string) {
+// writeRow writes a group's row. If another instance was first, or if the answer is
+// lost, the actual row arrives with the next rows passed to Rows.
+func (r *Record) writeRow(ctx context.Context, service string, c Count, tag string) {
 	value, err := encode(c)
 	if err != nil {
 		r.Log.Error("membersNotWritten", "group", service, "cause", err)
@@ -250,51 +266,53 @@
 	r.Log.Info("membersWritten", "group", service, "members", len(c.Members), "of", c.Of)
 }
 
-func sorted(members []cwport.Listing) []cwport.Listing {
+func sortedByID(members []cwport.Listing) []cwport.Listing {
 	return slices.SortedFunc(slices.Values(members), func(a, b cwport.Listing) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// same reports whether a row need not be written for a member: what else its
-// entry tells is not remembered.
-func same(a, b cwport.Listing) bool { return a.ID == b.ID && a.Address == b.Address }
+// sameRecorded reports whether two entries agree in the properties whose change
+// requires a new row.
+func sameRecorded(a, b cwport.Listing) bool { return a.ID == b.ID && a.Address == b.Address }
 
-type memberBody struct {
+// memberJSON is one member in the value of a row, which is a JSON array.
+type memberJSON struct {
 	ID         string `json:"id"`
 	Address    string `json:"address"`
 	DataCentre string `json:"dataCentre"`
 	Slots      int    `json:"slots"`
-	// Of is the same for all members of a row; it is missing in rows of instances that
-	// did not write it.
-	Of int `json:"of"`
+	// SettledSize is the same for all members of a row. It is missing in rows written
+	// by instances that don't know the field.
+	SettledSize int `json:"of"`
 }
 
+// encode returns the value of a group's row, with the members in the order of their ids.
 func encode(c Count) ([]byte, error) {
-	var out []memberBody
-	for _, l := range sorted(c.Members) {
-		out = append(out, memberBody{ID: string(l.ID), Address: l.Address, DataCentre: l.DataCentre, Slots: l.Slots, Of: c.Of})
+	var out []memberJSON
+	for _, l := range sortedByID(c.Members) {
+		out = append(out, memberJSON{ID: string(l.ID), Address: l.Address, DataCentre: l.DataCentre, Slots: l.Slots, SettledSize: c.Of})
 	}
 	return json.Marshal(out)
 }
 
-// decode reads a group's row. A member counts as a replica that stays: whether it
-// leads or leaves is learnt from itself.
-func decode(service string, w cwport.Row) (members []cwport.Listing, of int, err error) {
+// decode reads a group's row. Each member is listed as a replica that stays; whether it
+// leads or leaves is learnt from the member itself.
+func decode(service string, w cwport.Row) (members []cwport.Listing, settledSize int, err error) {
 	if w.Removed {
 		return nil, 0, nil
 	}
-	var bodies []memberBody
+	var bodies []memberJSON
 	if err := json.Unmarshal(w.Value, &bodies); err != nil {
 		return nil, 0, err
 	}
 	for _, b := range bodies {
-		of = b.Of
+		settledSize = b.SettledSize
 		members = append(members, cwport.Listing{
 			ID: cwgroup.MemberID(b.ID), Service: service, Address: b.Address, DataCentre: b.DataCentre, Slots: b.Slots,
 			Role: cwport.LeadershipReplica,
 		})
 	}
-	if of == 0 {
-		of = len(members)
+	if settledSize == 0 {
+		settledSize = len(members)
 	}
-	return members, of, nil
+	return members, settledSize, nil
 }
--- a/internal/proxy/cwmembers/members_test.go
+++ b/internal/proxy/cwmembers/members_test.go
@@ -18,25 +18,26 @@
 	"cicadawalk.example/cicadawalk/internal/wire/cwplatform"
 )
 
-// table is the platform's table, whose rows come to every record.
-type table struct {
-	mu      sync.Mutex
-	row     cwport.Row
-	writes  int
-	away    bool
-	records []*Record
+// fakeTable is the platform's table with one row, which it passes to every record when
+// it changes.
+type fakeTable struct {
+	mu          sync.Mutex
+	row         cwport.Row
+	writes      int
+	unavailable bool
+	records     []*Record
 }
 
-func (s *table) Get(context.Context, string) (cwplatform.Row, error) {
+func (s *fakeTable) Get(context.Context, string) (cwplatform.Row, error) {
 	return cwplatform.Row{}, &cwplatform.NotFoundError{}
 }
-func (s *table) List(context.Context, string) ([]cwplatform.Row, error) { return nil, nil }
+func (s *fakeTable) List(context.Context, string) ([]cwplatform.Row, error) { return nil, nil }
 
-func (s *table) Commit(_ context.Context, c cwplatform.Change) error {
+func (s *fakeTable) Commit(_ context.Context, c cwplatform.Change) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case s.away:
+	case s.unavailable:
 		return &cwplatform.UnavailableError{Cause: io.EOF}
 	case c.Expect[0].ETag != "" && c.Expect[0].ETag != s.row.Tag(),
 		c.Expect[0].ETag == "" && s.row.Version > 0:
@@ -50,20 +51,21 @@
 	return nil
 }
 
-func (s *table) setAway(away bool) {
+func (s *fakeTable) setUnavailable(unavailable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.away = away
+	s.unavailable = unavailable
 }
 
-// counted is what an instance counts.
-type counted struct {
+// countedMembers is the members that an instance counts.
+type countedMembers struct {
 	mu      sync.Mutex
 	members []cwport.Listing
 }
 
-// set makes an instance count members; without any, the store tells it nothing.
-func (c *counted) set(ids ...string) {
+// set sets the members that the instance counts; none stands for a store that reports
+// no targets.
+func (c *countedMembers) set(ids ...string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.members = nil
@@ -72,7 +74,7 @@
 	}
 }
 
-func (c *counted) get() map[string]Count {
+func (c *countedMembers) get() map[string]Count {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.members == nil {
@@ -81,23 +83,23 @@
 	return map[string]Count{"s": {Members: c.members, Of: len(c.members)}}
 }
 
-// run starts the records of instances that hold the group in the places given,
-// and lets f play.
-func run(t *testing.T, f func(c *qt.C, s *table, all []*counted), places ...int) {
+// runRecords runs the records of instances that hold the group at the given ranks,
+// negative for none, while f runs.
+func runRecords(t *testing.T, f func(c *qt.C, s *fakeTable, all []*countedMembers), ranks ...int) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		s := &table{}
-		var all []*counted
+		s := &fakeTable{}
+		var all []*countedMembers
 		ctx, cancel := context.WithCancel(context.Background())
 		var wg sync.WaitGroup
 		defer wg.Wait()
 		defer cancel()
-		for _, place := range places {
-			n := &counted{}
+		for _, rank := range ranks {
+			n := &countedMembers{}
 			n.set("a", "b", "c")
 			r := &Record{
 				Table: s, Clock: clockwork.NewRealClock(), Log: log.New(io.Discard), Counted: n.get,
-				Place: func(string) (int, bool) { return place, place >= 0 }, Groups: func() int { return 1 },
+				Place: func(string) (int, bool) { return rank, rank >= 0 }, Groups: func() int { return 1 },
 			}
 			r.Rows(nil, true)
 			s.records, all = append(s.records, r), append(all, n)
@@ -107,96 +109,98 @@
 	})
 }
 
-func remembered(r *Record) (ids []string) {
-	for _, l := range sorted(r.Remembered()) {
+func rememberedIDs(r *Record) (ids []string) {
+	for _, l := range sortedByID(r.Remembered()) {
 		ids = append(ids, string(l.ID))
 	}
 	return ids
 }
 
 func TestRecord(t *testing.T) {
-	t.Run("what is counted is written once and read as it was", func(t *testing.T) {
-		run(t, func(c *qt.C, s *table, all []*counted) {
+	t.Run("counted members are written once and read back unchanged", func(t *testing.T) {
+		runRecords(t, func(c *qt.C, s *fakeTable, all []*countedMembers) {
 			time.Sleep(time.Minute)
 			c.Assert(s.writes, qt.Equals, 1)
-			c.Assert(sorted(s.records[2].Remembered()), qt.DeepEquals, all[0].get()["s"].Members)
+			c.Assert(sortedByID(s.records[2].Remembered()), qt.DeepEquals, all[0].get()["s"].Members)
 		}, 0, 1, -1)
 	})
-	t.Run("a member that comes or goes", func(t *testing.T) {
-		run(t, func(c *qt.C, s *table, all []*counted) {
+	t.Run("a member is added and another removed", func(t *testing.T) {
+		runRecords(t, func(c *qt.C, s *fakeTable, all []*countedMembers) {
 			time.Sleep(5 * time.Second)
 			for _, n := range all {
 				n.set("a", "c", "d")
 			}
 			time.Sleep(3 * time.Second)
-			c.Assert(remembered(s.records[1]), qt.DeepEquals, []string{"a", "c", "d"})
+			c.Assert(rememberedIDs(s.records[1]), qt.DeepEquals, []string{"a", "c", "d"})
 			c.Assert(s.writes, qt.Equals, 2)
 		}, 0, 1)
 	})
-	// The first holder is gone for good and its row of the list of instances is
-	// left, so that it keeps its place.
+	// The first holder is gone for good, but its row in the list of instances remains,
+	// so that it keeps its rank.
 	t.Run("the first holder is lost", func(t *testing.T) {
-		run(t, func(c *qt.C, s *table, _ []*counted) {
+		runRecords(t, func(c *qt.C, s *fakeTable, _ []*countedMembers) {
 			time.Sleep(8 * time.Second)
-			c.Assert(remembered(s.records[0]), qt.DeepEquals, []string{"a", "b", "c"})
+			c.Assert(rememberedIDs(s.records[0]), qt.DeepEquals, []string{"a", "b", "c"})
 		}, 1, 2)
 	})
-	t.Run("an instance that the store tells nothing writes nothing", func(t *testing.T) {
-		run(t, func(c *qt.C, s *table, all []*counted) {
+	t.Run("an instance without news from the store writes nothing", func(t *testing.T) {
+		runRecords(t, func(c *qt.C, s *fakeTable, all []*countedMembers) {
 			time.Sleep(5 * time.Second)
 			all[0].set()
 			time.Sleep(time.Minute)
-			c.Assert(remembered(s.records[0]), qt.DeepEquals, []string{"a", "b", "c"})
+			c.Assert(rememberedIDs(s.records[0]), qt.DeepEquals, []string{"a", "b", "c"})
 		}, 0)
 	})
-	t.Run("one that knows of more members does not wait for its turn", func(t *testing.T) {
-		run(t, func(c *qt.C, s *table, all []*counted) {
+	t.Run("a holder that knows more members does not wait for its rank", func(t *testing.T) {
+		runRecords(t, func(c *qt.C, s *fakeTable, all []*countedMembers) {
 			all[0].set("a")
 			time.Sleep(1500 * time.Millisecond)
 			all[0].set()
 			time.Sleep(time.Second)
-			c.Assert(remembered(s.records[2]), qt.DeepEquals, []string{"a", "b", "c"})
+			c.Assert(rememberedIDs(s.records[2]), qt.DeepEquals, []string{"a", "b", "c"})
 			c.Assert(s.records[2].Recorded("s"), qt.Equals, 3)
 		}, 0, 1, 2)
 	})
-	t.Run("a write that fails is made up for", func(t *testing.T) {
-		run(t, func(c *qt.C, s *table, _ []*counted) {
-			s.setAway(true)
+	t.Run("a failed write is repeated", func(t *testing.T) {
+		runRecords(t, func(c *qt.C, s *fakeTable, _ []*countedMembers) {
+			s.setUnavailable(true)
 			time.Sleep(5 * time.Second)
-			s.setAway(false)
+			s.setUnavailable(false)
 			time.Sleep(3 * time.Second)
 			c.Assert(s.writes, qt.Equals, 1)
 		}, 0)
 	})
-	t.Run("a row that cannot be read keeps what was known and is written anew", func(t *testing.T) {
-		run(t, func(c *qt.C, s *table, _ []*counted) {
+	t.Run("an unreadable row keeps the known members and is rewritten", func(t *testing.T) {
+		runRecords(t, func(c *qt.C, s *fakeTable, _ []*countedMembers) {
 			time.Sleep(5 * time.Second)
 			s.mu.Lock()
 			s.row = cwport.Row{Key: KeyPrefix + "s", Value: []byte("?"), Version: 9}
 			s.records[0].Rows([]cwport.Row{s.row}, false)
 			s.mu.Unlock()
-			c.Assert(remembered(s.records[0]), qt.DeepEquals, []string{"a", "b", "c"})
+			c.Assert(rememberedIDs(s.records[0]), qt.DeepEquals, []string{"a", "b", "c"})
 			time.Sleep(3 * time.Second)
 			c.Assert(s.writes, qt.Equals, 2)
-			c.Assert(remembered(s.records[0]), qt.DeepEquals, []string{"a", "b", "c"})
+			c.Assert(rememberedIDs(s.records[0]), qt.DeepEquals, []string{"a", "b", "c"})
 		}, 0)
 	})
 }
 
-// Guards against a start of all whose first rows come at once, are refused, and come again.
-func TestFirstRowsOfManyGroupsComeInTurn(t *testing.T) {
+// Guards against a simultaneous start of all instances whose first rows are written at
+// once, refused, and repeated at once.
+func TestFirstRowsOfManyGroupsAreSpreadOut(t *testing.T) {
 	const groups = 1000
 	seconds := make(map[time.Duration]int)
 	for g := range groups {
-		seconds[turn(fmt.Sprintf("ledger%04d", g), groups).Truncate(time.Second)]++
+		seconds[firstRowDelay(fmt.Sprintf("ledger%04d", g), groups).Truncate(time.Second)]++
 	}
 	for at, n := range seconds {
-		qt.Assert(t, n < 2*int(time.Second/spacing), qt.IsTrue, qt.Commentf("%d rows in the second after %v", n, at))
+		qt.Assert(t, n < 2*int(time.Second/firstRowSpacing), qt.IsTrue, qt.Commentf("%d rows in the second after %v", n, at))
 	}
-	qt.Assert(t, turn("ledger0000", 3) < 3*spacing, qt.IsTrue)
+	qt.Assert(t, firstRowDelay("ledger0000", 3) < 3*firstRowSpacing, qt.IsTrue)
 }
 
-// Guards against a record and an engine that wait for each other for good.
+// Guards against a deadlock between the record and an engine that calls it from a
+// callback.
 func TestNobodyIsAskedWithTheLockHeld(t *testing.T) {
 	r := &Record{Clock: clockwork.NewRealClock(), Log: log.New(io.Discard)}
 	ask := func() { r.Recorded("s") }
@@ -206,38 +210,38 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		r.due("s", Count{Members: []cwport.Listing{{ID: "a"}}, Of: 1})
+		r.writeDue("s", Count{Members: []cwport.Listing{{ID: "a"}}, Of: 1})
 	}()
 	select {
 	case <-done:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the record waits for itself")
+		t.Fatal("the record deadlocks with its callback")
 	}
 }
 
-// Guards against first rows that each holder of a group writes.
-func TestFirstRowOfManyGroupsIsWrittenByOne(t *testing.T) {
+// Guards against every holder of a group writing its first row.
+func TestFirstRowIsWrittenByOneHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		for place, wait := range []time.Duration{0, placeDelay, 2 * placeDelay} {
+		for rank, wait := range []time.Duration{0, rankDelay, 2 * rankDelay} {
 			r := &Record{
 				Clock: clockwork.NewRealClock(), Log: log.New(io.Discard), Groups: func() int { return 1000 },
-				Place: func(string) (int, bool) { return place, true },
+				Place: func(string) (int, bool) { return rank, true },
 			}
 			r.Rows(nil, true)
 			c := Count{Members: []cwport.Listing{{ID: "a"}}, Of: 1}
-			r.due("s", c)
-			time.Sleep(wait + turn("s", 1000) - time.Millisecond)
-			_, due := r.due("s", c)
+			r.writeDue("s", c)
+			time.Sleep(wait + firstRowDelay("s", 1000) - time.Millisecond)
+			_, due := r.writeDue("s", c)
 			qt.Assert(t, due, qt.IsFalse)
 			time.Sleep(time.Millisecond)
-			_, due = r.due("s", c)
+			_, due = r.writeDue("s", c)
 			qt.Assert(t, due, qt.IsTrue)
 		}
 	})
 }
 
-// Guards against a row that was lost and waits for its turn as if it were the first one.
-func TestRowThatWasLostIsWrittenAtOnce(t *testing.T) {
+// Guards against delaying a lost row as if it were the group's first one.
+func TestLostRowIsRewrittenAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := Count{Members: []cwport.Listing{{ID: "a"}}, Of: 1}
 		r := &Record{
@@ -245,13 +249,13 @@
 			Place: func(string) (int, bool) { return 0, true },
 		}
 		r.Rows(nil, true)
-		_, due := r.due("s", c)
-		qt.Assert(t, due, qt.IsFalse, qt.Commentf("the first row has its turn"))
+		_, due := r.writeDue("s", c)
+		qt.Assert(t, due, qt.IsFalse, qt.Commentf("the first row is delayed"))
 		r.Rows([]cwport.Row{{Key: KeyPrefix + "s", Value: []byte(`[{"id":"a","of":1}]`), Version: 3}}, false)
-		_, due = r.due("s", c)
-		qt.Assert(t, due, qt.IsFalse, qt.Commentf("the row is there"))
+		_, due = r.writeDue("s", c)
+		qt.Assert(t, due, qt.IsFalse, qt.Commentf("the row is present"))
 		r.Rows(nil, true)
-		_, due = r.due("s", c)
+		_, due = r.writeDue("s", c)
 		qt.Assert(t, due, qt.IsTrue)
 	})
 }
