--- a/internal/proxy/cwmembers/members.go
+++ b/internal/proxy/cwmembers/members.go
@@ -88,10 +88,10 @@
 // groupRow is a group's row as last read.
 type groupRow struct {
 	members []cwport.Listing
-	// settledSize is the number of members without those that are about to be
+	// stableSize is the number of members without those that are about to be
 	// exchanged.
-	settledSize int
-	etag        string
+	stableSize int
+	etag       string
 	// unreadable is true if the row's current value couldn't be decoded, so that
 	// members are from an earlier value.
 	unreadable bool
@@ -110,14 +110,14 @@
 		if !ok {
 			continue
 		}
-		members, settledSize, err := decode(service, w)
+		members, stableSize, err := decode(service, w)
 		if err != nil {
 			// Keep the known members; Run rewrites the row.
 			r.Log.Error("membersUnreadable", "key", w.Key, "cause", err)
-			r.rows[service] = groupRow{members: r.rows[service].members, settledSize: r.rows[service].settledSize, etag: w.Tag(), unreadable: true}
+			r.rows[service] = groupRow{members: r.rows[service].members, stableSize: r.rows[service].stableSize, etag: w.Tag(), unreadable: true}
 			continue
 		}
-		r.rows[service] = groupRow{members: members, settledSize: settledSize, etag: w.Tag()}
+		r.rows[service] = groupRow{members: members, stableSize: stableSize, etag: w.Tag()}
 		if r.hadRow == nil {
 			r.hadRow = make(map[string]bool)
 		}
@@ -141,7 +141,7 @@
 func (r *Record) Recorded(service string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.rows[service].settledSize
+	return r.rows[service].stableSize
 }
 
 // Run keeps the rows of the groups that this instance holds up to date until ctx ends.
@@ -189,7 +189,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now, w := r.Clock.Now(), r.rows[service]
-	equal := !w.unreadable && c.Of == w.settledSize && slices.EqualFunc(sortedByID(c.Members), sortedByID(w.members), sameRecorded)
+	equal := !w.unreadable && c.Of == w.stableSize && slices.EqualFunc(sortedByID(c.Members), sortedByID(w.members), sameRecorded)
 	if !held || r.rows == nil || equal {
 		delete(r.differsSince, service)
 		return "", false
@@ -235,7 +235,7 @@
 	switch {
 	case w.etag == "":
 		return missingRowDelay
-	case c.Of > w.settledSize:
+	case c.Of > w.stableSize:
 		return 0
 	}
 	return rankDelay
@@ -280,23 +280,23 @@
 	Address    string `json:"address"`
 	DataCentre string `json:"dataCentre"`
 	Slots      int    `json:"slots"`
-	// SettledSize is the same for all members of a row. It is missing in rows written
+	// StableSize is the same for all members of a row. It is missing in rows written
 	// by instances that don't know the field.
-	SettledSize int `json:"of"`
+	StableSize int `json:"of"`
 }
 
 // encode returns the value of a group's row, with the members in the order of their ids.
 func encode(c Count) ([]byte, error) {
 	var out []memberJSON
 	for _, l := range sortedByID(c.Members) {
-		out = append(out, memberJSON{ID: string(l.ID), Address: l.Address, DataCentre: l.DataCentre, Slots: l.Slots, SettledSize: c.Of})
+		out = append(out, memberJSON{ID: string(l.ID), Address: l.Address, DataCentre: l.DataCentre, Slots: l.Slots, StableSize: c.Of})
 	}
 	return json.Marshal(out)
 }
 
 // decode reads a group's row. Each member is listed as a replica that stays; whether it
 // leads or leaves is learnt from the member itself.
-func decode(service string, w cwport.Row) (members []cwport.Listing, settledSize int, err error) {
+func decode(service string, w cwport.Row) (members []cwport.Listing, stableSize int, err error) {
 	if w.Removed {
 		return nil, 0, nil
 	}
@@ -305,14 +305,14 @@
 		return nil, 0, err
 	}
 	for _, b := range bodies {
-		settledSize = b.SettledSize
+		stableSize = b.StableSize
 		members = append(members, cwport.Listing{
 			ID: cwgroup.MemberID(b.ID), Service: service, Address: b.Address, DataCentre: b.DataCentre, Slots: b.Slots,
 			Role: cwport.LeadershipReplica,
 		})
 	}
-	if settledSize == 0 {
-		settledSize = len(members)
+	if stableSize == 0 {
+		stableSize = len(members)
 	}
-	return members, settledSize, nil
+	return members, stableSize, nil
 }
