--- a/internal/proxy/cwlead/order.go
+++ b/internal/proxy/cwlead/order.go
@@ -82,9 +82,10 @@
 // A member promoted a moment ago doesn't report as primary yet. An instance that has
 // not heard of the change sees a group without a primary and promotes another member;
 // the first instance, which sees neither lead, then promotes once more, so that holders
-// keep replacing each other's primary. The row read for the claim therefore counts as
-// news: a change first seen in it is given promotionTimeout to show its primary, and
-// another holder's finished change is left alone for Config.Turn.
+// keep replacing each other's primary. The row read for the claim is therefore taken
+// into account like any other update of the row: a change first seen in it is given
+// promotionTimeout to show its primary, and another holder's finished change is left
+// alone for Config.Turn.
 func (g *Group) mayClaim(row cwfailover.Row, t cwgroup.Term) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/proxy/cwlead/place.go
+++ b/internal/proxy/cwlead/place.go
@@ -222,7 +222,8 @@
 }
 
 // readFloor returns the mark that a log must hold to serve the read. The last result is
-// false if the history of the primary doesn't tell. The caller holds mu.
+// false if no confirmed sample of the primary's log is recent enough. The caller holds
+// mu.
 //
 // A mark of an earlier term may lie on a branch that was rolled back, which no log will
 // hold again. Everything of that term that was kept lies below termStart, so such a
--- a/internal/proxy/cwlead/quorum.go
+++ b/internal/proxy/cwlead/quorum.go
@@ -9,8 +9,9 @@
 )
 
 // quorumFloor returns the mark that a log must hold to serve the read, from the
-// positions of the members other than the primary. The second result is false if they
-// don't tell. The caller holds mu.
+// positions of the members other than the primary. The second result is false if too
+// few of them have answered since the time that the read needs, or if one of them leads
+// or has restarted. The caller holds mu.
 //
 // Without it, reads that any member could serve are refused while the primary is lost,
 // because its log position is unknown; that lasts until the primary is replaced, or as
--- a/internal/proxy/cwlead/restart.go
+++ b/internal/proxy/cwlead/restart.go
@@ -89,8 +89,8 @@
 
 // logShrank reports whether a member's log is shorter than in an earlier report of the
 // same term, and records the new position. Only a restart shortens a log within a term.
-// An answer to a request that was sent before the last answer arrived tells nothing.
-// The caller holds mu.
+// The answer to a request that was sent before the last answer arrived is not compared,
+// since the two may have overtaken each other. The caller holds mu.
 func (g *Group) logShrank(id cwgroup.MemberID, term cwgroup.Term, received cwgroup.Mark, sentAt time.Time) bool {
 	s := g.logProgress[id]
 	if s == nil || sentAt.Before(s.reportedAt) {
--- a/internal/proxy/cwmembers/members.go
+++ b/internal/proxy/cwmembers/members.go
@@ -211,7 +211,8 @@
 
 // firstRowRankDelay returns how much longer each holder waits with the first row of a
 // group than the holder of the rank before it. With many groups the earlier holder's
-// row takes longer to arrive, and a holder that doesn't wait for it writes in vain.
+// row takes longer to arrive, and the write of a holder that doesn't wait for it is
+// refused as a conflict.
 func firstRowRankDelay(groups int) time.Duration {
 	return min(rankDelay, missingRowDelay+time.Duration(groups)*firstRowSpacing)
 }
--- a/internal/proxy/cwwatch/place.go
+++ b/internal/proxy/cwwatch/place.go
@@ -262,7 +262,8 @@
 }
 
 // observeCommit treats the mark that the primary returned with a commit as a report,
-// since it is the earliest news of the primary's position. The caller holds mu.
+// since it is the earliest information about the primary's position. The caller holds
+// mu.
 func (g *Group) observeCommit(m cwgroup.Mark, now time.Time) {
 	p, ok := g.sup.View().Primary()
 	if !ok || p.Adopted != m.Term || p.Last.AtLeast(m) {
