--- a/internal/proxy/cwpeers/choose.go
+++ b/internal/proxy/cwpeers/choose.go
@@ -8,36 +8,39 @@
 	"cicadawalk.example/cicadawalk/internal/proxy/cwport"
 )
 
-// connectWait is how long a statement of one of many groups waits at most for a
-// connection to a holder before it runs here: some round trips between data centres, and
-// a busy instance's queue.
-const connectWait = 200 * time.Millisecond
+// maxConnectWait is how long a statement of one of many groups waits at most for a
+// connection to a holder before it runs on this instance: some round trips between
+// data centres and the queue of a busy instance.
+const maxConnectWait = 200 * time.Millisecond
 
-// Holder implements cwport.Holders.
+// Holder implements cwport.Holders. With many groups it waits up to maxConnectWait for
+// a connection.
 func (p *Peers) Holder(group string, d cwholder.Demand, tried []string) (cwport.Holder, bool) {
-	end := p.Clock.Now().Add(connectWait)
+	end := p.Clock.Now().Add(maxConnectWait)
 	for {
 		c := p.choose(group, d, tried)
 		if c.link != nil {
 			return c.link, true
 		}
-		if c.pending == nil || !p.await(c, end) {
+		if c.dialEnded == nil || !p.awaitDial(c, end) {
 			return nil, false
 		}
 	}
 }
 
-// choice is who takes a statement.
+// choice is the result of choosing a holder for a statement.
 type choice struct {
-	// link is to the holder that does; nil if there is none now.
+	// link leads to the chosen holder; nil if none is available now.
 	link *link
-	// pending is closed when a connection to a holder may have come about that is worth
-	// waiting for; nil if there is none. After spare the next holder is connected, too.
-	pending <-chan struct{}
-	spare   time.Duration
+	// dialEnded is closed when a connection attempt has ended, after which to choose
+	// again; nil if no attempt is worth waiting for. If nextHolderAfter is positive, the
+	// next holder is connected as well when it has passed.
+	dialEnded       <-chan struct{}
+	nextHolderAfter time.Duration
 }
 
-// choose chooses the holder that takes a statement.
+// choose chooses the holder that runs a statement. A list of tried instances that
+// contains this one means that it cannot run the statement itself.
 func (p *Peers) choose(group string, d cwholder.Demand, tried []string) choice {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -53,95 +56,97 @@
 		return p.chooseOnDemand(route, tried, now)
 	}
 	for _, i := range route {
-		if l := p.link(i); !slices.Contains(tried, i.ID) && l.usable(now) {
+		if l := p.link(i); !slices.Contains(tried, i.ID) && l.ensureUsable(now) {
 			return choice{link: l}
 		}
 	}
 	return choice{}
 }
 
-// helper returns the link to an instance that takes a statement which this one cannot
-// run; nil if there is none now. The caller holds mu.
+// helper returns the link to an instance that can run a statement which this one
+// cannot; nil if none is available now. The caller holds mu.
 func (p *Peers) helper(group string, route []cwholder.Instance, tried []string, now time.Time) *link {
-	if l, ok := p.links[p.helpers[group]]; ok && !slices.Contains(tried, l.to.ID) && l.usable(now) && l.fresh(now) {
+	if l, ok := p.links[p.lastHelper[group]]; ok && !slices.Contains(tried, l.remote.ID) && l.ensureUsable(now) && l.answeredRecently(now) {
 		return l
 	}
 	for _, i := range route {
 		if slices.Contains(tried, i.ID) || i == p.Self {
 			continue
 		}
-		if l := p.link(i); l.usable(now) && l.fresh(now) {
-			p.noteHelper(group, i.ID)
+		if l := p.link(i); l.ensureUsable(now) && l.answeredRecently(now) {
+			p.setHelper(group, i.ID)
 			return l
 		}
 	}
 	return nil
 }
 
-// chooseOnDemand chooses among holders that are not connected before they are needed, and
-// connects one if the choice is so. The caller holds mu.
+// chooseOnDemand chooses among holders that are not connected in advance, and starts
+// to connect one if necessary. The caller holds mu.
 func (p *Peers) chooseOnDemand(route []cwholder.Instance, tried []string, now time.Time) choice {
-	var left []*link
+	var untried []*link
 	var states []cwholder.LinkState
 	for _, i := range route {
 		if !slices.Contains(tried, i.ID) {
 			l := p.link(i)
-			left, states = append(left, l), append(states, l.state(now))
+			untried, states = append(untried, l), append(states, l.state(now))
 		}
 	}
 	c := cwholder.Choose(states)
-	if c.Use != 0 && len(left) > 0 {
-		// The first choice is tried again while others take its statements.
-		left[0].connected(now)
+	if c.Use != 0 && len(untried) > 0 {
+		// Reconnect to the preferred holder while others run its statements.
+		untried[0].ensureConnected(now)
 	}
 	if c.Use >= 0 {
-		return choice{link: left[c.Use]}
+		return choice{link: untried[c.Use]}
 	}
 	if c.Connect >= 0 {
-		left[c.Connect].connected(now)
+		untried[c.Connect].ensureConnected(now)
 	}
 	if !c.Wait {
 		return choice{}
 	}
-	if p.dialled == nil {
-		p.dialled = make(chan struct{})
+	if p.anyDialEnded == nil {
+		p.anyDialEnded = make(chan struct{})
 	}
-	return choice{pending: p.dialled, spare: c.Spare}
+	return choice{dialEnded: p.anyDialEnded, nextHolderAfter: c.Spare}
 }
 
-// await waits until there may be another choice, and returns false at the end.
-func (p *Peers) await(c choice, end time.Time) bool {
-	left := end.Sub(p.Clock.Now())
-	if left <= 0 {
+// awaitDial waits until it is time to choose again, and returns false if end has
+// already passed.
+func (p *Peers) awaitDial(c choice, end time.Time) bool {
+	wait := end.Sub(p.Clock.Now())
+	if wait <= 0 {
 		return false
 	}
-	if c.spare > 0 {
-		left = min(left, c.spare)
+	if c.nextHolderAfter > 0 {
+		wait = min(wait, c.nextHolderAfter)
 	}
-	t := p.Clock.NewTimer(left)
+	t := p.Clock.NewTimer(wait)
 	defer t.Stop()
 	select {
-	case <-c.pending:
+	case <-c.dialEnded:
 	case <-t.Chan():
 	}
 	return true
 }
 
-// noteDialled wakes the statements that wait for a connection.
-func (p *Peers) noteDialled() {
+// wakeDialWaiters wakes the statements that wait for a connection.
+func (p *Peers) wakeDialWaiters() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.dialled != nil {
-		close(p.dialled)
-		p.dialled = nil
+	if p.anyDialEnded != nil {
+		close(p.anyDialEnded)
+		p.anyDialEnded = nil
 	}
 }
 
-// noteHelper notes who is asked for help. One that cannot help is avoided for a
-// while, and another one takes its place. The caller holds mu.
-func (p *Peers) noteHelper(group, name string) {
-	if p.helpers == nil {
-		p.helpers = make(map[string]string)
-	}
-	p.helpers[group] = name
+// setHelper records the instance that is asked for help with a group. One that cannot
+// help is avoided for a while (see avoidFor), and another one replaces it. The caller
+// holds mu.
+func (p *Peers) setHelper(group, name string) {
+	if p.lastHelper == nil {
+		p.lastHelper = make(map[string]string)
+	}
+	p.lastHelper[group] = name
 }
--- a/internal/proxy/cwpeers/feeder.go
+++ b/internal/proxy/cwpeers/feeder.go
@@ -9,21 +9,23 @@
 	"cicadawalk.example/cicadawalk/internal/proxy/cwport"
 )
 
-// newsSlack is how much longer than its wait a question for news may take: a
-// busy instance answers within some tens of milliseconds, one that runs four
+// newsAnswerMargin is how much longer than its requested wait a request for news may
+// take: a busy instance answers within some tens of milliseconds, one that runs four
 // times as slowly within a few hundred.
-const newsSlack = 500 * time.Millisecond
+const newsAnswerMargin = 500 * time.Millisecond
 
-// firstSlack is the same for a question of an instance that starts: sixteen of them ask
-// for all rows at once, which their feeder packs and sends over a narrow link.
-const firstSlack = 3 * time.Second
+// firstNewsAnswerMargin is the margin for the first request of a starting instance:
+// sixteen instances request all rows at once, which their feeder compresses and sends
+// over a link of low bandwidth.
+const firstNewsAnswerMargin = 3 * time.Second
 
-// Feeder implements cwport.Feeders. An instance that has no row yet has no place
-// in the tree.
+// Feeder implements cwport.Feeders. It returns neither a feeder nor root while this
+// instance has no row, and thus no place in the tree, and while its parent is not
+// connected.
 func (p *Peers) Feeder() (cwport.Feeder, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if own, _ := p.placement.Instance(p.Self.ID); !p.listed && !p.placed || own != p.Self {
+	if own, _ := p.placement.Instance(p.Self.ID); !p.allRowsRead && !p.centreRowsRead || own != p.Self {
 		return nil, false
 	}
 	now := p.Clock.Now()
@@ -31,22 +33,23 @@
 	if !ok {
 		return nil, true
 	}
-	if l := p.link(parent); l.usable(now) {
-		return feeder{l}, false
+	if l := p.link(parent); l.ensureUsable(now) {
+		return feederLink{l}, false
 	}
 	return nil, false
 }
 
-// parent returns the instance that this one asks for news. The caller holds mu.
+// parent returns the instance that this one asks for news; false if it is a root of
+// the tree and asks the store. The caller holds mu.
 //
-// The failure: a feeder is gone for good, and its row is still there; all below
-// it would ask the store. Those that cannot be connected are left out until they
-// can, so that the next in order takes the place.
+// The row of an instance stays when the instance is gone for good, and without a
+// replacement all instances below it would ask the store. So instances that cannot be
+// connected are left out until they can, and the next in order takes their place.
 func (p *Peers) parent(now time.Time) (cwholder.Instance, bool) {
 	var names []string
 	for _, name := range p.placement.Centre(p.Self.DataCentre) {
-		if l := p.links[name]; l != nil && l.failing() {
-			l.usable(now)
+		if l := p.links[name]; l != nil && l.unreachable() {
+			l.ensureUsable(now)
 			continue
 		}
 		names = append(names, name)
@@ -56,45 +59,45 @@
 	return parent, ok
 }
 
-// slackOf returns how much longer than its wait a question may take.
+// answerMargin returns how much longer than its requested wait a request may take.
 //
-// The failure: a data centre starts at once. Each instance gives its feeder up after half
-// a second, with the answer on its way, and closes the connection; the next one is asked
-// and given up as well, until all of them read the store.
-func slackOf(q cwport.NewsQuestion) time.Duration {
+// With the margin of half a second for first requests too, when a whole data centre
+// starts at once, each instance would time out with the answer on its way, close the
+// connection and do the same with the next feeder, until all of them read the store.
+func answerMargin(q cwport.NewsQuestion) time.Duration {
 	for _, after := range q.After {
 		if after == 0 {
-			return firstSlack
+			return firstNewsAnswerMargin
 		}
 	}
-	return newsSlack
+	return newsAnswerMargin
 }
 
-// feeder is the link to an instance that tells news.
-type feeder struct{ *link }
+// feederLink is the link to the instance that this one asks for news.
+type feederLink struct{ *link }
 
 // TellNews implements cwport.NewsTeller.
 //
-// The failure: the feeder freezes, or the path to it has lost track of the
-// connection. An answer that is due and does not come closes the connection, and
-// the feeder is left out until it can be connected again.
-func (f feeder) TellNews(ctx context.Context, q cwport.NewsQuestion) (cwport.News, error) {
+// A feeder may freeze, or the network may drop the connection without notice. If the
+// answer is overdue the connection is closed, and the feeder is left out until it can
+// be connected again.
+func (f feederLink) TellNews(ctx context.Context, q cwport.NewsQuestion) (cwport.News, error) {
 	l := f.link
-	conn := l.begin()
-	defer l.end()
+	conn := l.acquire()
+	defer l.release()
 	if conn == nil {
-		return cwport.News{}, &cwport.LostError{Holder: l.to.ID, NotSent: true, Cause: errSilent}
+		return cwport.News{}, &cwport.LostError{Holder: l.remote.ID, NotSent: true, Cause: errNoAnswer}
 	}
-	ctx, cancel := context.WithTimeout(ctx, q.Wait+slackOf(q))
+	ctx, cancel := context.WithTimeout(ctx, q.Wait+answerMargin(q))
 	defer cancel()
 	n, err := conn.TellNews(ctx, q)
 	if errors.As(err, new(*cwport.NoNewsError)) {
 		return n, err
 	}
 	if err != nil {
-		l.lost(conn, err)
-		return n, &cwport.LostError{Holder: l.to.ID, Cause: err}
+		l.dropConn(conn, err)
+		return n, &cwport.LostError{Holder: l.remote.ID, Cause: err}
 	}
-	l.hear()
+	l.recordAnswer()
 	return n, nil
 }
--- a/internal/proxy/cwpeers/feeder_test.go
+++ b/internal/proxy/cwpeers/feeder_test.go
@@ -16,8 +16,9 @@
 	"cicadawalk.example/cicadawalk/internal/proxy/cwport"
 )
 
-// startFollower runs the peers of an instance that asks another one for news.
-func startFollower(t *testing.T) (*qt.C, *Peers, *network, *clockwork.FakeClock) {
+// startFollower runs the Peers of an instance whose parent in the tree is another
+// instance.
+func startFollower(t *testing.T) (*qt.C, *Peers, *fakeNetwork, *clockwork.FakeClock) {
 	var names []string
 	var rows []cwport.Row
 	for i := range 20 {
@@ -30,7 +31,7 @@
 			self = instance(name, "z")
 		}
 	}
-	n := &network{silent: map[string]bool{}, rows: map[string][]byte{}, refused: map[string]bool{}}
+	n := &fakeNetwork{unresponsive: map[string]bool{}, rows: map[string][]byte{}, refused: map[string]bool{}}
 	clock := clockwork.NewFakeClockAt(time.Unix(1000, 0))
 	p := &Peers{Self: self, Table: n, Dial: n.dial, Clock: clock, Log: log.New(io.Discard)}
 	p.Rows(rows, true)
@@ -38,8 +39,8 @@
 	return c, p, n, clock
 }
 
-// feederOf waits until there is an instance to ask.
-func feederOf(c *qt.C, p *Peers, clock *clockwork.FakeClock) cwport.Feeder {
+// awaitFeeder waits until there is a connected feeder and returns it.
+func awaitFeeder(c *qt.C, p *Peers, clock *clockwork.FakeClock) cwport.Feeder {
 	c.Helper()
 	var f cwport.Feeder
 	eventually(c, clock, func() bool {
@@ -57,7 +58,7 @@
 		c.Assert(f, qt.IsNil)
 		c.Assert(root, qt.IsFalse)
 	})
-	t.Run("instances of other data centres are none", func(t *testing.T) {
+	t.Run("instances of other data centres are no feeders", func(t *testing.T) {
 		c, p, _, _ := startFollower(t)
 		rows := []cwport.Row{row(instance("far", "y"))}
 		p.mu.Lock()
@@ -71,10 +72,10 @@
 		_, root := p.Feeder()
 		c.Assert(root, qt.IsTrue)
 	})
-	t.Run("one that has nothing to tell keeps its connection", func(t *testing.T) {
+	t.Run("a feeder that has no news yet keeps its connection", func(t *testing.T) {
 		c, p, n, clock := startFollower(t)
-		first := feederOf(c, p, clock)
-		n.set(func() { n.newsErr = &cwport.NoNewsError{} })
+		first := awaitFeeder(c, p, clock)
+		n.withLock(func() { n.newsErr = &cwport.NoNewsError{} })
 		_, err := first.TellNews(context.Background(), cwport.NewsQuestion{})
 		c.Assert(err, qt.ErrorAs, new(*cwport.NoNewsError))
 		f, _ := p.Feeder()
@@ -82,38 +83,39 @@
 	})
 }
 
-// The instance that tells this one the news freezes, and its row stays. This one
-// must find another, and come back to the first when it lives again; all
-// instances below it would ask the store otherwise.
+// Guards against a feeder that freezes while its row stays: the instance must find
+// another feeder, and return to the first when it answers again. Otherwise all
+// instances below it would ask the store.
 func TestSilentFeederIsReplaced(t *testing.T) {
 	c, p, n, clock := startFollower(t)
-	first := feederOf(c, p, clock)
-	n.set(func() { n.silent[first.Name()], n.refused[first.Name()] = true, true })
+	first := awaitFeeder(c, p, clock)
+	n.withLock(func() { n.unresponsive[first.Name()], n.refused[first.Name()] = true, true })
 	ctx, cancel := context.WithCancel(context.Background())
-	// The wait for an answer runs on real time.
+	// The timeout of the request runs on real time.
 	time.AfterFunc(50*time.Millisecond, cancel)
 	_, err := first.TellNews(ctx, cwport.NewsQuestion{Wait: time.Hour})
 	c.Assert(err, qt.ErrorAs, new(*cwport.LostError))
-	again, _ := p.Feeder()
-	c.Assert(again == nil || again.Name() != first.Name(), qt.IsTrue, qt.Commentf("it is asked once more"))
+	next, _ := p.Feeder()
+	c.Assert(next == nil || next.Name() != first.Name(), qt.IsTrue, qt.Commentf("the frozen feeder is asked again"))
 	eventually(c, clock, func() bool {
 		f, root := p.Feeder()
 		return root || f != nil && f.Name() != first.Name()
 	})
-	n.set(func() { n.silent[first.Name()], n.refused[first.Name()] = false, false })
+	n.withLock(func() { n.unresponsive[first.Name()], n.refused[first.Name()] = false, false })
 	eventually(c, clock, func() bool {
 		f, _ := p.Feeder()
 		return f != nil && f.Name() == first.Name()
 	})
 }
 
-// Guards against starts at which each feeder is given up with its answer on the way.
-func TestFirstNewsMayTakeLonger(t *testing.T) {
+// Guards against a start at which each instance gives up its feeder while the answer is
+// on its way.
+func TestFirstNewsAnswerHasLongerMargin(t *testing.T) {
 	known := cwport.NewsQuestion{After: [cwport.TopicCount]cwfeed.Version{5, 5, 5}}
-	qt.Assert(t, slackOf(known), qt.Equals, newsSlack)
-	qt.Assert(t, slackOf(cwport.NewsQuestion{}), qt.Equals, firstSlack)
+	qt.Assert(t, answerMargin(known), qt.Equals, newsAnswerMargin)
+	qt.Assert(t, answerMargin(cwport.NewsQuestion{}), qt.Equals, firstNewsAnswerMargin)
 	known.After[cwport.Targets] = cwport.NotAsked
-	qt.Assert(t, slackOf(known), qt.Equals, newsSlack)
+	qt.Assert(t, answerMargin(known), qt.Equals, newsAnswerMargin)
 	known.After[cwport.Own] = 0
-	qt.Assert(t, slackOf(known), qt.Equals, firstSlack)
+	qt.Assert(t, answerMargin(known), qt.Equals, firstNewsAnswerMargin)
 }
--- a/internal/proxy/cwpeers/link.go
+++ b/internal/proxy/cwpeers/link.go
@@ -15,70 +15,74 @@
 
 // Times of a link.
 const (
-	// silentAfter is how long a statement may be under way before the holder is
-	// probed, and how long the probe may take. Most statements end sooner; a busy instance answers a ping within
-	// some tens of milliseconds.
-	silentAfter = 250 * time.Millisecond
-	// redialMin and redialMax bound the pause after a connection that failed or
-	// ended. The pause doubles with each failure.
-	redialMin = 100 * time.Millisecond
-	redialMax = 2 * time.Second
-	// avoidFor is how long a holder that sent a statement elsewhere is left
-	// alone: it ends, or it is cut off from the group's targets.
+	// answerTimeout is how long a statement may run before the holder is probed, and how
+	// long the probe may take. Most statements end sooner; a busy instance answers a ping
+	// within some tens of milliseconds.
+	answerTimeout = 250 * time.Millisecond
+	// minDialBackoff and maxDialBackoff bound the pause after a connection attempt
+	// failed or a connection was lost. The pause doubles with each failure.
+	minDialBackoff = 100 * time.Millisecond
+	maxDialBackoff = 2 * time.Second
+	// avoidFor is how long no statements are sent to a holder that returned one to be
+	// run elsewhere: it is shutting down or cut off from the group's targets.
 	avoidFor = time.Second
-	// pingEvery is how often a connection that rests is tried, so that one that
-	// went silent is found before a write is sent on it.
-	pingEvery = 2 * time.Second
-	// idleAfter is how long a connection that was opened on demand may serve nothing
-	// before it is closed. A transaction that rests at a holder is rolled back sooner.
-	idleAfter = 35 * time.Second
+	// pingInterval is the time without an answer after which a connection is probed, so
+	// that a dead one is found before a write is sent on it.
+	pingInterval = 2 * time.Second
+	// idleTimeout is how long a connection that was opened on demand may be unused
+	// before it is closed. An idle transaction at a holder is rolled back sooner.
+	idleTimeout = 35 * time.Second
 )
 
-// link is the connection to one holder, when there is one. It implements
-// cwport.Holder.
+// link manages the connection to another instance: it dials with backoff, probes and
+// closes the connection. It implements cwport.Holder.
 type link struct {
-	to    cwholder.Instance
-	dial  Dial
-	clock clockwork.Clock
-	log   *log.Logger
-	// dialled is called after each try to connect; it may be nil.
-	dialled func()
-	// path takes what the link tells of the way to other data centres; nil if the holder
-	// is in this one.
+	remote cwholder.Instance
+	dial   Dial
+	clock  clockwork.Clock
+	log    *log.Logger
+	// onDialEnded is called after each connection attempt; it may be nil.
+	onDialEnded func()
+	// path is told of answers and missing answers; nil if the remote instance is in this
+	// data centre.
 	path Path
 
-	mu   sync.Mutex
+	mu sync.Mutex
+	// conn is the open connection; nil if there is none.
 	conn Conn
-	// dialing is true while a connection is being opened, since dialSince.
+	// dialing is true while a connection is being opened; dialSince is when that began.
 	dialing   bool
 	dialSince time.Time
-	// dialEnded is closed when it has been, or could not be.
+	// dialEnded is closed when the latest connection attempt has ended, successfully or
+	// not.
 	dialEnded chan struct{}
-	// kept is true if the connection stays also while it serves nothing.
-	kept bool
-	// busy counts what is under way on the connection, usedAt is when something last was.
-	busy   int
-	usedAt time.Time
-	// trying is true while a probe out of turn is under way.
-	trying bool
-	closed bool
-	// redialAt is when a connection may be tried again, redial the next pause.
-	redialAt time.Time
-	redial   time.Duration
-	// avoidUntil is when the holder is used again after it sent statements
-	// elsewhere.
+	// keptOpen is true if the connection is not closed when idle.
+	keptOpen bool
+	// activeCalls counts the calls in progress on the connection; lastUsedAt is when the
+	// last one ended or the connection was opened.
+	activeCalls int
+	lastUsedAt  time.Time
+	// probing is true while a probe that answeredRecently started is in progress.
+	probing bool
+	closed  bool
+	// nextDialAt is the earliest time of the next connection attempt. dialBackoff is the
+	// last pause; zero after a successful attempt and before the first.
+	nextDialAt  time.Time
+	dialBackoff time.Duration
+	// avoidUntil is when statements are sent to the holder again after it returned one
+	// to be run elsewhere.
 	avoidUntil time.Time
-	// heard is when the holder last answered.
-	heard time.Time
+	// lastAnswerAt is when the remote instance last answered or was connected.
+	lastAnswerAt time.Time
 }
 
 // Name implements cwport.Holder.
-func (l *link) Name() string { return l.to.ID }
+func (l *link) Name() string { return l.remote.ID }
 
-// usable reports whether statements can be handed over now, and lets a
-// connection be opened if there is none.
-func (l *link) usable(now time.Time) bool {
-	if !l.connected(now) {
+// ensureUsable reports whether statements can be forwarded now. It starts to connect
+// if there is no connection.
+func (l *link) ensureUsable(now time.Time) bool {
+	if !l.ensureConnected(now) {
 		return false
 	}
 	l.mu.Lock()
@@ -86,9 +90,9 @@
 	return !now.Before(l.avoidUntil)
 }
 
-// connected reports whether there is a connection, and lets one be opened if
+// ensureConnected reports whether there is a connection, and starts to connect if
 // there is none.
-func (l *link) connected(now time.Time) bool {
+func (l *link) ensureConnected(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.conn != nil {
@@ -98,29 +102,29 @@
 	return false
 }
 
-// startDial opens a connection unless one is being opened, or one failed a moment ago.
-// The caller holds mu.
+// startDial starts a connection attempt unless one is in progress, the backoff has not
+// passed or the link is closed. The caller holds mu.
 func (l *link) startDial(now time.Time) {
-	if l.dialing || l.closed || now.Before(l.redialAt) {
+	if l.dialing || l.closed || now.Before(l.nextDialAt) {
 		return
 	}
 	l.dialing, l.dialSince, l.dialEnded = true, now, make(chan struct{})
 	go l.runDial()
 }
 
-// state returns where the connection stands. It opens none.
+// state returns the state of the connection, without opening one.
 func (l *link) state(now time.Time) cwholder.LinkState {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	avoided := now.Before(l.avoidUntil)
-	out := cwholder.LinkState{Ready: l.conn != nil && !avoided, Failed: avoided || l.conn == nil && l.redial > 0, Connecting: -1}
+	out := cwholder.LinkState{Ready: l.conn != nil && !avoided, Failed: avoided || l.conn == nil && l.dialBackoff > 0, Connecting: -1}
 	if l.dialing {
 		out.Connecting = now.Sub(l.dialSince)
 	}
 	return out
 }
 
-// awaitDial waits for the end of the try to connect that is under way, if one is.
+// awaitDial waits until the connection attempt in progress, if any, or ctx ends.
 func (l *link) awaitDial(ctx context.Context) {
 	l.mu.Lock()
 	dialing, ended := l.dialing, l.dialEnded
@@ -134,38 +138,37 @@
 	}
 }
 
-// keep lets the connection stay also while it serves nothing.
-func (l *link) keep() {
+// keepOpen exempts the connection from closing when idle.
+func (l *link) keepOpen() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.kept = true
+	l.keptOpen = true
 }
 
-// begin returns the connection for something that is to run on it, nil if there is
-// none. Call end afterwards.
-func (l *link) begin() Conn {
+// acquire counts a call and returns the connection for it, nil if there is none. Call
+// release afterwards in both cases.
+func (l *link) acquire() Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.busy++
+	l.activeCalls++
 	return l.conn
 }
 
-func (l *link) end() {
+func (l *link) release() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.busy--
-	l.usedAt = l.clock.Now()
+	l.activeCalls--
+	l.lastUsedAt = l.clock.Now()
 }
 
-// dropIdle closes a connection that has served nothing for long, and reports whether it
-// did.
+// closeIdle closes a connection that has been unused for idleTimeout, and reports
+// whether it did.
 //
-// The load it answers: hundreds of instances before a thousand groups. In time an
-// instance hands a statement of each group over, and would be connected to all others
-// for good.
-func (l *link) dropIdle(conn Conn) bool {
+// With hundreds of instances and a thousand groups, each instance eventually forwards
+// a statement of every group and would otherwise stay connected to all the others.
+func (l *link) closeIdle(conn Conn) bool {
 	l.mu.Lock()
-	idle := !l.kept && l.busy == 0 && l.conn == conn && l.clock.Since(l.usedAt) >= idleAfter
+	idle := !l.keptOpen && l.activeCalls == 0 && l.conn == conn && l.clock.Since(l.lastUsedAt) >= idleTimeout
 	if idle {
 		l.conn = nil
 	}
@@ -176,142 +179,145 @@
 	return idle
 }
 
-// failing reports whether the last try to connect failed, or the last connection
-// was lost, and none has come about since.
-func (l *link) failing() bool {
+// unreachable reports whether the last connection attempt failed or the last
+// connection was lost, with no successful attempt since.
+func (l *link) unreachable() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.conn == nil && l.redial > 0
+	return l.conn == nil && l.dialBackoff > 0
 }
 
-// fresh reports whether the holder has answered lately, and probes it
-// otherwise.
+// answeredRecently reports whether the holder answered within answerTimeout, and
+// starts a probe if it did not.
 //
-// The failure: an instance that is cut off from a group's targets asks others for
-// help on connections that were cut with them. A write that waits there is in
-// doubt, though the instance could have refused it as not run.
-func (l *link) fresh(now time.Time) bool {
+// An instance that is cut off from a group's targets may ask others for help on
+// connections that the same network failure has cut. The outcome of a write sent
+// there is unknown, though the instance could have refused it as not run.
+func (l *link) answeredRecently(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now.Sub(l.heard) < silentAfter {
+	if now.Sub(l.lastAnswerAt) < answerTimeout {
 		return true
 	}
-	if l.conn != nil && !l.trying {
-		l.trying = true
-		go l.runTry(l.conn)
+	if l.conn != nil && !l.probing {
+		l.probing = true
+		go l.runProbe(l.conn)
 	}
 	return false
 }
 
-func (l *link) runTry(conn Conn) {
-	l.try(conn)
+func (l *link) runProbe(conn Conn) {
+	l.probe(conn)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.trying = false
+	l.probing = false
 }
 
 func (l *link) runDial() {
-	conn, err := l.dial(context.Background(), l.to.ID, l.to.Address)
-	l.takeDialled(conn, err)
-	if l.dialled != nil {
-		l.dialled()
+	conn, err := l.dial(context.Background(), l.remote.ID, l.remote.Address)
+	l.finishDial(conn, err)
+	if l.onDialEnded != nil {
+		l.onDialEnded()
 	}
 }
 
-// takeDialled takes what became of a try to connect.
-func (l *link) takeDialled(conn Conn, err error) {
+// finishDial records the result of a connection attempt.
+func (l *link) finishDial(conn Conn, err error) {
 	now := l.clock.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.dialing = false
 	close(l.dialEnded)
 	if err != nil {
-		l.pause(now)
-		l.log.Debug("holderNotConnected", "holder", l.to.ID, "cause", err)
+		l.backOff(now)
+		l.log.Debug("holderNotConnected", "holder", l.remote.ID, "cause", err)
 		return
 	}
 	if l.closed {
 		_ = conn.Close()
 		return
 	}
-	l.log.Info("holderConnected", "holder", l.to.ID, "dataCentre", l.to.DataCentre)
-	l.conn, l.heard, l.usedAt, l.redial = conn, now, now, 0
+	l.log.Info("holderConnected", "holder", l.remote.ID, "dataCentre", l.remote.DataCentre)
+	l.conn, l.lastAnswerAt, l.lastUsedAt, l.dialBackoff = conn, now, now, 0
 	go l.runConn(conn)
 }
 
-// pause sets when the next connection may be tried. The caller holds mu.
-func (l *link) pause(now time.Time) {
-	l.redial = min(max(2*l.redial, redialMin), redialMax)
-	l.redialAt = now.Add(l.redial)
+// backOff doubles the pause and sets when the next connection attempt is allowed. The
+// caller holds mu.
+func (l *link) backOff(now time.Time) {
+	l.dialBackoff = min(max(2*l.dialBackoff, minDialBackoff), maxDialBackoff)
+	l.nextDialAt = now.Add(l.dialBackoff)
 }
 
-// runConn tries a connection from time to time until it has ended.
+// runConn watches a connection until it has ended. It closes it when idle and probes
+// it when nothing has arrived on it for pingInterval.
 //
-// The failure: the path has lost track of the connection; nothing is refused and
-// nothing answered, and the next write that is sent on it is in doubt. The guard:
-// a connection on which nothing was heard for a while is tried, and closed if it
-// is silent.
+// A network device on the path can drop the state of a connection, so that packets
+// are neither refused nor answered, and the outcome of the next write sent on it is
+// unknown. The probe finds and closes such a connection.
 func (l *link) runConn(conn Conn) {
 	for {
 		select {
 		case <-conn.Done():
-			l.lost(conn, nil)
+			l.dropConn(conn, nil)
 			return
-		case <-l.clock.After(pingEvery):
+		case <-l.clock.After(pingInterval):
 		}
-		if l.dropIdle(conn) {
+		if l.closeIdle(conn) {
 			return
 		}
-		if l.clock.Since(l.lastHeard()) >= pingEvery {
-			l.try(conn)
+		if l.clock.Since(l.lastAnswer()) >= pingInterval {
+			l.probe(conn)
 		}
 	}
 }
 
-func (l *link) lastHeard() time.Time {
+func (l *link) lastAnswer() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.heard
+	return l.lastAnswerAt
 }
 
-func (l *link) hear() {
+func (l *link) recordAnswer() {
 	now := l.clock.Now()
 	l.mu.Lock()
-	l.heard = now
+	l.lastAnswerAt = now
 	l.mu.Unlock()
 	if l.path != nil {
 		l.path.RecordAnswer(now)
 	}
 }
 
-// overdue records that something that was sent at a time has had no answer for long.
-func (l *link) overdue(sent time.Time) {
+// recordOverdue reports to the path that a message sent at the given time has no
+// answer.
+func (l *link) recordOverdue(sent time.Time) {
 	if l.path != nil {
 		l.path.RecordOverdue(sent)
 	}
 }
 
-// try probes the connection and closes it if there is no answer.
-func (l *link) try(conn Conn) {
+// probe pings the remote instance and closes the connection if no answer arrives
+// within answerTimeout.
+func (l *link) probe(conn Conn) {
 	sent := l.clock.Now()
-	ctx, cancel := context.WithTimeout(context.Background(), silentAfter)
+	ctx, cancel := context.WithTimeout(context.Background(), answerTimeout)
 	defer cancel()
 	if err := conn.Ping(ctx); err != nil {
-		l.overdue(sent)
-		l.lost(conn, errors.Join(errSilent, err))
+		l.recordOverdue(sent)
+		l.dropConn(conn, errors.Join(errNoAnswer, err))
 		return
 	}
-	l.hear()
+	l.recordAnswer()
 }
 
-// lost drops a connection. Statements that are under way on it end with an
-// error.
-func (l *link) lost(conn Conn, cause error) {
+// dropConn closes a connection that failed and backs off. Calls in progress on it
+// return an error.
+func (l *link) dropConn(conn Conn, cause error) {
 	l.mu.Lock()
 	if l.conn == conn {
-		l.log.Warn("holderLost", "holder", l.to.ID, "cause", cause)
+		l.log.Warn("holderLost", "holder", l.remote.ID, "cause", cause)
 		l.conn = nil
-		l.pause(l.clock.Now())
+		l.backOff(l.clock.Now())
 	}
 	l.mu.Unlock()
 	_ = conn.Close()
@@ -329,34 +335,34 @@
 
 // Hand implements cwport.Holder.
 //
-// The failure: the holder freezes, or loses power, with statements of other
-// instances' callers, who wait until their time is up. A holder that is silent
-// for silentAfter is probed; a statement that merely takes
-// long goes on.
+// If the holder freezes or loses power, callers of other instances would wait for
+// its answers until their statements time out. So the holder is probed when a
+// statement has had no answer for answerTimeout; a statement that is merely slow
+// goes on.
 func (l *link) Hand(ctx context.Context, h cwport.Handover) (cwport.Handed, error) {
-	conn := l.begin()
-	defer l.end()
+	conn := l.acquire()
+	defer l.release()
 	if conn == nil {
-		return cwport.Handed{}, &cwport.LostError{Holder: l.to.ID, NotSent: true, Cause: errSilent}
+		return cwport.Handed{}, &cwport.LostError{Holder: l.remote.ID, NotSent: true, Cause: errNoAnswer}
 	}
 	sent := l.clock.Now()
-	overdue := l.clock.AfterFunc(silentAfter, func() {
-		l.overdue(sent)
-		l.try(conn)
+	overdue := l.clock.AfterFunc(answerTimeout, func() {
+		l.recordOverdue(sent)
+		l.probe(conn)
 	})
 	defer overdue.Stop()
-	r, err := conn.Hand(ctx, h)
+	handed, err := conn.Hand(ctx, h)
 	if err != nil {
-		return r, err
+		return handed, err
 	}
-	l.hear()
-	if r.Elsewhere {
+	l.recordAnswer()
+	if handed.Elsewhere {
 		l.avoid()
 	}
-	return r, nil
+	return handed, nil
 }
 
-// avoid leaves the holder alone for a while.
+// avoid stops statements to the holder for avoidFor.
 func (l *link) avoid() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/proxy/cwpeers/peers.go
+++ b/internal/proxy/cwpeers/peers.go
@@ -1,13 +1,15 @@
-// Package cwpeers knows the other instances and hands statements to those that
-// hold a group.
+// Package cwpeers tracks the other instances and forwards statements to the
+// holders of a group, the instances that keep connections to its targets.
 //
-// Each instance has a row in the platform's table, with its data centre and the
-// address for the others. Peers follows these rows, writes its own, and keeps a
-// connection to each holder that it uses. Before few groups these are connected
-// before they are needed, and a statement never waits for one: a holder without
-// a connection is connected in the background, and meanwhile the next one takes
-// the statement, or the instance itself. Before many groups a holder is connected
-// when a statement comes for it, which waits for that a moment.
+// Each instance has a row in the platform's table with its data centre and the
+// address on which it serves other instances. Peers follows these rows, writes its
+// own, and keeps a connection to each holder that it uses.
+//
+// With few groups (see cwholder.ManyGroups) holders are connected in advance and a
+// statement never waits for a connection: while a holder is being connected in the
+// background, the next holder or this instance itself runs the statement. With many
+// groups a holder is connected when the first statement for it arrives, and that
+// statement waits up to maxConnectWait.
 package cwpeers
 
 import (
@@ -25,83 +27,99 @@
 	"cicadawalk.example/cicadawalk/internal/wire/cwplatform"
 )
 
-// connectAhead is the number of holders of a group that are connected before
-// they are needed: the first choice and the one that takes its place.
-const connectAhead = 2
+// preconnectedHolders is the number of holders of a group that Connect connects in
+// advance: the first choice and its fallback.
+const preconnectedHolders = 2
 
-// Dial connects to an instance.
+// Dial connects to the instance with the given name at address (IP:port).
 type Dial func(ctx context.Context, name, address string) (Conn, error)
 
-// Conn is a connection to another instance.
+// Conn is a connection to another instance, used by several goroutines at a time.
 type Conn interface {
+	// Hand runs a statement on the other instance. The error is a *cwport.LostError
+	// if no answer arrives.
 	Hand(ctx context.Context, h cwport.Handover) (cwport.Handed, error)
 	cwport.NewsTeller
+	// AskQuota asks the other instance to admit one operation of a workspace.
 	AskQuota(ctx context.Context, workspace string) (cwport.Verdict, error)
-	// Ping probes the other end.
+	// Ping returns an error if the other end does not answer before ctx ends.
 	Ping(ctx context.Context) error
-	// Done is closed once the connection has ended.
+	// Done returns a channel that is closed once the connection has ended.
 	Done() <-chan struct{}
+	// Close closes the connection. Calls in progress on it return an error.
 	Close() error
 }
 
-// Path is what an instance knows of its ways to other data centres.
+// Path records whether other data centres can be reached over the network.
 type Path interface {
-	// RecordAnswer records that something has come from another data centre.
+	// RecordAnswer records that an answer arrived from another data centre at now.
 	RecordAnswer(now time.Time)
-	// RecordOverdue records that what was sent there at a time has had no answer for
-	// long.
+	// RecordOverdue records that a message sent to another data centre at the given
+	// time is still unanswered after answerTimeout, or that a probe failed.
 	RecordOverdue(sent time.Time)
 }
 
-// Peers implements cwport.Holders. Set the fields before Run.
+// Peers tracks the instances and the connections to them. It implements
+// cwport.Holders, cwport.Feeders and cwport.QuotaIssuers. Set the exported fields
+// before Run.
 type Peers struct {
-	Self  cwholder.Instance
+	// Self is this instance.
+	Self cwholder.Instance
+	// Table is the platform's table, which holds the rows of the instances.
 	Table cwplatform.Table
 	Dial  Dial
 	Clock clockwork.Clock
 	Log   *log.Logger
-	// Tree places the instances that tell each other the news of the store.
+	// Tree decides from which instance each instance of a data centre receives the
+	// changes of the store.
 	Tree cwfeed.Tree
-	// Changed is called after the holders of groups may have changed.
+	// Changed is called after the holders of groups may have changed; it may be nil.
 	Changed func()
-	// FirstStart is true if no instance was there before.
+	// FirstStart is true if the deployment starts for the first time, so that no
+	// instance has a row yet.
 	FirstStart bool
-	// Path takes what connections to other data centres tell; it may be nil.
+	// Path is told of answers and missing answers on connections to other data
+	// centres; it may be nil.
 	Path Path
 
 	mu sync.Mutex
-	// dirty is true if rows have changed since Changed was called.
+	// dirty is true if the set of instances has changed since Changed was last called.
 	dirty bool
-	// listed is true once the rows were read, and placed once those of this data centre
-	// were, which tell whom this instance asks for the others.
-	listed, placed bool
-	// placement knows the instances, and who holds groups.
+	// allRowsRead is true once the rows of all instances were received. centreRowsRead
+	// is true once those of this data centre were; they suffice to find the feeder,
+	// which then supplies the others.
+	allRowsRead, centreRowsRead bool
+	// placement holds the known instances and computes the holders of groups.
 	placement cwholder.Placement
-	// lost is since when the rows of known instances have been missing.
-	lost map[string]time.Time
-	// version is that of the own row.
-	version string
-	// issuers are those of each workspace's quota, in the order in which this
-	// instance asks them, as long as the rows do not change.
+	// missingSince is the time since which the row of a known instance is missing, by
+	// instance name.
+	missingSince map[string]time.Time
+	// ownRowETag is the tag of this instance's row; empty if the table has no such row.
+	ownRowETag string
+	// issuers caches the issuers of each workspace's quota, in the order in which this
+	// instance asks them. It is cleared when an instance changes.
 	issuers map[string][]cwholder.Instance
-	links   map[string]*link
-	// helpers is who was last asked to run a group's statements that this
-	// instance could not; who did is asked again first.
-	helpers map[string]string
-	// dialled is closed when a try to connect has ended; nil if nobody waits for one.
-	dialled chan struct{}
-	closed  bool
+	// links are the connections to other instances, by instance name.
+	links map[string]*link
+	// lastHelper is the instance that was last chosen to run the statements of a group
+	// that this instance cannot run itself, by group. It is tried first the next time.
+	lastHelper map[string]string
+	// anyDialEnded is closed when a connection attempt to any instance has ended; nil
+	// if no statement waits for one.
+	anyDialEnded chan struct{}
+	closed       bool
 }
 
-// Run keeps the own row until ctx ends, and closes the connections then.
+// Run keeps this instance's row in the table until ctx ends, then closes all
+// connections. It always returns nil.
 func (p *Peers) Run(ctx context.Context) error {
 	defer p.close()
-	p.loopStart(ctx)
+	p.loopStartup(ctx)
 	for ctx.Err() == nil {
-		p.sleep(ctx, registerEvery)
-		p.dropLost()
-		p.tell()
-		if p.unregistered() {
+		p.sleep(ctx, registerInterval)
+		p.removeMissing()
+		p.notifyChanged()
+		if p.needsRegistration() {
 			p.register(ctx)
 		}
 	}
@@ -118,13 +136,13 @@
 	clear(p.links)
 }
 
-// Connect opens connections to the holders that this instance hands a group's
-// statements to.
+// Connect opens connections to the holders to which this instance forwards a
+// group's statements.
 //
-// The failure: all instances start at once, their callers come back, and each
-// runs the first statements itself for want of a connection to a holder: the
-// targets' few connections are used up by instances that need them no more a
-// moment later.
+// Without it, when all instances start at once and their callers reconnect, each
+// instance runs its first statements itself because no holder is connected yet.
+// The targets' few connections are then used up by instances that stop needing them
+// a moment later.
 func (p *Peers) Connect(group string, d cwholder.Demand) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -133,38 +151,40 @@
 	if len(route) == 0 || route[0] == p.Self {
 		return
 	}
-	for _, i := range route[:min(connectAhead, len(route))] {
+	for _, i := range route[:min(preconnectedHolders, len(route))] {
 		l := p.link(i)
-		l.keep()
-		l.usable(now)
+		l.keepOpen()
+		l.ensureUsable(now)
 	}
 }
 
-// Holds implements cwport.Holders. Before the rows were read an instance holds
-// everything, and nothing of many groups.
+// Holds implements cwport.Holders. Until all rows were read the instance counts as a
+// holder of each group if there are few groups, and of none if there are many; its
+// place is then -1.
 func (p *Peers) Holds(group string, d cwholder.Demand) (int, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.listed {
+	if !p.allRowsRead {
 		return -1, !d.Many
 	}
 	return p.placement.Place(group, d)
 }
 
-// route returns the holders of a group in the order in which statements are handed to
-// them; none before the rows were read. The caller holds mu.
+// route returns the holders of a group in the order in which statements are offered
+// to them; nil until all rows were read. The caller holds mu.
 func (p *Peers) route(group string, d cwholder.Demand) []cwholder.Instance {
-	if !p.listed {
+	if !p.allRowsRead {
 		return nil
 	}
 	return p.placement.Route(group, d)
 }
 
-// link returns the link to an instance. The caller holds mu.
+// link returns the link to an instance and creates it if necessary. The caller holds
+// mu.
 func (p *Peers) link(to cwholder.Instance) *link {
 	l := p.links[to.ID]
 	if l == nil {
-		l = &link{to: to, dial: p.Dial, clock: p.Clock, log: p.Log, dialled: p.noteDialled}
+		l = &link{remote: to, dial: p.Dial, clock: p.Clock, log: p.Log, onDialEnded: p.wakeDialWaiters}
 		if to.DataCentre != p.Self.DataCentre {
 			l.path = p.Path
 		}
@@ -182,5 +202,6 @@
 	_ cwport.QuotaIssuers = (*Peers)(nil)
 )
 
-// errSilent is why a connection on which nothing comes is closed.
-var errSilent = errors.New("no answer to a probe")
+// errNoAnswer is the cause of closing a connection whose probe was not answered, and
+// of failing a call for which no connection is open.
+var errNoAnswer = errors.New("no answer to a probe")
--- a/internal/proxy/cwpeers/peers_test.go
+++ b/internal/proxy/cwpeers/peers_test.go
@@ -18,24 +18,27 @@
 	"cicadawalk.example/cicadawalk/internal/wire/cwplatform"
 )
 
-// network is other instances, and a table, in memory.
-type network struct {
-	mu     sync.Mutex
-	silent map[string]bool
+// fakeNetwork simulates the other instances, and the table, in memory.
+type fakeNetwork struct {
+	mu sync.Mutex
+	// unresponsive are the instances that accept connections and do not answer.
+	unresponsive map[string]bool
+	// rows is the table; writes counts the calls of Commit.
 	rows   map[string][]byte
 	writes int
-	lost   bool
-	// refused are the instances that take no connection, newsErr is how all
-	// answer questions for news.
+	// commitFails is true while Commit returns an error.
+	commitFails bool
+	// refused are the instances that refuse connections.
 	refused map[string]bool
+	// newsErr is the result of all requests for news.
 	newsErr error
-	// dials are the connections that were tried, in order; those to hanging instances
-	// come about when the test ends.
+	// dials are the attempted connections, in order. An attempt to a hanging instance
+	// lasts until its channel is closed.
 	dials   []string
 	hanging map[string]chan struct{}
 }
 
-func (n *network) dial(_ context.Context, name, _ string) (Conn, error) {
+func (n *fakeNetwork) dial(_ context.Context, name, _ string) (Conn, error) {
 	n.mu.Lock()
 	n.dials = append(n.dials, name)
 	hang := n.hanging[name]
@@ -46,65 +49,68 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.refused[name] {
-		return nil, errSilent
+		return nil, errNoAnswer
 	}
-	return &conn{net: n, name: name, done: make(chan struct{})}, nil
+	return &fakeConn{net: n, name: name, done: make(chan struct{})}, nil
 }
 
-func (n *network) set(f func()) {
+// withLock calls f with mu held.
+func (n *fakeNetwork) withLock(f func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	f()
 }
 
-func (n *network) Get(context.Context, string) (cwplatform.Row, error) {
+func (n *fakeNetwork) Get(context.Context, string) (cwplatform.Row, error) {
 	return cwplatform.Row{}, &cwplatform.NotFoundError{}
 }
-func (n *network) List(context.Context, string) ([]cwplatform.Row, error) { return nil, nil }
+func (n *fakeNetwork) List(context.Context, string) ([]cwplatform.Row, error) { return nil, nil }
 
-func (n *network) Commit(_ context.Context, c cwplatform.Change) error {
+func (n *fakeNetwork) Commit(_ context.Context, c cwplatform.Change) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.writes++
-	if n.lost {
-		return &cwplatform.UnavailableError{Cause: errSilent}
+	if n.commitFails {
+		return &cwplatform.UnavailableError{Cause: errNoAnswer}
 	}
 	n.rows[c.Put[0].Key] = c.Put[0].Value
 	return nil
 }
 
-// conn is a connection to an instance that answers, or is silent.
-type conn struct {
-	net  *network
+// fakeConn is a connection to an instance that answers, or is unresponsive.
+type fakeConn struct {
+	net  *fakeNetwork
 	name string
 	done chan struct{}
 	once sync.Once
 }
 
-func (c *conn) wait(ctx context.Context) error {
+// awaitAnswer returns nil at once if the instance answers, and otherwise an error when
+// ctx or the connection has ended.
+func (c *fakeConn) awaitAnswer(ctx context.Context) error {
 	c.net.mu.Lock()
-	silent := c.net.silent[c.name]
+	unresponsive := c.net.unresponsive[c.name]
 	c.net.mu.Unlock()
-	if !silent {
+	if !unresponsive {
 		return nil
 	}
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-c.done:
-		return errSilent
+		return errNoAnswer
 	}
 }
 
-func (c *conn) Hand(ctx context.Context, h cwport.Handover) (cwport.Handed, error) {
-	if err := c.wait(ctx); err != nil {
+func (c *fakeConn) Hand(ctx context.Context, h cwport.Handover) (cwport.Handed, error) {
+	if err := c.awaitAnswer(ctx); err != nil {
 		return cwport.Handed{}, &cwport.LostError{Holder: c.name, Cause: err}
 	}
 	return cwport.Handed{Elsewhere: h.Statement.ID == "elsewhere"}, nil
 }
 
-func (c *conn) TellNews(ctx context.Context, _ cwport.NewsQuestion) (cwport.News, error) {
-	if err := c.wait(ctx); err != nil {
+func (c *fakeConn) TellNews(ctx context.Context, _ cwport.NewsQuestion) (cwport.News, error) {
+	if err := c.awaitAnswer(ctx); err != nil {
 		return cwport.News{}, err
 	}
 	c.net.mu.Lock()
@@ -112,19 +118,20 @@
 	return cwport.News{}, c.net.newsErr
 }
 
-func (c *conn) AskQuota(ctx context.Context, _ string) (cwport.Verdict, error) {
-	return cwport.Verdict{Allowed: true}, c.wait(ctx)
+func (c *fakeConn) AskQuota(ctx context.Context, _ string) (cwport.Verdict, error) {
+	return cwport.Verdict{Allowed: true}, c.awaitAnswer(ctx)
 }
 
-func (c *conn) Ping(ctx context.Context) error { return c.wait(ctx) }
-func (c *conn) Done() <-chan struct{}          { return c.done }
+func (c *fakeConn) Ping(ctx context.Context) error { return c.awaitAnswer(ctx) }
+func (c *fakeConn) Done() <-chan struct{}          { return c.done }
 
-func (c *conn) Close() error {
+func (c *fakeConn) Close() error {
 	c.once.Do(func() { close(c.done) })
 	return nil
 }
 
-var scarce = cwholder.Demand{Connections: 4, Slots: 2}
+// scarceDemand is that of a group with connections for few holders.
+var scarceDemand = cwholder.Demand{Connections: 4, Slots: 2}
 
 func instance(name, centre string) cwholder.Instance {
 	return cwholder.Instance{ID: name, DataCentre: centre, Address: "10.0.0.1:1"}
@@ -134,11 +141,11 @@
 	return cwport.Row{Key: KeyOf(i), Value: []byte(`{"address":"` + i.Address + `","dataCentre":"` + i.DataCentre + `"}`), Version: 5}
 }
 
-// start runs the peers of an instance that holds nothing of group "g", which
+// startNonHolder runs the Peers of an instance that does not hold group "g", which two
 // others of its data centre hold.
-func start(t *testing.T) (*qt.C, *Peers, *network, *clockwork.FakeClock) {
+func startNonHolder(t *testing.T) (*qt.C, *Peers, *fakeNetwork, *clockwork.FakeClock) {
 	c := qt.New(t)
-	n := &network{silent: map[string]bool{}, rows: map[string][]byte{}, refused: map[string]bool{}}
+	n := &fakeNetwork{unresponsive: map[string]bool{}, rows: map[string][]byte{}, refused: map[string]bool{}}
 	clock := clockwork.NewFakeClockAt(time.Unix(1000, 0))
 	var rows []cwport.Row
 	var all []cwholder.Instance
@@ -148,7 +155,7 @@
 	}
 	var self cwholder.Instance
 	for _, i := range all {
-		if holders := cwholder.Holders("g", all, scarce); holders[0] != i && holders[1] != i {
+		if holders := cwholder.Holders("g", all, scarceDemand); holders[0] != i && holders[1] != i {
 			self = i
 		}
 	}
@@ -158,13 +165,13 @@
 	return c, p, n, clock
 }
 
-// runPeers lets the peers and their clock run until the test ends.
+// runPeers runs p and advances its clock until the test ends.
 func runPeers(t *testing.T, p *Peers, clock *clockwork.FakeClock) *qt.C {
 	c := qt.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	eg, ctx := errgroup.WithContext(ctx)
 	eg.Go(func() error { return p.Run(ctx) })
-	eg.Go(func() error { return loopTime(ctx, clock) })
+	eg.Go(func() error { return loopClock(ctx, clock) })
 	c.Cleanup(func() {
 		cancel()
 		c.Check(eg.Wait(), qt.IsNil)
@@ -172,7 +179,7 @@
 	return c
 }
 
-func loopTime(ctx context.Context, clock *clockwork.FakeClock) error {
+func loopClock(ctx context.Context, clock *clockwork.FakeClock) error {
 	for ctx.Err() == nil {
 		clock.Advance(5 * time.Millisecond)
 		time.Sleep(200 * time.Microsecond)
@@ -189,96 +196,95 @@
 	}
 }
 
-// holder waits until statements are handed to somebody, and returns who.
-func holder(c *qt.C, p *Peers, clock *clockwork.FakeClock, tried ...string) cwport.Holder {
+// awaitHolder waits until a holder is chosen for a statement and returns it.
+func awaitHolder(c *qt.C, p *Peers, clock *clockwork.FakeClock, tried ...string) cwport.Holder {
 	c.Helper()
 	var h cwport.Holder
 	eventually(c, clock, func() bool {
 		var ok bool
-		h, ok = p.Holder("g", scarce, tried)
+		h, ok = p.Holder("g", scarceDemand, tried)
 		return ok
 	})
 	return h
 }
 
-func hand(h cwport.Holder, id string) (cwport.Handed, error) {
+func handOver(h cwport.Holder, id string) (cwport.Handed, error) {
 	return h.Hand(context.Background(), cwport.Handover{Statement: cwstatement.Statement{ID: id}})
 }
 
 func TestHolder(t *testing.T) {
 	t.Run("statements do not wait for a connection", func(t *testing.T) {
-		c, p, _, clock := start(t)
-		_, ok := p.Holder("g", scarce, nil)
+		c, p, _, clock := startNonHolder(t)
+		_, ok := p.Holder("g", scarceDemand, nil)
 		c.Assert(ok, qt.IsFalse)
-		first := holder(c, p, clock)
-		_, err := hand(first, "s")
+		first := awaitHolder(c, p, clock)
+		_, err := handOver(first, "s")
 		c.Assert(err, qt.IsNil)
-		second := holder(c, p, clock, first.Name())
+		second := awaitHolder(c, p, clock, first.Name())
 		c.Assert(second.Name(), qt.Not(qt.Equals), first.Name())
 	})
-	t.Run("one that sent a statement elsewhere is left alone", func(t *testing.T) {
-		c, p, _, clock := start(t)
-		first := holder(c, p, clock)
-		r, err := hand(first, "elsewhere")
+	t.Run("one that returned a statement is avoided for a while", func(t *testing.T) {
+		c, p, _, clock := startNonHolder(t)
+		first := awaitHolder(c, p, clock)
+		r, err := handOver(first, "elsewhere")
 		c.Assert(err, qt.IsNil)
 		c.Assert(r.Elsewhere, qt.IsTrue)
 		eventually(c, clock, func() bool {
-			h, ok := p.Holder("g", scarce, nil)
+			h, ok := p.Holder("g", scarceDemand, nil)
 			return ok && h.Name() != first.Name()
 		})
 		eventually(c, clock, func() bool {
-			h, ok := p.Holder("g", scarce, nil)
+			h, ok := p.Holder("g", scarceDemand, nil)
 			return ok && h.Name() == first.Name()
 		})
 	})
-	t.Run("one that is no longer listed", func(t *testing.T) {
-		c, p, _, clock := start(t)
-		first := holder(c, p, clock)
+	t.Run("one whose row was removed is not used", func(t *testing.T) {
+		c, p, _, clock := startNonHolder(t)
+		first := awaitHolder(c, p, clock)
 		p.Rows([]cwport.Row{{Key: KeyOf(instance(first.Name(), "z")), Removed: true}}, false)
-		// This instance may hold the group itself by now.
-		h, ok := p.Holder("g", scarce, nil)
+		// Without the removed instance, this one may hold the group itself.
+		h, ok := p.Holder("g", scarceDemand, nil)
 		c.Assert(!ok || h.Name() != first.Name(), qt.IsTrue)
 	})
 }
 
-// A holder freezes with a statement of another instance's caller. The caller
-// waited until its time was up, half a minute here, though others could serve
-// it.
-func TestSilentHolderIsGivenUpSoon(t *testing.T) {
-	c, p, n, clock := start(t)
-	first := holder(c, p, clock)
-	n.set(func() { n.silent[first.Name()] = true })
+// Guards against a caller that waits until its statement times out, after half a minute,
+// because a holder froze, though other holders could serve it.
+func TestUnresponsiveHolderIsDroppedQuickly(t *testing.T) {
+	c, p, n, clock := startNonHolder(t)
+	first := awaitHolder(c, p, clock)
+	n.withLock(func() { n.unresponsive[first.Name()] = true })
 	began := clock.Now()
-	_, err := hand(first, "s")
+	_, err := handOver(first, "s")
 	c.Assert(err, qt.ErrorAs, new(*cwport.LostError))
 	c.Assert(clock.Since(began) < 10*time.Second, qt.IsTrue, qt.Commentf("%v", clock.Since(began)))
-	c.Assert(holder(c, p, clock).Name(), qt.Not(qt.Equals), first.Name())
+	c.Assert(awaitHolder(c, p, clock).Name(), qt.Not(qt.Equals), first.Name())
 }
 
-// The path has lost track of a connection that rests. The next write that was
-// sent on it was in doubt, though nothing had run.
-func TestSilentConnectionIsFoundBeforeItIsUsed(t *testing.T) {
-	c, p, n, clock := start(t)
-	first := holder(c, p, clock)
-	n.set(func() { n.silent[first.Name()] = true })
+// Guards against a write with an unknown outcome on an idle connection whose state the
+// network has dropped: the write did not run, yet could not be refused as not run.
+func TestDeadIdleConnectionIsDetected(t *testing.T) {
+	c, p, n, clock := startNonHolder(t)
+	first := awaitHolder(c, p, clock)
+	n.withLock(func() { n.unresponsive[first.Name()] = true })
 	eventually(c, clock, func() bool {
-		h, ok := p.Holder("g", scarce, nil)
+		h, ok := p.Holder("g", scarceDemand, nil)
 		return !ok || h.Name() != first.Name()
 	})
 }
 
 func TestOwnRow(t *testing.T) {
-	t.Run("one that is there stays", func(t *testing.T) {
-		c, _, n, clock := start(t)
-		clock.Sleep(5 * registerEvery)
-		n.set(func() { c.Check(n.writes, qt.Equals, 0) })
+	t.Run("an existing row is not written again", func(t *testing.T) {
+		c, _, n, clock := startNonHolder(t)
+		clock.Sleep(5 * registerInterval)
+		n.withLock(func() { c.Check(n.writes, qt.Equals, 0) })
 	})
-	t.Run("one that is missing is written, however often that fails", func(t *testing.T) {
-		c, p, n, clock := start(t)
-		n.set(func() { n.lost = true })
+	t.Run("a removed row is written, however often that fails", func(t *testing.T) {
+		c, p, n, clock := startNonHolder(t)
+		n.withLock(func() { n.commitFails = true })
 		p.Rows([]cwport.Row{{Key: KeyOf(p.Self), Removed: true}}, false)
-		clock.Sleep(3 * registerEvery)
-		n.set(func() { n.lost = false })
+		clock.Sleep(3 * registerInterval)
+		n.withLock(func() { n.commitFails = false })
 		eventually(c, clock, func() bool {
 			n.mu.Lock()
 			defer n.mu.Unlock()
@@ -287,8 +293,10 @@
 	})
 }
 
-// Guards against living instances that count as gone since a restore has lost their rows.
+// Guards against instances that are alive but count as gone because a restore of the
+// store has lost their rows.
 func TestRowsThatARestoreLostAreKeptForAWhile(t *testing.T) {
+	// without returns the rows of all instances but one.
 	without := func(name string) (rest []cwport.Row) {
 		for _, other := range []string{"a", "b", "c", "d", "e"} {
 			if other != name {
@@ -297,35 +305,35 @@
 		}
 		return rest
 	}
-	t.Run("its instance writes it again", func(t *testing.T) {
-		c, p, _, clock := start(t)
-		first := holder(c, p, clock)
+	t.Run("the instance writes its row again", func(t *testing.T) {
+		c, p, _, clock := startNonHolder(t)
+		first := awaitHolder(c, p, clock)
 		p.Rows(without(first.Name()), true)
-		clock.Sleep(2 * registerEvery)
+		clock.Sleep(2 * registerInterval)
 		p.Rows([]cwport.Row{row(instance(first.Name(), "z"))}, false)
 		for range 10 {
-			h, ok := p.Holder("g", scarce, nil)
+			h, ok := p.Holder("g", scarceDemand, nil)
 			c.Assert(ok, qt.IsTrue)
 			c.Assert(h.Name(), qt.Equals, first.Name())
-			_, err := hand(h, "s")
+			_, err := handOver(h, "s")
 			c.Assert(err, qt.IsNil)
-			clock.Sleep(registerEvery)
+			clock.Sleep(registerInterval)
 		}
 	})
-	t.Run("its instance is gone", func(t *testing.T) {
-		c, p, _, clock := start(t)
-		first := holder(c, p, clock)
+	t.Run("the instance is gone", func(t *testing.T) {
+		c, p, _, clock := startNonHolder(t)
+		first := awaitHolder(c, p, clock)
 		p.Rows(without(first.Name()), true)
-		h, ok := p.Holder("g", scarce, nil)
+		h, ok := p.Holder("g", scarceDemand, nil)
 		c.Assert(ok, qt.IsTrue)
 		c.Assert(h.Name(), qt.Equals, first.Name())
 		eventually(c, clock, func() bool {
-			h, ok := p.Holder("g", scarce, nil)
+			h, ok := p.Holder("g", scarceDemand, nil)
 			return !ok || h.Name() != first.Name()
 		})
 	})
-	t.Run("the own row is written again", func(t *testing.T) {
-		c, p, n, clock := start(t)
+	t.Run("this instance writes its own row again", func(t *testing.T) {
+		c, p, n, clock := startNonHolder(t)
 		p.Rows(without(p.Self.ID), true)
 		eventually(c, clock, func() bool {
 			n.mu.Lock()
@@ -335,29 +343,30 @@
 	})
 }
 
-// Hundreds of instances start together, and the row of each reaches the others
-// by itself. Each of them worked out all holders for every single one.
-func TestRowsAreToldTogether(t *testing.T) {
+// Guards against recomputing all holders for every single row when hundreds of
+// instances start together and the row of each reaches the others separately.
+func TestRowChangesAreBatched(t *testing.T) {
 	c := qt.New(t)
-	told := 0
-	p := &Peers{Self: instance("a", "z"), Clock: clockwork.NewFakeClock(), Log: log.New(io.Discard), Changed: func() { told++ }}
+	notified := 0
+	p := &Peers{Self: instance("a", "z"), Clock: clockwork.NewFakeClock(), Log: log.New(io.Discard), Changed: func() { notified++ }}
 	p.Rows(nil, true)
-	c.Assert(told, qt.Equals, 1, qt.Commentf("the first rows are told at once"))
+	c.Assert(notified, qt.Equals, 1, qt.Commentf("the first rows are reported at once"))
 	for _, name := range []string{"b", "c", "d", "e", "f"} {
 		p.Rows([]cwport.Row{row(instance(name, "z"))}, false)
 	}
-	c.Assert(told, qt.Equals, 1)
-	p.tell()
-	p.tell()
-	c.Assert(told, qt.Equals, 2)
+	c.Assert(notified, qt.Equals, 1)
+	p.notifyChanged()
+	p.notifyChanged()
+	c.Assert(notified, qt.Equals, 2)
 }
 
-// An instance that holds a group and is cut off from its targets is refused help
-// for as long as it is the first in its own order; and a write that goes to
-// another instance on a connection that was cut with the targets is in doubt,
-// though it could have been refused as not run.
+// Guards against two failures of an instance that holds a group and is cut off from its
+// targets. It gets no help as long as it is the first in its own order of holders. And a
+// write that it sends to another instance, on a connection that was cut together with
+// those to the targets, has an unknown outcome though it could have been refused as not
+// run.
 func TestHelpFromOthers(t *testing.T) {
-	c, p, n, clock := start(t)
+	c, p, n, clock := startNonHolder(t)
 	plenty := cwholder.Demand{Connections: 100, Slots: 2}
 	_, ok := p.Holder("g", plenty, nil)
 	c.Assert(ok, qt.IsFalse)
@@ -371,10 +380,10 @@
 
 	n.mu.Lock()
 	for _, name := range []string{"a", "b", "c", "d", "e"} {
-		n.silent[name] = true
+		n.unresponsive[name] = true
 	}
 	n.mu.Unlock()
-	clock.Sleep(silentAfter)
+	clock.Sleep(answerTimeout)
 	_, ok = help()
 	c.Assert(ok, qt.IsFalse)
 }
--- a/internal/proxy/cwpeers/quota.go
+++ b/internal/proxy/cwpeers/quota.go
@@ -7,23 +7,23 @@
 	"cicadawalk.example/cicadawalk/internal/proxy/cwport"
 )
 
-// quotaKey is what the issuers of a workspace's quota are hashed with, so that
+// quotaHashPrefix precedes the workspace in the hash key of its quota issuers, so that
 // they differ from the holders of a group of the same name.
-const quotaKey = "quota of "
+const quotaHashPrefix = "quota of "
 
-// QuotaIssuers implements cwport.QuotaIssuers. Those that are connected come first; one
-// that is being connected is asked as soon as it is, and one that could not be is left
-// out. Those of other data centres are hardly ever asked, so they are connected only when
-// they are.
+// QuotaIssuers implements cwport.QuotaIssuers. Connected issuers come first. A request
+// to one that is being connected waits for the connection; one that could not be
+// connected is left out. Issuers of other data centres are rarely needed, so they are
+// connected only when this method is called for them.
 //
-// The failure: a workspace has used up what its own data centre's issuers give, and the
-// others have most of its quota. Without a connection to them yet they were left out,
-// and each instance refused its first operations as over the quota.
+// When a workspace has used up the share of the issuers in its own data centre, most of
+// its quota is with the others. If those without a connection were left out, each
+// instance would refuse its first operations as over the quota.
 func (p *Peers) QuotaIssuers(workspace string, far bool) []cwport.QuotaIssuer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.Clock.Now()
-	var out, later []cwport.QuotaIssuer
+	var out, connecting []cwport.QuotaIssuer
 	for _, i := range p.quotaIssuers(workspace) {
 		if far != (i.DataCentre != p.Self.DataCentre) {
 			continue
@@ -33,24 +33,25 @@
 			continue
 		}
 		l := p.link(i)
-		l.keep()
+		l.keepOpen()
 		issuer := cwport.QuotaIssuer{Name: i.ID, Ask: l.askQuota}
 		switch {
-		case l.connected(now):
+		case l.ensureConnected(now):
 			out = append(out, issuer)
-		case !l.failing():
-			later = append(later, issuer)
+		case !l.unreachable():
+			connecting = append(connecting, issuer)
 		}
 	}
-	return append(out, later...)
+	return append(out, connecting...)
 }
 
-// quotaIssuers returns the issuers of a workspace's quota. The caller holds mu.
+// quotaIssuers returns the issuers of a workspace's quota in the order in which this
+// instance asks them. The caller holds mu.
 func (p *Peers) quotaIssuers(workspace string) []cwholder.Instance {
 	if list, ok := p.issuers[workspace]; ok {
 		return list
 	}
-	key := quotaKey + workspace
+	key := quotaHashPrefix + workspace
 	list := cwholder.Order(p.Self, key, p.placement.Holders(key, cwholder.Demand{}))
 	if p.issuers == nil {
 		p.issuers = make(map[string][]cwholder.Instance)
@@ -59,17 +60,18 @@
 	return list
 }
 
-// askQuota asks the instance for one operation of a workspace, once it is connected.
+// askQuota asks the remote instance to admit one operation of a workspace, after a
+// connection attempt in progress has ended.
 func (l *link) askQuota(ctx context.Context, workspace string) (cwport.Verdict, error) {
 	l.awaitDial(ctx)
-	conn := l.begin()
-	defer l.end()
+	conn := l.acquire()
+	defer l.release()
 	if conn == nil {
-		return cwport.Verdict{}, &cwport.LostError{Holder: l.to.ID, NotSent: true, Cause: errSilent}
+		return cwport.Verdict{}, &cwport.LostError{Holder: l.remote.ID, NotSent: true, Cause: errNoAnswer}
 	}
 	v, err := conn.AskQuota(ctx, workspace)
 	if err == nil {
-		l.hear()
+		l.recordAnswer()
 	}
 	return v, err
 }
--- a/internal/proxy/cwpeers/quota_test.go
+++ b/internal/proxy/cwpeers/quota_test.go
@@ -10,9 +10,10 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwholder"
 )
 
-// Guards against refusals because no far issuer was connected yet.
-func TestIssuersOfOtherDataCentresAreAskedAtOnce(t *testing.T) {
-	runWide(t, func(w wide) {
+// Guards against refused operations because no quota issuer of another data centre is
+// connected yet.
+func TestRemoteQuotaIssuersWaitForConnection(t *testing.T) {
+	runManyGroups(t, func(w manyGroupsTest) {
 		issuers := w.QuotaIssuers("north", true)
 		w.Assert(issuers, qt.HasLen, 3*cwholder.MinPerDataCentre)
 		for _, i := range issuers {
@@ -24,8 +25,8 @@
 		}
 	})
 	t.Run("those that cannot be connected are left out", func(t *testing.T) {
-		runWide(t, func(w wide) {
-			w.net.set(func() {
+		runManyGroups(t, func(w manyGroupsTest) {
+			w.net.withLock(func() {
 				for name := range w.placement.Instances() {
 					w.net.refused[name] = true
 				}
--- a/internal/proxy/cwpeers/rows.go
+++ b/internal/proxy/cwpeers/rows.go
@@ -11,17 +11,18 @@
 	"cicadawalk.example/cicadawalk/internal/wire/cwplatform"
 )
 
-// KeyPrefix is where the rows of the instances are in the table; the data centre and the
-// instance's name follow.
+// KeyPrefix is the prefix of the keys of instance rows in the table. The data centre, a
+// slash and the instance's name follow.
 const KeyPrefix = "instance/"
 
-// KeyOf returns the key of an instance's row.
-func KeyOf(i cwholder.Instance) string { return keyOf(i.DataCentre, i.ID) }
+// KeyOf returns the key of an instance's row in the table.
+func KeyOf(i cwholder.Instance) string { return rowKey(i.DataCentre, i.ID) }
 
-func keyOf(dataCentre, name string) string { return KeyPrefix + dataCentre + "/" + name }
+func rowKey(dataCentre, name string) string { return KeyPrefix + dataCentre + "/" + name }
 
-// nameOf returns whose row a key is of; false if it is no instance's.
-func nameOf(key string) (string, bool) {
+// instanceOfKey returns the name of the instance whose row has the key; false if the
+// key is not that of an instance row.
+func instanceOfKey(key string) (string, bool) {
 	rest, ok := strings.CutPrefix(key, KeyPrefix)
 	if !ok {
 		return "", false
@@ -32,40 +33,42 @@
 
 // Times of the rows.
 const (
-	// registerEvery is how often the own row is looked at, and the pause after
-	// it could not be written.
-	registerEvery = time.Second
-	// registerTimeout bounds one write of it.
+	// registerInterval is how often Run checks that this instance's row exists, and the
+	// pause after it could not be written.
+	registerInterval = time.Second
+	// registerTimeout bounds one write of the row.
 	registerTimeout = 2 * time.Second
-	// lostGrace is how long the own row may be missing before it is written again: a
-	// feeder may not have heard yet of one that was written a moment ago.
-	lostGrace = 2 * registerEvery
-	// lostFor is how long an instance counts without a row: it hears of the loss
-	// within about a second, writes the row with the first look after lostGrace, and a
-	// write can take its whole time.
-	lostFor = lostGrace + registerEvery + registerTimeout + time.Second
+	// ownRowGrace is how long this instance's row may be missing before it is written
+	// again: a feeder may not have received yet a row that was written a moment ago.
+	ownRowGrace = 2 * registerInterval
+	// missingRowTimeout is how long an instance whose row is missing is kept. It learns of
+	// the loss within about a second, writes the row at the first check after
+	// ownRowGrace, and the write may take up to registerTimeout.
+	missingRowTimeout = ownRowGrace + registerInterval + registerTimeout + time.Second
 )
 
-type instanceBody struct {
+// instanceRow is the JSON value of an instance's row.
+type instanceRow struct {
 	Address    string `json:"address"`
 	DataCentre string `json:"dataCentre"`
 }
 
-// Rows takes rows of the table; whole is true if these are all.
+// Rows applies rows of the table; whole is true if these are all rows, otherwise they
+// are changes. Rows of other kinds are ignored.
 func (p *Peers) Rows(rows []cwport.Row, whole bool) {
-	p.takeRows(rows, whole)
+	p.applyRows(rows, whole)
 	if whole {
-		p.tell()
+		p.notifyChanged()
 	}
 }
 
-// tell says that the holders of groups may have changed.
+// notifyChanged calls Changed if the set of instances has changed since the last call.
 //
-// The failure: hundreds of instances start together, each one's row reaches all
-// others by itself, and each works out the holders of every group for each of
-// them: work that grows with the square of the instances, before the first caller
-// has come. The first rows are told at once, changes once a second.
-func (p *Peers) tell() {
+// When hundreds of instances start together, each row reaches all instances separately.
+// If each of them recomputed the holders of every group for each row, the work would
+// grow with the square of the number of instances, before the first caller connects. So
+// a complete list is reported at once and single changes once a second.
+func (p *Peers) notifyChanged() {
 	p.mu.Lock()
 	dirty := p.dirty
 	p.dirty = false
@@ -75,128 +78,133 @@
 	}
 }
 
-func (p *Peers) takeRows(rows []cwport.Row, whole bool) {
+func (p *Peers) applyRows(rows []cwport.Row, whole bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.placement.Self = p.Self
-	p.dirty = p.dirty || whole && !p.listed
-	p.listed = p.listed || whole
-	told := make(map[string]bool)
-	var listed []cwholder.Instance
+	p.dirty = p.dirty || whole && !p.allRowsRead
+	p.allRowsRead = p.allRowsRead || whole
+	present := make(map[string]bool)
+	var changedInstances []cwholder.Instance
 	for _, r := range rows {
-		name, ok := nameOf(r.Key)
+		name, ok := instanceOfKey(r.Key)
 		if !ok {
 			continue
 		}
-		told[name] = true
-		if i, news := p.row(name, r); news {
-			listed = append(listed, i)
+		present[name] = true
+		if i, changed := p.applyRow(name, r); changed {
+			changedInstances = append(changedInstances, i)
 		}
 	}
 	if whole {
-		p.keepLost(told)
+		p.recordMissing(present)
 	}
-	p.logListed(listed)
+	p.logInstances(changedInstances)
 }
 
-// logEach is up to how many instances that are told together are logged one by one.
-const logEach = 8
+// maxSingleLogLines is the largest number of instances listed at the same time that are
+// logged one per line; more are logged as a count.
+const maxSingleLogLines = 8
 
-func (p *Peers) logListed(listed []cwholder.Instance) {
-	if len(listed) > logEach {
-		p.Log.Info("instancesListed", "count", len(listed), "known", len(p.placement.Instances()))
+func (p *Peers) logInstances(changed []cwholder.Instance) {
+	if len(changed) > maxSingleLogLines {
+		p.Log.Info("instancesListed", "count", len(changed), "known", len(p.placement.Instances()))
 		return
 	}
-	for _, i := range listed {
+	for _, i := range changed {
 		p.Log.Info("instanceListed", "instance", i.ID, "dataCentre", i.DataCentre, "address", i.Address)
 	}
 }
 
-// keepLost keeps the instances that all rows lack; told has the names of those that they
-// have. The caller holds mu.
+// recordMissing records the known instances that a complete list of rows lacks. They
+// are kept until missingRowTimeout has passed. The caller holds mu.
 //
-// The failure: the store comes back from an older copy and lacks the rows of
-// instances that registered a moment ago. Taken for gone, the statements that were
-// handed to them are cut off with an unknown outcome, and their groups and quotas move
-// to others and back. Nobody removes the row of an instance from the store, so one that
-// is missing was lost, and the instance, if it lives, writes it again.
-func (p *Peers) keepLost(told map[string]bool) {
+// A store that is restored from an older copy lacks the rows of instances that
+// registered a moment before. If they counted as gone, statements forwarded to them
+// would be cut off with an unknown outcome, and their groups and quotas would move to
+// other instances and back. Instance rows are never deleted from the store, so a missing
+// row was lost, and the instance writes it again if it is alive.
+func (p *Peers) recordMissing(present map[string]bool) {
 	now := p.Clock.Now()
-	if p.lost == nil {
-		p.lost = make(map[string]time.Time)
+	if p.missingSince == nil {
+		p.missingSince = make(map[string]time.Time)
 	}
-	if !told[p.Self.ID] {
-		p.version = ""
+	if !present[p.Self.ID] {
+		p.ownRowETag = ""
 	}
 	for name := range p.placement.Instances() {
-		if _, known := p.lost[name]; told[name] || known {
+		if _, known := p.missingSince[name]; present[name] || known {
 			continue
 		}
-		p.lost[name] = now
+		p.missingSince[name] = now
 		p.Log.Warn("instanceRowLost", "instance", name)
 	}
 }
 
-// dropLost drops the instances that have not written their rows again.
-func (p *Peers) dropLost() {
+// removeMissing removes the instances that have not written their rows again within
+// missingRowTimeout.
+func (p *Peers) removeMissing() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for name, since := range p.lost {
-		if name == p.Self.ID || p.Clock.Since(since) < lostFor {
+	for name, since := range p.missingSince {
+		if name == p.Self.ID || p.Clock.Since(since) < missingRowTimeout {
 			continue
 		}
 		p.Log.Info("instanceGone", "instance", name)
-		delete(p.lost, name)
-		p.remove(name)
+		delete(p.missingSince, name)
+		p.removeInstance(name)
 	}
 }
 
-// set takes an instance, and reports whether it is new or has moved. The caller holds mu.
-func (p *Peers) set(i cwholder.Instance) bool {
-	news := p.placement.Set(i)
-	if news {
-		p.noteChange(i.ID)
+// setInstance adds or updates an instance, and reports whether it is new or has another
+// address or data centre. The caller holds mu.
+func (p *Peers) setInstance(i cwholder.Instance) bool {
+	changed := p.placement.Set(i)
+	if changed {
+		p.instanceChanged(i.ID)
 	}
-	return news
+	return changed
 }
 
-// remove takes an instance out. The caller holds mu.
-func (p *Peers) remove(name string) {
+// removeInstance removes an instance. The caller holds mu.
+func (p *Peers) removeInstance(name string) {
 	if p.placement.Remove(name) {
-		p.noteChange(name)
+		p.instanceChanged(name)
 	}
 }
 
-// noteChange takes what follows from a change of an instance: the connection to where it
-// was is closed. The caller holds mu.
-func (p *Peers) noteChange(name string) {
+// instanceChanged invalidates what depends on an instance that was added, changed or
+// removed: cached quota issuers, and the connection to its previous address, which is
+// closed. The caller holds mu.
+func (p *Peers) instanceChanged(name string) {
 	p.dirty = true
 	clear(p.issuers)
 	l, linked := p.links[name]
-	if i, ok := p.placement.Instance(name); linked && (!ok || i != l.to) {
+	if i, ok := p.placement.Instance(name); linked && (!ok || i != l.remote) {
 		l.close()
 		delete(p.links, name)
 	}
 }
 
-// row takes one instance's row, and returns the instance if it is new or has moved. The
-// caller holds mu.
-func (p *Peers) row(name string, r cwport.Row) (i cwholder.Instance, news bool) {
+// applyRow applies the row of one instance, and returns the instance and true if it is
+// new or has another address or data centre. The caller holds mu.
+func (p *Peers) applyRow(name string, r cwport.Row) (i cwholder.Instance, changed bool) {
 	if name == p.Self.ID {
-		p.version = r.Tag()
+		p.ownRowETag = r.Tag()
 	}
-	delete(p.lost, name)
+	delete(p.missingSince, name)
 	if r.Removed {
-		p.remove(name)
+		p.removeInstance(name)
 		return i, false
 	}
-	i, ok := p.decode(name, r)
-	return i, ok && p.set(i)
+	i, ok := p.decodeRow(name, r)
+	return i, ok && p.setInstance(i)
 }
 
-// decode reads an instance's row; false if it makes no sense.
-func (p *Peers) decode(name string, r cwport.Row) (cwholder.Instance, bool) {
-	var b instanceBody
+// decodeRow decodes the row of an instance; it logs the error and returns false if the
+// value is malformed.
+func (p *Peers) decodeRow(name string, r cwport.Row) (cwholder.Instance, bool) {
+	var b instanceRow
 	if err := json.Unmarshal(r.Value, &b); err != nil {
 		p.Log.Error("instanceUnreadable", "key", r.Key, "cause", err)
 		return cwholder.Instance{}, false
@@ -204,32 +212,34 @@
 	return cwholder.Instance{ID: name, DataCentre: b.DataCentre, Address: b.Address}, true
 }
 
-// unregistered reports whether the table is known to lack the own row.
-func (p *Peers) unregistered() bool {
+// needsRegistration reports whether this instance's row must be written: it differs from
+// Self, is absent, or has been missing from the complete list for ownRowGrace.
+func (p *Peers) needsRegistration() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	since, lost := p.lost[p.Self.ID]
-	lost = lost && p.Clock.Since(since) >= lostGrace
+	since, missing := p.missingSince[p.Self.ID]
+	missing = missing && p.Clock.Since(since) >= ownRowGrace
 	own, _ := p.placement.Instance(p.Self.ID)
-	return p.listed && (lost || own != p.Self)
+	return p.allRowsRead && (missing || own != p.Self)
 }
 
-// register writes the own row, and reports whether that is certain. An answer that was
-// lost is made up for by the next look, since the row comes back with the others.
+// register writes this instance's row, and reports whether the write is certain to have
+// succeeded. If only the answer was lost, the row arrives with those of the others and
+// the next check finds it.
 func (p *Peers) register(ctx context.Context) bool {
-	value, err := json.Marshal(instanceBody{Address: p.Self.Address, DataCentre: p.Self.DataCentre})
+	value, err := json.Marshal(instanceRow{Address: p.Self.Address, DataCentre: p.Self.DataCentre})
 	if err != nil {
 		p.Log.Error("notRegistered", "cause", err)
 		return false
 	}
 	p.mu.Lock()
-	version := p.version
+	etag := p.ownRowETag
 	p.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, registerTimeout)
 	defer cancel()
 	key := KeyOf(p.Self)
 	err = p.Table.Commit(ctx, cwplatform.Change{
-		Expect: []cwplatform.Expect{{Key: key, ETag: version}},
+		Expect: []cwplatform.Expect{{Key: key, ETag: etag}},
 		Put:    []cwplatform.Put{{Key: key, Value: value}},
 	})
 	if err != nil {
--- a/internal/proxy/cwpeers/start.go
+++ b/internal/proxy/cwpeers/start.go
@@ -11,101 +11,105 @@
 
 // Times of a start.
 const (
-	// lookTimeout bounds one reading of the rows of a data centre, which the store answers
-	// in some milliseconds, or some hundreds when it is slow.
-	lookTimeout = 700 * time.Millisecond
-	// lookRetry is the pause after one without an answer.
-	lookRetry = 200 * time.Millisecond
-	// firstLook is how long instances that start for the first time give each other to
-	// write their rows.
-	firstLook = 1500 * time.Millisecond
+	// centreReadTimeout bounds one read of the rows of a data centre, which the store
+	// answers in some milliseconds, or some hundreds of them when it is slow.
+	centreReadTimeout = 700 * time.Millisecond
+	// centreReadRetry is the pause after a failed read.
+	centreReadRetry = 200 * time.Millisecond
+	// firstStartWait is how long an instance of a deployment that starts for the first time
+	// waits for the others to write their rows.
+	firstStartWait = 1500 * time.Millisecond
 )
 
-// loopStart reads the rows of this instance's data centre, and writes its own if it is
-// missing, until this instance has a place among them.
+// loopStartup reads the rows of this instance's data centre, and writes its own if it
+// is missing, until it is among them.
 //
-// The load it answers: hundreds of instances start at once. With the few rows of its data
-// centre an instance finds the one that tells it all the others, and reads no more than
-// these from the store.
-func (p *Peers) loopStart(ctx context.Context) {
-	if p.FirstStart && !p.isPlaced() && p.register(ctx) {
-		p.sleep(ctx, firstLook)
+// This bounds the load on the store when hundreds of instances start at once: the few
+// rows of its data centre are all that an instance reads from the store to find its
+// feeder, which supplies all the other rows.
+func (p *Peers) loopStartup(ctx context.Context) {
+	if p.FirstStart && !p.hasPlacement() && p.register(ctx) {
+		p.sleep(ctx, firstStartWait)
 	}
-	for ctx.Err() == nil && !p.isPlaced() {
-		rows, err := p.look(ctx)
+	for ctx.Err() == nil && !p.hasPlacement() {
+		instances, err := p.readDataCentre(ctx)
 		switch {
 		case err != nil:
 			p.Log.Warn("instancesNotRead", "cause", err)
-			p.sleep(ctx, lookRetry)
-		case p.placeAmong(rows):
+			p.sleep(ctx, centreReadRetry)
+		case p.placeIfRegistered(instances):
 		case !p.register(ctx):
-			// All that start together were refused together.
-			p.sleep(ctx, registerEvery+rand.N(2*registerEvery))
+			// The random pause spreads the retries of instances that start, and are refused,
+			// together.
+			p.sleep(ctx, registerInterval+rand.N(2*registerInterval))
 		case p.FirstStart:
-			p.sleep(ctx, firstLook)
+			p.sleep(ctx, firstStartWait)
 		default:
-			p.place(append(rows, p.Self))
+			p.setDataCentreInstances(append(instances, p.Self))
 		}
 	}
 }
 
-// look returns the instances of the data centre, and notes the version of the own row.
-func (p *Peers) look(ctx context.Context) ([]cwholder.Instance, error) {
-	ctx, cancel := context.WithTimeout(ctx, lookTimeout)
+// readDataCentre returns the instances of this data centre from the table, and records
+// the tag of this instance's row.
+func (p *Peers) readDataCentre(ctx context.Context) ([]cwholder.Instance, error) {
+	ctx, cancel := context.WithTimeout(ctx, centreReadTimeout)
 	defer cancel()
-	rows, err := p.Table.List(ctx, keyOf(p.Self.DataCentre, ""))
+	rows, err := p.Table.List(ctx, rowKey(p.Self.DataCentre, ""))
 	if err != nil {
 		return nil, err
 	}
 	var out []cwholder.Instance
 	for _, r := range rows {
-		name, ok := nameOf(r.Key)
+		name, ok := instanceOfKey(r.Key)
 		if !ok {
 			continue
 		}
 		if name == p.Self.ID {
-			p.noteVersion(r.ETag)
+			p.setOwnRowETag(r.ETag)
 		}
-		if i, ok := p.decode(name, cwport.Row{Key: r.Key, Value: r.Value}); ok {
+		if i, ok := p.decodeRow(name, cwport.Row{Key: r.Key, Value: r.Value}); ok {
 			out = append(out, i)
 		}
 	}
 	return out, nil
 }
 
-// placeAmong places this instance among others if its own row is there.
-func (p *Peers) placeAmong(rows []cwholder.Instance) bool {
-	for _, i := range rows {
+// placeIfRegistered accepts the instances of the data centre if this instance, as it is
+// now, is one of them, and reports whether it is.
+func (p *Peers) placeIfRegistered(instances []cwholder.Instance) bool {
+	for _, i := range instances {
 		if i == p.Self {
-			p.place(rows)
+			p.setDataCentreInstances(instances)
 			return true
 		}
 	}
 	return false
 }
 
-// place takes the instances of the data centre, until all are known.
-func (p *Peers) place(rows []cwholder.Instance) {
+// setDataCentreInstances records the instances of the data centre. They determine the
+// feeder until the rows of all data centres are known.
+func (p *Peers) setDataCentreInstances(instances []cwholder.Instance) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.placement.Self = p.Self
-	for _, i := range rows {
-		p.set(i)
+	for _, i := range instances {
+		p.setInstance(i)
 	}
-	p.placed = true
+	p.centreRowsRead = true
 	p.Log.Info("placed", "dataCentre", p.Self.DataCentre, "instances", len(p.placement.Centre(p.Self.DataCentre)))
 }
 
-func (p *Peers) isPlaced() bool {
+func (p *Peers) hasPlacement() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.placed || p.listed
+	return p.centreRowsRead || p.allRowsRead
 }
 
-func (p *Peers) noteVersion(tag string) {
+func (p *Peers) setOwnRowETag(tag string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.version = tag
+	p.ownRowETag = tag
 }
 
 func (p *Peers) sleep(ctx context.Context, d time.Duration) {
--- a/internal/proxy/cwpeers/start_test.go
+++ b/internal/proxy/cwpeers/start_test.go
@@ -18,19 +18,20 @@
 	"cicadawalk.example/cicadawalk/internal/wire/cwplatform"
 )
 
-// rowTable is a table of rows that counts what is asked of it.
+// rowTable is a table that lists its rows and counts the reads.
 type rowTable struct {
-	*network
+	*fakeNetwork
 	reads int
-	away  bool
+	// unavailable is true while List returns an error.
+	unavailable bool
 }
 
 func (t *rowTable) List(_ context.Context, prefix string) ([]cwplatform.Row, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.reads++
-	if t.away {
-		return nil, &cwplatform.UnavailableError{Cause: errSilent}
+	if t.unavailable {
+		return nil, &cwplatform.UnavailableError{Cause: errNoAnswer}
 	}
 	var out []cwplatform.Row
 	for key, value := range t.rows {
@@ -41,8 +42,8 @@
 	return out, nil
 }
 
-// starting is an instance that starts before a table.
-func starting(t *testing.T, table *rowTable, self cwholder.Instance, first bool) *Peers {
+// startInstance runs the Peers of an instance against a table until the test ends.
+func startInstance(t *testing.T, table *rowTable, self cwholder.Instance, first bool) *Peers {
 	p := &Peers{Self: self, Table: table, Dial: table.dial, Clock: clockwork.NewRealClock(), Log: log.New(io.Discard), FirstStart: first}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error)
@@ -55,21 +56,22 @@
 }
 
 func newRowTable() *rowTable {
-	return &rowTable{network: &network{silent: map[string]bool{}, rows: map[string][]byte{}, refused: map[string]bool{}}}
+	return &rowTable{fakeNetwork: &fakeNetwork{unresponsive: map[string]bool{}, rows: map[string][]byte{}, refused: map[string]bool{}}}
 }
 
 func (t *rowTable) put(i cwholder.Instance) { t.rows[KeyOf(i)] = row(i).Value }
 
-// feederSoon returns whom an instance asks for news, once it is connected.
-func feederSoon(p *Peers) (cwport.Feeder, bool) {
+// connectedFeeder has the feeder connected and then returns the result of Feeder.
+func connectedFeeder(p *Peers) (cwport.Feeder, bool) {
 	p.Feeder()
 	time.Sleep(10 * time.Millisecond)
 	return p.Feeder()
 }
 
-// Guards against starts that read everything from the store.
-func TestStartFindsItsFeederByTheRowsOfItsDataCentre(t *testing.T) {
-	t.Run("again", func(t *testing.T) {
+// Guards against instances that read the rows of all data centres from the store when
+// they start.
+func TestStartupReadsOnlyOwnDataCentre(t *testing.T) {
+	t.Run("restart", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			table := newRowTable()
 			for i := range 40 {
@@ -78,9 +80,9 @@
 			}
 			followers := 0
 			for i := range 40 {
-				p := starting(t, table, instance(fmt.Sprint("i", i), "z"), false)
+				p := startInstance(t, table, instance(fmt.Sprint("i", i), "z"), false)
 				time.Sleep(100 * time.Millisecond)
-				f, root := feederSoon(p)
+				f, root := connectedFeeder(p)
 				if f != nil {
 					followers++
 				}
@@ -91,17 +93,17 @@
 			qt.Assert(t, table.writes, qt.Equals, 0)
 		})
 	})
-	t.Run("for the first time", func(t *testing.T) {
+	t.Run("first start of the deployment", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			table := newRowTable()
 			var all []*Peers
 			for i := range 40 {
-				all = append(all, starting(t, table, instance(fmt.Sprint("i", i), "z"), true))
+				all = append(all, startInstance(t, table, instance(fmt.Sprint("i", i), "z"), true))
 			}
-			time.Sleep(2 * firstLook)
+			time.Sleep(2 * firstStartWait)
 			followers := 0
 			for _, p := range all {
-				if f, _ := feederSoon(p); f != nil {
+				if f, _ := connectedFeeder(p); f != nil {
 					followers++
 				}
 			}
@@ -110,29 +112,29 @@
 			qt.Assert(t, table.writes, qt.Equals, 40)
 		})
 	})
-	t.Run("added to others", func(t *testing.T) {
+	t.Run("new instance", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			table := newRowTable()
 			for i := range 40 {
 				table.put(instance(fmt.Sprint("i", i), "z"))
 			}
-			p := starting(t, table, instance("new", "z"), false)
+			p := startInstance(t, table, instance("new", "z"), false)
 			time.Sleep(100 * time.Millisecond)
-			f, root := feederSoon(p)
+			f, root := connectedFeeder(p)
 			qt.Assert(t, f != nil || root, qt.IsTrue)
 			qt.Assert(t, table.reads, qt.Equals, 1)
 			qt.Assert(t, table.writes, qt.Equals, 1)
 		})
 	})
-	t.Run("while the store is away", func(t *testing.T) {
+	t.Run("store unavailable", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			table := newRowTable()
-			table.away = true
-			p := starting(t, table, instance("i0", "z"), false)
+			table.unavailable = true
+			p := startInstance(t, table, instance("i0", "z"), false)
 			time.Sleep(5 * time.Second)
 			_, root := p.Feeder()
 			qt.Assert(t, root, qt.IsFalse)
-			table.set(func() { table.away = false })
+			table.withLock(func() { table.unavailable = false })
 			time.Sleep(time.Second)
 			_, root = p.Feeder()
 			qt.Assert(t, root, qt.IsTrue)
