--- a/internal/proxy/cwpeers/peers_test.go
+++ b/internal/proxy/cwpeers/peers_test.go
@@ -137,6 +137,7 @@
 	return cwholder.Instance{ID: name, DataCentre: centre, Address: "10.0.0.1:1"}
 }
 
+// row returns the row of an instance as the table has it.
 func row(i cwholder.Instance) cwport.Row {
 	return cwport.Row{Key: KeyOf(i), Value: []byte(`{"address":"` + i.Address + `","dataCentre":"` + i.DataCentre + `"}`), Version: 5}
 }
@@ -179,6 +180,7 @@
 	return c
 }
 
+// loopClock advances the fake clock until ctx ends.
 func loopClock(ctx context.Context, clock *clockwork.FakeClock) error {
 	for ctx.Err() == nil {
 		clock.Advance(5 * time.Millisecond)
@@ -187,6 +189,7 @@
 	return nil
 }
 
+// eventually waits up to 20 s of the fake clock until f returns true.
 func eventually(c *qt.C, clock *clockwork.FakeClock, f func() bool) {
 	c.Helper()
 	for end := clock.Now().Add(20 * time.Second); !f(); clock.Sleep(10 * time.Millisecond) {
@@ -208,6 +211,7 @@
 	return h
 }
 
+// handOver has a holder run a statement with the given id.
 func handOver(h cwport.Holder, id string) (cwport.Handed, error) {
 	return h.Hand(context.Background(), cwport.Handover{Statement: cwstatement.Statement{ID: id}})
 }
