--- a/internal/proxy/cwdirectory/ask.go
+++ b/internal/proxy/cwdirectory/ask.go
@@ -152,12 +152,16 @@
 	configured := [cwport.TopicCount]time.Duration{cwport.Desired: d.Waits.Desired, cwport.Targets: d.Waits.Targets, cwport.Own: ownPollWait}[t]
 	switch {
 	case d.source != fromStore && !d.storeBehind:
-		// No long poll: a feeder is expected to answer again.
+		// No long poll: a feeder is expected to answer again. While storeBehind is true no
+		// answer confirms the topic, so requests without a wait would follow one another
+		// at once.
 		return 0
 	case t == cwport.Targets && len(d.missingSince) > 0:
 		// An answer after MinGoneAfter is needed to decide whether the entry is back.
 		return min(configured, MinGoneAfter)
 	case d.Clock.Since(d.lastAskedAt) < 2*d.Stale.ages(cwport.Desired).FollowWait():
+		// Other instances follow this one. The store's next confirmation must reach them
+		// before their data is stale.
 		return min(configured, d.Stale.ages(t).AskWait())
 	}
 	return configured
--- a/internal/proxy/cwdirectory/directory.go
+++ b/internal/proxy/cwdirectory/directory.go
@@ -361,8 +361,8 @@
 	}
 }
 
-// logFaults logs each malformed row once, however often it is written, until a valid one
-// replaces it.
+// logFaults logs each malformed row once, however often it is written. The row of a target
+// is logged again if it was valid in between, in a snapshot or a change.
 func (d *Directory) logFaults(t cwport.Topic, b cwport.Batch) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/proxy/cwdirectory/directory_test.go
+++ b/internal/proxy/cwdirectory/directory_test.go
@@ -127,10 +127,13 @@
 	return s.revisions[len(s.revisions)-1]
 }
 
+// startDirectory runs a Directory with short waits for the desired state, and returns its
+// sink.
 func startDirectory(t *testing.T, src *fakeSource) *fakeSink {
 	return startWithLog(t, src, log.New(io.Discard))
 }
 
+// startWithLog is startDirectory with a logger.
 func startWithLog(t *testing.T, src *fakeSource, l *log.Logger) *fakeSink {
 	out := &fakeSink{present: map[cwgroup.MemberID]bool{}}
 	d := &Directory{
@@ -147,6 +150,7 @@
 	return out
 }
 
+// eventually waits up to 10 s until f returns true.
 func eventually(t *testing.T, what string, f func() bool) {
 	t.Helper()
 	for range 2000 {
--- a/internal/proxy/cwdirectory/fleet_test.go
+++ b/internal/proxy/cwdirectory/fleet_test.go
@@ -51,6 +51,7 @@
 	return s
 }
 
+// put writes or removes a row in the next version.
 func (s *fakeStore) put(t cwport.Topic, key string, removed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -74,12 +75,14 @@
 	s.mu.Unlock()
 }
 
+// setUnavailable sets which instances the store does not answer.
 func (s *fakeStore) setUnavailable(f func(name string) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.unavailable = f
 }
 
+// count returns the number of requests so far.
 func (s *fakeStore) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/proxy/cwdirectory/follow.go
+++ b/internal/proxy/cwdirectory/follow.go
@@ -108,7 +108,7 @@
 	return startupLookupInterval
 }
 
-// recordFeederFound extends startDeadline when this instance has its first feeder.
+// recordFeederFound sets startDeadline anew when this instance has its first feeder.
 func (d *Directory) recordFeederFound() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
