--- a/internal/proxy/cwdirectory/start_test.go
+++ b/internal/proxy/cwdirectory/start_test.go
@@ -164,7 +164,7 @@
 			})
 		})
 	})
-	t.Run("an entry is missing that counts", func(t *testing.T) {
+	t.Run("the feeder uses a target whose entry is missing", func(t *testing.T) {
 		runFleet(t, fleetSize, func(c *qt.C, fl *fleet) {
 			for _, name := range fl.names {
 				d := fl.dirs[name]
