--- a/internal/proxy/cwengine/access_test.go
+++ b/internal/proxy/cwengine/access_test.go
@@ -27,27 +27,27 @@
 }
 
 func newKeyedEnv(t *testing.T) *keyedEnv {
-	o := &keyedEnv{testEnv: newTestEnv(t, cwcatalogue.ReadNewest), revision: 1}
-	o.engine = o.engineWithConfig("front", o.configureKeys)
-	o.setKeys(map[string][]string{"north": {"n1", "n2"}, "south": {"s1"}})
-	o.waitForPrimary(o.engine)
-	return o
+	env := &keyedEnv{testEnv: newTestEnv(t, cwcatalogue.ReadNewest), revision: 1}
+	env.engine = env.engineWithConfig("front", env.configureKeys)
+	env.setKeys(map[string][]string{"north": {"n1", "n2"}, "south": {"s1"}})
+	env.waitForPrimary(env.engine)
+	return env
 }
 
-func (o *keyedEnv) configureKeys(cfg *Config) {
+func (env *keyedEnv) configureKeys(cfg *Config) {
 	cfg.KeyBound = keyBound
 	cfg.Confirmed = func() time.Time {
-		if at := o.confirmed.Load(); at != 0 {
+		if at := env.confirmed.Load(); at != 0 {
 			return time.Unix(0, at)
 		}
-		return o.clock.Now()
+		return env.clock.Now()
 	}
 }
 
 // setKeys puts a catalogue with workspaces and their keys in force.
-func (o *keyedEnv) setKeys(keys map[string][]string) {
-	o.revision++
-	c := cwcatalogue.Catalogue{Revision: o.revision, Entries: []cwcatalogue.Entry{o.entry}, Keyed: true}
+func (env *keyedEnv) setKeys(keys map[string][]string) {
+	env.revision++
+	c := cwcatalogue.Catalogue{Revision: env.revision, Entries: []cwcatalogue.Entry{env.entry}, Keyed: true}
 	for name, list := range keys {
 		w := cwcatalogue.Workspace{Name: name}
 		for _, k := range list {
@@ -55,29 +55,29 @@
 		}
 		c.Workspaces = append(c.Workspaces, w)
 	}
-	o.engine.SetCatalogue(c)
+	env.engine.SetCatalogue(c)
 }
 
-func (o *keyedEnv) caller(key string) *testCaller { return o.sessionFor(o.engine, key) }
+func (env *keyedEnv) caller(key string) *testCaller { return env.sessionFor(env.engine, key) }
 
 // assertedWorkspace returns the workspace for which a statement ran, and asserts that it
 // ran once.
-func (o *keyedEnv) assertedWorkspace(id string) string {
-	o.c.Helper()
+func (env *keyedEnv) assertedWorkspace(id string) string {
+	env.c.Helper()
 	var out []string
-	for _, ran := range o.group.Contexts() {
+	for _, ran := range env.group.Contexts() {
 		if ran.ID == id {
 			out = append(out, ran.Workspace)
 		}
 	}
-	o.c.Assert(out, qt.HasLen, 1, qt.Commentf("runs of %s", id))
+	env.c.Assert(out, qt.HasLen, 1, qt.Commentf("runs of %s", id))
 	return out[0]
 }
 
-func (o *keyedEnv) assertNeverRan(id string) {
-	o.c.Helper()
-	for _, ran := range o.group.Contexts() {
-		o.c.Assert(ran.ID, qt.Not(qt.Equals), id)
+func (env *keyedEnv) assertNeverRan(id string) {
+	env.c.Helper()
+	for _, ran := range env.group.Contexts() {
+		env.c.Assert(ran.ID, qt.Not(qt.Equals), id)
 	}
 }
 
@@ -88,45 +88,45 @@
 
 func TestKeys(t *testing.T) {
 	t.Run("an unknown key opens no session", func(t *testing.T) {
-		o := newKeyedEnv(t)
+		env := newKeyedEnv(t)
 		for _, key := range []string{"", "x", "n1 "} {
-			a := o.engine.admit(cwport.Startup{Database: testDatabase, Key: cwcatalogue.DigestOf(key)})
-			assertUnauthorised(o.c, a)
+			a := env.engine.admit(cwport.Startup{Database: testDatabase, Key: cwcatalogue.DigestOf(key)})
+			assertUnauthorised(env.c, a)
 		}
-		a := o.engine.admit(cwport.Startup{Database: testDatabase, Key: cwcatalogue.DigestOf("n2")})
-		assertOK(o.c, a)
+		a := env.engine.admit(cwport.Startup{Database: testDatabase, Key: cwcatalogue.DigestOf("n2")})
+		assertOK(env.c, a)
 	})
 	t.Run("statements run for the workspace of the key", func(t *testing.T) {
-		o := newKeyedEnv(t)
-		north, south := o.caller("n1"), o.caller("s1")
-		assertOK(o.c, north.ask(cwstatement.Write, "WRITE a 1"))
-		assertOK(o.c, south.ask(cwstatement.Write, "WRITE b 1"))
-		assertOK(o.c, o.caller("n2").ask(cwstatement.Read, "READ a"))
-		o.c.Assert(o.assertedWorkspace("WRITE a 1"), qt.Equals, "north")
-		o.c.Assert(o.assertedWorkspace("WRITE b 1"), qt.Equals, "south")
-		o.c.Assert(o.assertedWorkspace("READ a"), qt.Equals, "north")
+		env := newKeyedEnv(t)
+		north, south := env.caller("n1"), env.caller("s1")
+		assertOK(env.c, north.ask(cwstatement.Write, "WRITE a 1"))
+		assertOK(env.c, south.ask(cwstatement.Write, "WRITE b 1"))
+		assertOK(env.c, env.caller("n2").ask(cwstatement.Read, "READ a"))
+		env.c.Assert(env.assertedWorkspace("WRITE a 1"), qt.Equals, "north")
+		env.c.Assert(env.assertedWorkspace("WRITE b 1"), qt.Equals, "south")
+		env.c.Assert(env.assertedWorkspace("READ a"), qt.Equals, "north")
 	})
 	t.Run("a public entry needs none", func(t *testing.T) {
-		o := newKeyedEnv(t)
-		o.entry.Public = true
-		o.setKeys(map[string][]string{"north": {"n1"}})
-		assertOK(o.c, o.caller("anybody").ask(cwstatement.Write, "WRITE a 1"))
-		o.c.Assert(o.assertedWorkspace("WRITE a 1"), qt.Equals, "")
+		env := newKeyedEnv(t)
+		env.entry.Public = true
+		env.setKeys(map[string][]string{"north": {"n1"}})
+		assertOK(env.c, env.caller("anybody").ask(cwstatement.Write, "WRITE a 1"))
+		env.c.Assert(env.assertedWorkspace("WRITE a 1"), qt.Equals, "")
 	})
 	t.Run("a holder runs them for the same workspace", func(t *testing.T) {
-		o := newKeyedEnv(t)
-		o.engine = o.engineWithConfig("through", func(cfg *Config) {
-			o.configureKeys(cfg)
-			cfg.Holders = &forwardingHolders{list: []*testHolder{{name: "front", engine: o.engine}}}
+		env := newKeyedEnv(t)
+		env.engine = env.engineWithConfig("through", func(cfg *Config) {
+			env.configureKeys(cfg)
+			cfg.Holders = &forwardingHolders{list: []*testHolder{{name: "front", engine: env.engine}}}
 		})
-		o.setKeys(map[string][]string{"north": {"n1"}})
-		s := o.caller("n1")
-		assertOK(o.c, s.ask(cwstatement.Write, "WRITE a 1"))
-		assertOK(o.c, s.ask(cwstatement.Begin, "BEGIN"))
-		assertOK(o.c, s.ask(cwstatement.Write, "WRITE b 1"))
-		assertOK(o.c, s.ask(cwstatement.Commit, "COMMIT"))
-		o.c.Assert(o.assertedWorkspace("WRITE a 1"), qt.Equals, "north")
-		o.c.Assert(o.assertedWorkspace("WRITE b 1"), qt.Equals, "north")
+		env.setKeys(map[string][]string{"north": {"n1"}})
+		s := env.caller("n1")
+		assertOK(env.c, s.ask(cwstatement.Write, "WRITE a 1"))
+		assertOK(env.c, s.ask(cwstatement.Begin, "BEGIN"))
+		assertOK(env.c, s.ask(cwstatement.Write, "WRITE b 1"))
+		assertOK(env.c, s.ask(cwstatement.Commit, "COMMIT"))
+		env.c.Assert(env.assertedWorkspace("WRITE a 1"), qt.Equals, "north")
+		env.c.Assert(env.assertedWorkspace("WRITE b 1"), qt.Equals, "north")
 	})
 }
 
@@ -134,42 +134,42 @@
 // was checked only when they began.
 func TestKeyThatIsTakenAway(t *testing.T) {
 	t.Run("its open session is refused", func(t *testing.T) {
-		o := newKeyedEnv(t)
-		s := o.caller("n1")
-		assertOK(o.c, s.ask(cwstatement.Write, "WRITE a 1"))
-		o.setKeys(map[string][]string{"north": {"n2"}})
+		env := newKeyedEnv(t)
+		s := env.caller("n1")
+		assertOK(env.c, s.ask(cwstatement.Write, "WRITE a 1"))
+		env.setKeys(map[string][]string{"north": {"n2"}})
 		a := s.tryAsk(cwstatement.Write, "WRITE a 2")
-		o.c.Assert(a.Code, qt.Not(qt.Equals), cwstatement.OK)
-		o.assertNeverRan("WRITE a 2")
-		assertOK(o.c, o.caller("n2").ask(cwstatement.Write, "WRITE a 3"))
+		env.c.Assert(a.Code, qt.Not(qt.Equals), cwstatement.OK)
+		env.assertNeverRan("WRITE a 2")
+		assertOK(env.c, env.caller("n2").ask(cwstatement.Write, "WRITE a 3"))
 	})
 	t.Run("its open transaction keeps nothing", func(t *testing.T) {
-		o := newKeyedEnv(t)
-		s := o.caller("n1")
-		assertOK(o.c, s.ask(cwstatement.Begin, "BEGIN"))
-		assertOK(o.c, s.ask(cwstatement.Write, "WRITE a 1"))
-		o.setKeys(map[string][]string{"north": {"n2"}})
+		env := newKeyedEnv(t)
+		s := env.caller("n1")
+		assertOK(env.c, s.ask(cwstatement.Begin, "BEGIN"))
+		assertOK(env.c, s.ask(cwstatement.Write, "WRITE a 1"))
+		env.setKeys(map[string][]string{"north": {"n2"}})
 		a := s.tryAsk(cwstatement.Commit, "COMMIT")
-		o.c.Assert(a.Code, qt.Not(qt.Equals), cwstatement.OK)
-		o.c.Assert(o.group.Value("a"), qt.Equals, "")
+		env.c.Assert(a.Code, qt.Not(qt.Equals), cwstatement.OK)
+		env.c.Assert(env.group.Value("a"), qt.Equals, "")
 	})
 	t.Run("it may come back", func(t *testing.T) {
-		o := newKeyedEnv(t)
-		o.setKeys(map[string][]string{"north": {"n2"}})
-		assertUnauthorised(o.c, o.engine.admit(cwport.Startup{Database: testDatabase, Key: cwcatalogue.DigestOf("n1")}))
-		o.setKeys(map[string][]string{"north": {"n1"}})
-		assertOK(o.c, o.caller("n1").ask(cwstatement.Write, "WRITE a 1"))
+		env := newKeyedEnv(t)
+		env.setKeys(map[string][]string{"north": {"n2"}})
+		assertUnauthorised(env.c, env.engine.admit(cwport.Startup{Database: testDatabase, Key: cwcatalogue.DigestOf("n1")}))
+		env.setKeys(map[string][]string{"north": {"n1"}})
+		assertOK(env.c, env.caller("n1").ask(cwstatement.Write, "WRITE a 1"))
 	})
 	t.Run("it may move to another workspace", func(t *testing.T) {
-		o := newKeyedEnv(t)
-		s := o.caller("n1")
-		assertOK(o.c, s.ask(cwstatement.Begin, "BEGIN"))
-		assertOK(o.c, s.ask(cwstatement.Write, "WRITE a 1"))
-		o.setKeys(map[string][]string{"south": {"n1"}})
-		assertNothingKept(o.c, s.ask(cwstatement.Commit, "COMMIT"))
-		o.c.Assert(o.group.Value("a"), qt.Equals, "")
-		assertOK(o.c, s.ask(cwstatement.Write, "WRITE a 2"))
-		o.c.Assert(o.assertedWorkspace("WRITE a 2"), qt.Equals, "south")
+		env := newKeyedEnv(t)
+		s := env.caller("n1")
+		assertOK(env.c, s.ask(cwstatement.Begin, "BEGIN"))
+		assertOK(env.c, s.ask(cwstatement.Write, "WRITE a 1"))
+		env.setKeys(map[string][]string{"south": {"n1"}})
+		assertNothingKept(env.c, s.ask(cwstatement.Commit, "COMMIT"))
+		env.c.Assert(env.group.Value("a"), qt.Equals, "")
+		assertOK(env.c, s.ask(cwstatement.Write, "WRITE a 2"))
+		env.c.Assert(env.assertedWorkspace("WRITE a 2"), qt.Equals, "south")
 	})
 }
 
@@ -177,21 +177,21 @@
 // store, or was suspended, and has not learned of the revocation. The instance must not
 // rely on a catalogue older than the bound for keys.
 func TestKeysAreNotTrustedForLong(t *testing.T) {
-	o := newKeyedEnv(t)
-	s := o.caller("n1")
-	assertOK(o.c, s.ask(cwstatement.Begin, "BEGIN"))
-	assertOK(o.c, s.ask(cwstatement.Write, "WRITE a 1"))
-	o.confirmed.Store(o.clock.Now().UnixNano())
-	o.clock.Advance(keyBound)
-	assertNothingKept(o.c, s.ask(cwstatement.Commit, "COMMIT"))
-	assertNothingKept(o.c, s.ask(cwstatement.Write, "WRITE a 2"))
-	assertNothingKept(o.c, o.engine.admit(cwport.Startup{Database: testDatabase, Key: cwcatalogue.DigestOf("n1")}))
-	o.c.Assert(o.engine.Ready(), qt.IsFalse)
-	o.assertNeverRan("WRITE a 2")
-	o.c.Assert(o.group.Value("a"), qt.Equals, "")
-	o.confirmed.Store(0)
-	o.c.Assert(o.engine.Ready(), qt.IsTrue)
-	assertOK(o.c, s.ask(cwstatement.Write, "WRITE a 3"))
+	env := newKeyedEnv(t)
+	s := env.caller("n1")
+	assertOK(env.c, s.ask(cwstatement.Begin, "BEGIN"))
+	assertOK(env.c, s.ask(cwstatement.Write, "WRITE a 1"))
+	env.confirmed.Store(env.clock.Now().UnixNano())
+	env.clock.Advance(keyBound)
+	assertNothingKept(env.c, s.ask(cwstatement.Commit, "COMMIT"))
+	assertNothingKept(env.c, s.ask(cwstatement.Write, "WRITE a 2"))
+	assertNothingKept(env.c, env.engine.admit(cwport.Startup{Database: testDatabase, Key: cwcatalogue.DigestOf("n1")}))
+	env.c.Assert(env.engine.Ready(), qt.IsFalse)
+	env.assertNeverRan("WRITE a 2")
+	env.c.Assert(env.group.Value("a"), qt.Equals, "")
+	env.confirmed.Store(0)
+	env.c.Assert(env.engine.Ready(), qt.IsTrue)
+	assertOK(env.c, s.ask(cwstatement.Write, "WRITE a 3"))
 }
 
 // testMeter allows a fixed number of operations.
@@ -208,41 +208,41 @@
 // many statements is one of them. The fourth operation is refused without having run, at
 // once and with a retry delay.
 func TestOperationsAreCounted(t *testing.T) {
-	o := newKeyedEnv(t)
+	env := newKeyedEnv(t)
 	m := &testMeter{}
 	m.remaining.Store(3)
-	o.engine.cfg.Meter = m
-	o.engine.mu.Lock()
-	o.engine.access.quotas["north"] = cwcatalogue.Quota{Rate: 3}
-	o.engine.mu.Unlock()
-	s := o.caller("n1")
-	assertOK(o.c, s.ask(cwstatement.Begin, "BEGIN"))
+	env.engine.cfg.Meter = m
+	env.engine.mu.Lock()
+	env.engine.access.quotas["north"] = cwcatalogue.Quota{Rate: 3}
+	env.engine.mu.Unlock()
+	s := env.caller("n1")
+	assertOK(env.c, s.ask(cwstatement.Begin, "BEGIN"))
 	for _, text := range []string{"WRITE a 1", "WRITE b 1", "WRITE c 1"} {
-		assertOK(o.c, s.ask(cwstatement.Write, text))
+		assertOK(env.c, s.ask(cwstatement.Write, text))
 	}
-	assertOK(o.c, s.ask(cwstatement.Commit, "COMMIT"))
-	assertOK(o.c, s.ask(cwstatement.Read, "READ a"))
-	assertOK(o.c, s.ask(cwstatement.Write, "WRITE a 2"))
+	assertOK(env.c, s.ask(cwstatement.Commit, "COMMIT"))
+	assertOK(env.c, s.ask(cwstatement.Read, "READ a"))
+	assertOK(env.c, s.ask(cwstatement.Write, "WRITE a 2"))
 	a := s.ask(cwstatement.Write, "WRITE a 3")
-	o.c.Assert(a.Code, qt.Equals, cwstatement.Busy)
-	o.c.Assert(a.Detail, qt.Matches, ".*notRun=true retryAfterMs=1000")
-	o.assertNeverRan("WRITE a 3")
-	assertOK(o.c, o.caller("s1").ask(cwstatement.Write, "WRITE d 1"))
+	env.c.Assert(a.Code, qt.Equals, cwstatement.Busy)
+	env.c.Assert(a.Detail, qt.Matches, ".*notRun=true retryAfterMs=1000")
+	env.assertNeverRan("WRITE a 3")
+	assertOK(env.c, env.caller("s1").ask(cwstatement.Write, "WRITE d 1"))
 }
 
 // Guards against a deadlock between a probe and a change of the list of targets.
 func TestProbeAsksWithoutTheLockHeld(t *testing.T) {
-	w := newTestEnv(t, cwcatalogue.ReadNewest)
+	env := newTestEnv(t, cwcatalogue.ReadNewest)
 	var mu sync.Mutex
-	e := w.engineWithConfig("x", func(cfg *Config) {
+	e := env.engineWithConfig("x", func(cfg *Config) {
 		cfg.KeyBound = time.Hour
 		cfg.Confirmed = func() time.Time {
 			mu.Lock()
 			defer mu.Unlock()
-			return w.clock.Now()
+			return env.clock.Now()
 		}
 	})
-	e.SetCatalogue(cwcatalogue.Catalogue{Revision: 2, Keyed: true, Entries: []cwcatalogue.Entry{w.entry}})
+	e.SetCatalogue(cwcatalogue.Catalogue{Revision: 2, Keyed: true, Entries: []cwcatalogue.Entry{env.entry}})
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
--- a/internal/proxy/cwengine/failover_test.go
+++ b/internal/proxy/cwengine/failover_test.go
@@ -42,34 +42,34 @@
 func TestReplacedPrimaryServesNoReads(t *testing.T) {
 	for _, rule := range []cwcatalogue.ReadRule{cwcatalogue.ReadNewest, cwcatalogue.ReadAged, cwcatalogue.ReadOwnWrites} {
 		t.Run(string(rule), func(t *testing.T) {
-			w := newTestEnv(t, rule)
-			cut, whole := w.engine("x"), w.engine("y")
-			w.waitForPrimary(cut)
-			w.waitForPrimary(whole)
-			x, y := w.session(cut), w.session(whole)
-			assertOK(w.c, y.ask(cwstatement.Write, "WRITE i 1"))
-			assertRead(w.c, x.ask(cwstatement.Read, "READ i"), "1")
+			env := newTestEnv(t, rule)
+			cut, whole := env.engine("x"), env.engine("y")
+			env.waitForPrimary(cut)
+			env.waitForPrimary(whole)
+			x, y := env.session(cut), env.session(whole)
+			assertOK(env.c, y.ask(cwstatement.Write, "WRITE i 1"))
+			assertRead(env.c, x.ask(cwstatement.Read, "READ i"), "1")
 
 			for _, side := range []string{"b", "c"} {
-				w.group.Cut("x", side, true)
-				w.group.Cut("a", side, true)
+				env.group.Cut("x", side, true)
+				env.group.Cut("a", side, true)
 			}
-			w.group.Cut("y", "a", true)
-			w.eventually("a write is acknowledged by the new primary", func() bool {
+			env.group.Cut("y", "a", true)
+			env.eventually("a write is acknowledged by the new primary", func() bool {
 				return y.ask(cwstatement.Write, "WRITE i 2").Code == cwstatement.OK
 			})
-			w.clock.Sleep(w.entry.Contract.MaxAge)
+			env.clock.Sleep(env.entry.Contract.MaxAge)
 
 			// The instance may close its idle sessions, so each step uses a session of its
 			// own.
-			assertNothingKept(w.c, w.session(cut).tryAsk(cwstatement.Read, "READ i"))
-			plain := w.session(cut)
+			assertNothingKept(env.c, env.session(cut).tryAsk(cwstatement.Read, "READ i"))
+			plain := env.session(cut)
 			if plain.tryAsk(cwstatement.Begin, "BEGIN").Code == cwstatement.OK {
-				assertNothingKept(w.c, plain.tryAsk(cwstatement.Read, "READ i"))
+				assertNothingKept(env.c, plain.tryAsk(cwstatement.Read, "READ i"))
 			}
-			aged := w.session(cut)
+			aged := env.session(cut)
 			if aged.tryAsk(cwstatement.BeginRead, "BEGIN READ").Code == cwstatement.OK {
-				assertNothingKept(w.c, aged.tryAsk(cwstatement.Read, "READ i"))
+				assertNothingKept(env.c, aged.tryAsk(cwstatement.Read, "READ i"))
 			}
 		})
 	}
@@ -79,37 +79,37 @@
 // although other data centres could serve them. Their instance stayed ready and kept their
 // connections.
 func TestIsolatedInstanceSendsCallersAway(t *testing.T) {
-	w := newTestEnv(t, cwcatalogue.ReadNewest)
-	e := w.engine("x")
-	w.waitForPrimary(e)
-	s := w.session(e)
-	assertOK(w.c, s.ask(cwstatement.Write, "WRITE i 1"))
-	w.c.Assert(e.Ready(), qt.IsTrue)
-
-	w.group.Cut("x", "b", true)
-	w.group.Cut("x", "c", true)
-	w.eventually("the instance reports itself not ready", func() bool {
+	env := newTestEnv(t, cwcatalogue.ReadNewest)
+	e := env.engine("x")
+	env.waitForPrimary(e)
+	s := env.session(e)
+	assertOK(env.c, s.ask(cwstatement.Write, "WRITE i 1"))
+	env.c.Assert(e.Ready(), qt.IsTrue)
+
+	env.group.Cut("x", "b", true)
+	env.group.Cut("x", "c", true)
+	env.eventually("the instance reports itself not ready", func() bool {
 		s.tryAsk(cwstatement.Read, "READ i")
 		return !e.Ready()
 	})
-	w.eventually("idle sessions are closed", func() bool { return e.Sessions() == 0 })
+	env.eventually("idle sessions are closed", func() bool { return e.Sessions() == 0 })
 
-	w.group.Cut("x", "b", false)
-	w.eventually("the instance is ready again", e.Ready)
+	env.group.Cut("x", "b", false)
+	env.eventually("the instance is ready again", e.Ready)
 }
 
 // Guards against an instance that reports itself isolated when one replica of three is lost.
 // The majority is still reachable, and sending callers away would help none of them.
 func TestLostReplicaIsNotIsolation(t *testing.T) {
-	w := newTestEnv(t, cwcatalogue.ReadNewest)
-	e := w.engine("x")
-	w.waitForPrimary(e)
-	s := w.session(e)
-	assertOK(w.c, s.ask(cwstatement.Write, "WRITE i 1"))
-	w.group.Cut("x", "b", true)
-	w.clock.Sleep(2 * time.Second)
+	env := newTestEnv(t, cwcatalogue.ReadNewest)
+	e := env.engine("x")
+	env.waitForPrimary(e)
+	s := env.session(e)
+	assertOK(env.c, s.ask(cwstatement.Write, "WRITE i 1"))
+	env.group.Cut("x", "b", true)
+	env.clock.Sleep(2 * time.Second)
 	s.ask(cwstatement.Read, "READ i")
-	w.c.Assert(e.Ready(), qt.IsTrue)
+	env.c.Assert(e.Ready(), qt.IsTrue)
 }
 
 // Guards against repeated changes of primary. Some instances have not received news of the
@@ -117,57 +117,57 @@
 // member; until that member leads, the others promoted again, one after the other, and the
 // holders acted in turns.
 func TestChangeOfPrimaryIsGivenTime(t *testing.T) {
-	w := newTestEnv(t, cwcatalogue.ReadNewest)
-	w.group.SetPromotionTakes(time.Second, w.clock)
+	env := newTestEnv(t, cwcatalogue.ReadNewest)
+	env.group.SetPromotionTakes(time.Second, env.clock)
 	var engines []*Engine
 	for _, name := range []string{"x", "y", "z"} {
-		e := w.engine(name)
-		w.waitForPrimary(e)
+		e := env.engine(name)
+		env.waitForPrimary(e)
 		engines = append(engines, e)
 	}
 	for _, other := range []string{"x", "y", "z", "b", "c"} {
-		w.group.Cut("a", other, true)
+		env.group.Cut("a", other, true)
 	}
-	w.eventually("a write is acknowledged by the new primary", func() bool {
+	env.eventually("a write is acknowledged by the new primary", func() bool {
 		for _, e := range engines {
-			w.session(e).tryAsk(cwstatement.Write, "WRITE i 1")
+			env.session(e).tryAsk(cwstatement.Write, "WRITE i 1")
 		}
-		return w.group.Value("i") == "1"
+		return env.group.Value("i") == "1"
 	})
-	w.c.Assert(w.group.Promotions(), qt.HasLen, 1)
+	env.c.Assert(env.group.Promotions(), qt.HasLen, 1)
 }
 
 // Guards against late suspicion of a primary that neither refuses nor answers. Writes stalled
 // for the whole time limit of the first statement before the primary was even suspected;
 // with a limit of 60 s, for a minute.
 func TestDarkPrimaryIsSuspectedEarly(t *testing.T) {
-	w := newTestEnv(t, cwcatalogue.ReadNewest)
-	w.entry.Contract.StatementTimeout = time.Minute
-	e := w.engine("x")
-	w.waitForPrimary(e)
-	s := w.session(e)
-	assertOK(w.c, s.ask(cwstatement.Write, "WRITE i 1"))
-	w.group.SetDark("a", true, w.clock)
-	began := w.clock.Now()
+	env := newTestEnv(t, cwcatalogue.ReadNewest)
+	env.entry.Contract.StatementTimeout = time.Minute
+	e := env.engine("x")
+	env.waitForPrimary(e)
+	s := env.session(e)
+	assertOK(env.c, s.ask(cwstatement.Write, "WRITE i 1"))
+	env.group.SetDark("a", true, env.clock)
+	began := env.clock.Now()
 	go s.tryAsk(cwstatement.Write, "WRITE i 2")
-	w.eventually("another member is promoted", func() bool { return len(w.group.Promotions()) > 0 })
-	took := w.clock.Since(began)
+	env.eventually("another member is promoted", func() bool { return len(env.group.Promotions()) > 0 })
+	took := env.clock.Since(began)
 	t.Logf("promoted after %v", took)
-	w.c.Assert(took < 10*time.Second, qt.IsTrue, qt.Commentf("%v", took))
+	env.c.Assert(took < 10*time.Second, qt.IsTrue, qt.Commentf("%v", took))
 }
 
 // newSessionBeforeLostPrimary returns a session on a group whose primary has just been cut
 // off.
 func newSessionBeforeLostPrimary(t *testing.T) (*testEnv, *testCaller) {
-	w := newTestEnv(t, cwcatalogue.ReadNewest)
-	e := w.engine("x")
-	w.waitForPrimary(e)
-	s := w.session(e)
-	assertOK(w.c, s.ask(cwstatement.Write, "WRITE i 1"))
+	env := newTestEnv(t, cwcatalogue.ReadNewest)
+	e := env.engine("x")
+	env.waitForPrimary(e)
+	s := env.session(e)
+	assertOK(env.c, s.ask(cwstatement.Write, "WRITE i 1"))
 	for _, other := range []string{"x", "b", "c"} {
-		w.group.Cut("a", other, true)
+		env.group.Cut("a", other, true)
 	}
-	return w, s
+	return env, s
 }
 
 // Guards against a failed attempt to replace a lost primary that leaves a member behind. The
@@ -175,10 +175,10 @@
 // primary led the term before it, so the third member kept waiting for a later term, and no
 // write was acknowledged for ten seconds.
 func TestFailedAttemptLeavesNoMemberBehind(t *testing.T) {
-	w, s := newSessionBeforeLostPrimary(t)
+	env, s := newSessionBeforeLostPrimary(t)
 	// The first attempt can fence only one of the two members it needs.
-	w.group.RefuseFences("c", 1)
-	w.eventually("a write is acknowledged by the new primary", func() bool {
+	env.group.RefuseFences("c", 1)
+	env.eventually("a write is acknowledged by the new primary", func() bool {
 		return s.ask(cwstatement.Write, "WRITE i 2").Code == cwstatement.OK
 	})
 }
@@ -186,16 +186,16 @@
 // Guards against an attempt to replace the primary that fails as a whole because a busy
 // replica refuses the fencing order. The next attempt may begin only two seconds later.
 func TestBusyMemberIsOrderedAgain(t *testing.T) {
-	w, s := newSessionBeforeLostPrimary(t)
-	w.group.BusyAtFences("c", 3)
-	w.eventually("a write is acknowledged by the new primary", func() bool {
+	env, s := newSessionBeforeLostPrimary(t)
+	env.group.BusyAtFences("c", 3)
+	env.eventually("a write is acknowledged by the new primary", func() bool {
 		return s.ask(cwstatement.Write, "WRITE i 2").Code == cwstatement.OK
 	})
-	row, err := w.table.Get(context.Background(), "group/"+testService)
-	w.c.Assert(err, qt.IsNil)
+	row, err := env.table.Get(context.Background(), "group/"+testService)
+	env.c.Assert(err, qt.IsNil)
 	claimed, err := cwclaim.Decode(row.Value)
-	w.c.Assert(err, qt.IsNil)
-	w.c.Assert(claimed.Term, qt.Equals, cwgroup.Term(2), qt.Commentf("the first attempt succeeds"))
+	env.c.Assert(err, qt.IsNil)
+	env.c.Assert(claimed.Term, qt.Equals, cwgroup.Term(2), qt.Commentf("the first attempt succeeds"))
 }
 
 // Guards against slow detection of an isolated data centre when packets are lost silently.
@@ -204,22 +204,22 @@
 // a statement had timed out. One unanswered statement, while nothing arrives from other data
 // centres, must be enough to report it, and two probes to close idle sessions.
 func TestSilenceFromOtherDataCentresIsSeenAtOnce(t *testing.T) {
-	w := newTestEnv(t, cwcatalogue.ReadNewest)
-	e := w.engine("x")
-	w.waitForPrimary(e)
-	s, resting := w.session(e), w.session(e)
-	assertOK(w.c, s.ask(cwstatement.Write, "WRITE i 1"))
-	assertRead(w.c, resting.ask(cwstatement.Read, "READ i"), "1")
-	w.c.Assert(e.Probe(), qt.IsTrue)
+	env := newTestEnv(t, cwcatalogue.ReadNewest)
+	e := env.engine("x")
+	env.waitForPrimary(e)
+	s, resting := env.session(e), env.session(e)
+	assertOK(env.c, s.ask(cwstatement.Write, "WRITE i 1"))
+	assertRead(env.c, resting.ask(cwstatement.Read, "READ i"), "1")
+	env.c.Assert(e.Probe(), qt.IsTrue)
 
 	for _, id := range []string{"b", "c"} {
-		w.group.SetDark(memberID(id), true, w.clock)
+		env.group.SetDark(memberID(id), true, env.clock)
 	}
 	go s.tryAsk(cwstatement.Write, "WRITE i 2")
-	w.eventually("the path is suspected", e.cfg.Path.Suspected)
-	w.c.Assert(e.Probe(), qt.IsFalse)
-	w.c.Assert(e.Probe(), qt.IsFalse)
-	w.eventually("idle sessions are closed", func() bool {
+	env.eventually("the path is suspected", e.cfg.Path.Suspected)
+	env.c.Assert(e.Probe(), qt.IsFalse)
+	env.c.Assert(e.Probe(), qt.IsFalse)
+	env.eventually("idle sessions are closed", func() bool {
 		select {
 		case <-resting.gone:
 			return true
--- a/internal/proxy/cwengine/fallback_test.go
+++ b/internal/proxy/cwengine/fallback_test.go
@@ -39,14 +39,14 @@
 // newFallbackSession returns a caller's session at an instance x that holds the group.
 // Another holder, y, is available to x as a fallback.
 func newFallbackSession(t *testing.T, rule cwcatalogue.ReadRule) (*testEnv, *fallbackCaller) {
-	w := newTestEnv(t, rule)
-	y := &testHolder{name: "y", engine: w.engine("y")}
-	x := w.engineWithHolders("x", &fallbackHolders{self: "x", list: []*testHolder{y}})
-	w.waitForPrimary(x)
-	w.waitForPrimary(y.engine)
-	s := &fallbackCaller{testCaller: w.session(x), engine: x, helper: y.engine}
-	assertOK(w.c, s.ask(cwstatement.Write, "WRITE i 1"))
-	return w, s
+	env := newTestEnv(t, rule)
+	y := &testHolder{name: "y", engine: env.engine("y")}
+	x := env.engineWithHolders("x", &fallbackHolders{self: "x", list: []*testHolder{y}})
+	env.waitForPrimary(x)
+	env.waitForPrimary(y.engine)
+	s := &fallbackCaller{testCaller: env.session(x), engine: x, helper: y.engine}
+	assertOK(env.c, s.ask(cwstatement.Write, "WRITE i 1"))
+	return env, s
 }
 
 // fallbackCaller is a caller's session with the engines that can serve it.
@@ -58,8 +58,8 @@
 
 // keepWriting makes a caller of an engine write until the test ends, so that the
 // replicas are seen to follow the primary.
-func (w *testEnv) keepWriting(e *Engine) {
-	other := w.session(e)
+func (env *testEnv) keepWriting(e *Engine) {
+	other := env.session(e)
 	stop, done := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(done)
@@ -69,27 +69,27 @@
 				return
 			default:
 				other.tryAsk(cwstatement.Write, "WRITE other 1")
-				w.clock.Sleep(20 * time.Millisecond)
+				env.clock.Sleep(20 * time.Millisecond)
 			}
 		}
 	}()
-	w.c.Cleanup(func() { close(stop); <-done })
+	env.c.Cleanup(func() { close(stop); <-done })
 }
 
 // assertServesAll asserts that statements of every kind are served, after those that were
 // in progress when a path was cut have ended.
-func (w *testEnv) assertServesAll(s *fallbackCaller) {
-	w.c.Helper()
-	w.eventually("a write is served", func() bool { return s.ask(cwstatement.Write, "WRITE i 2").Code == cwstatement.OK })
+func (env *testEnv) assertServesAll(s *fallbackCaller) {
+	env.c.Helper()
+	env.eventually("a write is served", func() bool { return s.ask(cwstatement.Write, "WRITE i 2").Code == cwstatement.OK })
 	for range 5 {
-		assertRead(w.c, s.ask(cwstatement.Read, "READ i"), "2")
+		assertRead(env.c, s.ask(cwstatement.Read, "READ i"), "2")
 	}
-	assertOK(w.c, s.ask(cwstatement.Begin, "BEGIN"))
-	assertRead(w.c, s.ask(cwstatement.Read, "READ i"), "2")
-	assertOK(w.c, s.ask(cwstatement.Write, "WRITE i 3"))
-	assertOK(w.c, s.ask(cwstatement.Commit, "COMMIT"))
-	assertRead(w.c, s.ask(cwstatement.Read, "READ i"), "3")
-	assertOK(w.c, s.ask(cwstatement.Write, "WRITE i 2"))
+	assertOK(env.c, s.ask(cwstatement.Begin, "BEGIN"))
+	assertRead(env.c, s.ask(cwstatement.Read, "READ i"), "2")
+	assertOK(env.c, s.ask(cwstatement.Write, "WRITE i 3"))
+	assertOK(env.c, s.ask(cwstatement.Commit, "COMMIT"))
+	assertRead(env.c, s.ask(cwstatement.Read, "READ i"), "3")
+	assertOK(env.c, s.ask(cwstatement.Write, "WRITE i 2"))
 }
 
 // Guards against an instance that holds a group, loses its path to the primary and
@@ -98,16 +98,16 @@
 func TestInstanceAsksForHelp(t *testing.T) {
 	for _, rule := range []cwcatalogue.ReadRule{cwcatalogue.ReadNewest, cwcatalogue.ReadOwnWrites} {
 		t.Run(string(rule), func(t *testing.T) {
-			w, s := newFallbackSession(t, rule)
-			w.keepWriting(s.helper)
-			w.group.Cut("x", "a", true)
-			w.assertServesAll(s)
-			w.clock.Sleep(2 * w.entry.Contract.MaxAge)
-			w.assertServesAll(s)
-			w.c.Assert(w.group.Promotions(), qt.HasLen, 0)
-			w.group.Cut("x", "a", false)
-			w.clock.Sleep(time.Second)
-			w.assertServesAll(s)
+			env, s := newFallbackSession(t, rule)
+			env.keepWriting(s.helper)
+			env.group.Cut("x", "a", true)
+			env.assertServesAll(s)
+			env.clock.Sleep(2 * env.entry.Contract.MaxAge)
+			env.assertServesAll(s)
+			env.c.Assert(env.group.Promotions(), qt.HasLen, 0)
+			env.group.Cut("x", "a", false)
+			env.clock.Sleep(time.Second)
+			env.assertServesAll(s)
 		})
 	}
 }
@@ -116,38 +116,38 @@
 // also closes its idle sessions; each step therefore has a session of its own. Callers
 // must be served until they have left.
 func TestIsolatedInstanceForwardsStatements(t *testing.T) {
-	w, s := newFallbackSession(t, cwcatalogue.ReadNewest)
+	env, s := newFallbackSession(t, cwcatalogue.ReadNewest)
 	e := s.engine
 	for _, member := range []string{"a", "b"} {
-		w.group.Cut("x", member, true)
+		env.group.Cut("x", member, true)
 	}
-	w.eventually("a write is served", func() bool {
-		return w.session(e).tryAsk(cwstatement.Write, "WRITE i 2").Code == cwstatement.OK
+	env.eventually("a write is served", func() bool {
+		return env.session(e).tryAsk(cwstatement.Write, "WRITE i 2").Code == cwstatement.OK
 	})
 	served := 0
 	for range 20 {
-		if w.session(e).tryAsk(cwstatement.Read, "READ i").Code == cwstatement.OK {
+		if env.session(e).tryAsk(cwstatement.Read, "READ i").Code == cwstatement.OK {
 			served++
 		}
 	}
-	w.c.Assert(served >= 15, qt.IsTrue, qt.Commentf("%d of 20 reads are served", served))
+	env.c.Assert(served >= 15, qt.IsTrue, qt.Commentf("%d of 20 reads are served", served))
 }
 
 // Guards against a write of unknown outcome that could have been refused as not run: the
 // instance reaches the primary but no other member, and knows it, so no member can
 // acknowledge the write.
 func TestWriteIsRefusedWithoutAMajority(t *testing.T) {
-	w := newTestEnv(t, cwcatalogue.ReadNewest)
-	e := w.engine("x")
-	w.waitForPrimary(e)
+	env := newTestEnv(t, cwcatalogue.ReadNewest)
+	e := env.engine("x")
+	env.waitForPrimary(e)
 	g, _ := e.Group(testService)
-	w.group.Cut("x", "b", true)
-	w.group.Cut("x", "c", true)
+	env.group.Cut("x", "b", true)
+	env.group.Cut("x", "c", true)
 	for _, id := range []string{"b", "c"} {
 		g.Suspect(memberID(id))
 	}
-	w.eventually("both members are known to be unreachable", g.CutOff)
-	a := w.session(e).tryAsk(cwstatement.Write, "WRITE i 1")
-	assertNothingKept(w.c, a)
-	w.c.Assert(w.group.Runs("WRITE i 1"), qt.Equals, 0)
+	env.eventually("both members are known to be unreachable", g.CutOff)
+	a := env.session(e).tryAsk(cwstatement.Write, "WRITE i 1")
+	assertNothingKept(env.c, a)
+	env.c.Assert(env.group.Runs("WRITE i 1"), qt.Equals, 0)
 }
--- a/internal/proxy/cwengine/forwarded.go
+++ b/internal/proxy/cwengine/forwarded.go
@@ -41,6 +41,7 @@
 }
 
 // Hand runs a statement that another instance has forwarded, and returns its answer.
+// The answer has Elsewhere set if nothing ran and another holder may run the statement.
 // from identifies the connection on which it arrived; see Left.
 func (e *Engine) Hand(from any, h cwport.Handover) cwport.Handed {
 	e.forwardedInFlight.Add(1)
@@ -164,6 +165,7 @@
 	return r
 }
 
+// runElsewhere returns the answer that makes the caller's instance try another holder.
 func runElsewhere(detail string) cwport.Handed {
 	return cwport.Handed{Answer: cwstatement.RetryLater(cwstatement.Aborted, detail, unreachableRetryAfter), Elsewhere: true}
 }
--- a/internal/proxy/cwengine/groups_test.go
+++ b/internal/proxy/cwengine/groups_test.go
@@ -17,8 +17,8 @@
 )
 
 // otherEntry returns the entry of another group than the simulated one.
-func (w *testEnv) otherEntry(i int) cwcatalogue.Entry {
-	e := w.entry
+func (env *testEnv) otherEntry(i int) cwcatalogue.Entry {
+	e := env.entry
 	e.Service, e.Groups = fmt.Sprintf("database%d", i), []cwcatalogue.Group{{Name: fmt.Sprintf("other%d", i)}}
 	return e
 }
@@ -27,77 +27,77 @@
 // a caller uses it, and starts no others. A group that starts must know the claim that
 // was reported before.
 func TestGroupsAreMadeWhenTheyAreUsed(t *testing.T) {
-	w := newTestEnv(t, cwcatalogue.ReadNewest)
-	front := w.engineWithHolders("front", &forwardingHolders{})
-	c := cwcatalogue.Catalogue{Revision: 2, Entries: []cwcatalogue.Entry{w.entry}}
+	env := newTestEnv(t, cwcatalogue.ReadNewest)
+	front := env.engineWithHolders("front", &forwardingHolders{})
+	c := cwcatalogue.Catalogue{Revision: 2, Entries: []cwcatalogue.Entry{env.entry}}
 	for i := range 2 * cwholder.ManyGroups {
-		c.Entries = append(c.Entries, w.otherEntry(i))
+		c.Entries = append(c.Entries, env.otherEntry(i))
 	}
 	front.SetCatalogue(c)
 	_, made := front.Group("other1")
-	w.c.Assert(made, qt.IsFalse)
+	env.c.Assert(made, qt.IsFalse)
 	front.SetRow("other1", cwfailover.Row{Term: 3, Claim: "x", Keeper: "y"})
 	g, ok := front.ensureGroup("other1")
-	w.c.Assert(ok, qt.IsTrue)
+	env.c.Assert(ok, qt.IsTrue)
 	_, err := g.Primary()
-	w.c.Assert(err, qt.ErrorMatches, ".*none is known.*")
+	env.c.Assert(err, qt.ErrorMatches, ".*none is known.*")
 	_, made = front.Group("other2")
-	w.c.Assert(made, qt.IsFalse)
+	env.c.Assert(made, qt.IsFalse)
 	_, ok = front.ensureGroup("nowhere")
-	w.c.Assert(ok, qt.IsFalse)
-	s := w.session(front)
-	w.eventually("the caller is served", func() bool {
+	env.c.Assert(ok, qt.IsFalse)
+	s := env.session(front)
+	env.eventually("the caller is served", func() bool {
 		a := s.ask(cwstatement.Write, "WRITE i 1")
 		return a.Code == cwstatement.OK
 	})
-	w.clock.Advance(time.Millisecond)
+	env.clock.Advance(time.Millisecond)
 	c.Revision, c.Entries = 3, c.Entries[:1]
 	front.SetCatalogue(c)
 	_, made = front.Group("other1")
-	w.c.Assert(made, qt.IsFalse)
+	env.c.Assert(made, qt.IsFalse)
 }
 
 // Guards against an instance that starts a group only to forward its statements. Callers
 // may use hundreds of groups that other instances hold.
 func TestHandingOverMakesNoGroup(t *testing.T) {
-	w := newTestEnv(t, cwcatalogue.ReadNewest)
-	h := &testHolder{name: "holder", engine: w.engine("holder")}
-	w.waitForPrimary(h.engine)
-	front := w.engineWithHolders("front", &forwardingHolders{list: []*testHolder{h}})
+	env := newTestEnv(t, cwcatalogue.ReadNewest)
+	h := &testHolder{name: "holder", engine: env.engine("holder")}
+	env.waitForPrimary(h.engine)
+	front := env.engineWithHolders("front", &forwardingHolders{list: []*testHolder{h}})
 	c := cwcatalogue.Catalogue{Revision: 2}
 	for i := range 2 * cwholder.ManyGroups {
-		c.Entries = append(c.Entries, w.otherEntry(i))
+		c.Entries = append(c.Entries, env.otherEntry(i))
 	}
 	front.SetCatalogue(c)
-	c.Revision, c.Entries = 3, append(c.Entries, w.entry)
+	c.Revision, c.Entries = 3, append(c.Entries, env.entry)
 	front.SetCatalogue(c)
-	s := w.session(front)
-	assertOK(w.c, s.ask(cwstatement.Write, "WRITE i 1"))
-	assertOK(w.c, s.ask(cwstatement.Begin, "BEGIN"))
-	assertOK(w.c, s.ask(cwstatement.Write, "WRITE i 2"))
-	assertOK(w.c, s.ask(cwstatement.Commit, "COMMIT"))
+	s := env.session(front)
+	assertOK(env.c, s.ask(cwstatement.Write, "WRITE i 1"))
+	assertOK(env.c, s.ask(cwstatement.Begin, "BEGIN"))
+	assertOK(env.c, s.ask(cwstatement.Write, "WRITE i 2"))
+	assertOK(env.c, s.ask(cwstatement.Commit, "COMMIT"))
 	_, made := front.Group(testService)
-	w.c.Assert(made, qt.IsFalse)
+	env.c.Assert(made, qt.IsFalse)
 }
 
 // Guards against groups that are held on the basis of a demand that is not known yet.
 func TestNoGroupIsHeldBeforeItsDemandIsKnown(t *testing.T) {
-	w := newTestEnv(t, cwcatalogue.ReadNewest)
-	w.listed = nil
+	env := newTestEnv(t, cwcatalogue.ReadNewest)
+	env.listed = nil
 	h := &holdsAllGroups{}
-	front := w.engineWithHolders("front", h)
+	front := env.engineWithHolders("front", h)
 	c := cwcatalogue.Catalogue{Revision: 2}
 	for i := range 2 * cwholder.ManyGroups {
-		c.Entries = append(c.Entries, w.otherEntry(i))
+		c.Entries = append(c.Entries, env.otherEntry(i))
 	}
 	front.SetCatalogue(c)
 	_, made := front.Group("other1")
-	w.c.Assert(made, qt.IsFalse)
+	env.c.Assert(made, qt.IsFalse)
 	front.SetListings([]cwport.Listing{{ID: "t", Service: "other1", Address: "t", DataCentre: "dc-a", Slots: 3}})
 	_, made = front.Group("other1")
-	w.c.Assert(made, qt.IsTrue)
+	env.c.Assert(made, qt.IsTrue)
 	_, made = front.Group("other2")
-	w.c.Assert(made, qt.IsFalse)
+	env.c.Assert(made, qt.IsFalse)
 }
 
 // holdsAllGroups makes its instance hold every group.
@@ -119,14 +119,14 @@
 // Guards against a change of one target that updates all of a thousand groups.
 func TestTargetChangeUpdatesOnlyItsGroup(t *testing.T) {
 	const groups = 1000
-	w := newTestEnv(t, cwcatalogue.ReadNewest)
-	w.listed = nil
+	env := newTestEnv(t, cwcatalogue.ReadNewest)
+	env.listed = nil
 	h := &countingHolders{}
-	front := w.engineWithHolders("front", h)
+	front := env.engineWithHolders("front", h)
 	c := cwcatalogue.Catalogue{Revision: 2}
 	var all []cwport.Listing
 	for i := range groups {
-		c.Entries = append(c.Entries, w.otherEntry(i))
+		c.Entries = append(c.Entries, env.otherEntry(i))
 		all = append(all, cwport.Listing{ID: memberID(fmt.Sprintf("t%d", i)), Service: fmt.Sprintf("other%d", i), Address: "t", DataCentre: "dc-a", Slots: 3})
 	}
 	front.SetCatalogue(c)
@@ -134,7 +134,7 @@
 	assertCalls := func(what string, f func(), want int) {
 		h.calls = 0
 		f()
-		w.c.Assert(h.calls, qt.Equals, want, qt.Commentf("%s", what))
+		env.c.Assert(h.calls, qt.Equals, want, qt.Commentf("%s", what))
 	}
 	changed := all[7]
 	changed.Role = cwport.LeadershipPrimary
@@ -151,23 +151,23 @@
 
 // Guards against an instance that never stops a group of which it has run a statement.
 func TestIdleGroupIsStopped(t *testing.T) {
-	w := newTestEnv(t, cwcatalogue.ReadNewest)
-	front := w.engineWithHolders("front", &forwardingHolders{})
-	c := cwcatalogue.Catalogue{Revision: 2, Entries: []cwcatalogue.Entry{w.entry}}
+	env := newTestEnv(t, cwcatalogue.ReadNewest)
+	front := env.engineWithHolders("front", &forwardingHolders{})
+	c := cwcatalogue.Catalogue{Revision: 2, Entries: []cwcatalogue.Entry{env.entry}}
 	for i := range cwholder.ManyGroups {
-		c.Entries = append(c.Entries, w.otherEntry(i))
+		c.Entries = append(c.Entries, env.otherEntry(i))
 	}
 	front.SetCatalogue(c)
-	s := w.session(front)
-	w.eventually("the caller is served", func() bool { return s.ask(cwstatement.Write, "WRITE i 1").Code == cwstatement.OK })
+	s := env.session(front)
+	env.eventually("the caller is served", func() bool { return s.ask(cwstatement.Write, "WRITE i 1").Code == cwstatement.OK })
 	_, made := front.Group(testService)
-	w.c.Assert(made, qt.IsTrue)
-	w.clock.Advance(groupIdleTimeout)
-	w.eventually("the group is given up", func() bool {
+	env.c.Assert(made, qt.IsTrue)
+	env.clock.Advance(groupIdleTimeout)
+	env.eventually("the group is given up", func() bool {
 		_, made := front.Group(testService)
 		return !made
 	})
-	w.eventually("the caller is served again", func() bool { return s.ask(cwstatement.Write, "WRITE i 2").Code == cwstatement.OK })
+	env.eventually("the caller is served again", func() bool { return s.ask(cwstatement.Write, "WRITE i 2").Code == cwstatement.OK })
 }
 
 // Guards against a list of targets that differs from what the platform has published.
--- a/internal/proxy/cwengine/harness_test.go
+++ b/internal/proxy/cwengine/harness_test.go
@@ -45,12 +45,12 @@
 
 func newTestEnv(t *testing.T, rule cwcatalogue.ReadRule) *testEnv {
 	c := qt.New(t)
-	w := &testEnv{
+	env := &testEnv{
 		c: c, clock: clockwork.NewFakeClockAt(time.Unix(1000, 0)),
 		group: cwreplica.NewGroup(testService, "a", "b", "c"), table: &memoryTable{rows: map[string]cwplatform.Row{}},
 		listed: []string{"a", "b", "c"},
 	}
-	w.entry = cwcatalogue.Entry{
+	env.entry = cwcatalogue.Entry{
 		Service: testDatabase,
 		Groups:  []cwcatalogue.Group{{Name: testService}},
 		Contract: cwcatalogue.Contract{
@@ -60,40 +60,40 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go w.advanceClock(ctx, done)
+	go env.advanceClock(ctx, done)
 	c.Cleanup(func() { cancel(); <-done })
-	return w
+	return env
 }
 
 // advanceClock advances the virtual time, about five times as fast as real time. On a
 // busy machine the entry's aim and time limit then still leave several hundred
 // milliseconds for a statement.
-func (w *testEnv) advanceClock(ctx context.Context, done chan struct{}) {
+func (env *testEnv) advanceClock(ctx context.Context, done chan struct{}) {
 	defer close(done)
 	for ctx.Err() == nil {
-		w.clock.Advance(2 * time.Millisecond)
+		env.clock.Advance(2 * time.Millisecond)
 		time.Sleep(400 * time.Microsecond)
 	}
 }
 
 // engine starts an engine with a name, by which the simulated group knows its
 // connections.
-func (w *testEnv) engine(name string) *Engine { return w.engineWithHolders(name, nil) }
+func (env *testEnv) engine(name string) *Engine { return env.engineWithHolders(name, nil) }
 
 // engineWithHolders starts an engine that forwards statements to holders.
-func (w *testEnv) engineWithHolders(name string, h cwport.Holders) *Engine {
-	return w.engineWithConfig(name, func(cfg *Config) { cfg.Holders = h })
+func (env *testEnv) engineWithHolders(name string, h cwport.Holders) *Engine {
+	return env.engineWithConfig(name, func(cfg *Config) { cfg.Holders = h })
 }
 
 // engineWithConfig starts an engine whose configuration change modifies first.
-func (w *testEnv) engineWithConfig(name string, change func(*Config)) *Engine {
+func (env *testEnv) engineWithConfig(name string, change func(*Config)) *Engine {
 	logger, path := log.New(io.Discard), &cwlead.Path{}
 	cfg := Config{
-		Clock: w.clock, Log: logger, Grace: 6 * time.Second, Name: name, Path: path, FirstStart: true,
+		Clock: env.clock, Log: logger, Grace: 6 * time.Second, Name: name, Path: path, FirstStart: true,
 		NewGroup: func(service string) *cwlead.Group {
 			return cwlead.New(cwlead.Config{
-				Self: cwfailover.InstanceID(name), DataCentre: "dc-a", Service: service, Clock: w.clock,
-				Log: logger, Dialer: w.group.From(name), Table: w.table, Promoter: w.group, Seed: "test", Path: path,
+				Self: cwfailover.InstanceID(name), DataCentre: "dc-a", Service: service, Clock: env.clock,
+				Log: logger, Dialer: env.group.From(name), Table: env.table, Promoter: env.group, Seed: "test", Path: path,
 			})
 		},
 	}
@@ -102,53 +102,53 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	eg, ctx := errgroup.WithContext(ctx)
 	e.Start(ctx, eg)
-	if w.onStart != nil {
-		w.onStart(e)
+	if env.onStart != nil {
+		env.onStart(e)
 	}
-	e.SetCatalogue(cwcatalogue.Catalogue{Revision: 1, Entries: []cwcatalogue.Entry{w.entry}})
+	e.SetCatalogue(cwcatalogue.Catalogue{Revision: 1, Entries: []cwcatalogue.Entry{env.entry}})
 	var all []cwport.Listing
-	for _, id := range w.listed {
+	for _, id := range env.listed {
 		all = append(all, cwport.Listing{ID: memberID(id), Service: testService, Address: id, DataCentre: "dc-" + id, Slots: 3})
 	}
 	e.SetListings(all)
-	w.c.Cleanup(func() {
+	env.c.Cleanup(func() {
 		cancel()
-		w.c.Check(eg.Wait(), qt.IsNil)
+		env.c.Check(eg.Wait(), qt.IsNil)
 	})
 	return e
 }
 
 // session opens a caller's session.
-func (w *testEnv) session(e *Engine) *testCaller { return w.sessionFor(e, "") }
+func (env *testEnv) session(e *Engine) *testCaller { return env.sessionFor(e, "") }
 
 // sessionFor opens the session of a caller with a key.
-func (w *testEnv) sessionFor(e *Engine, key string) *testCaller {
-	tc := &testCaller{c: w.c, key: cwcatalogue.DigestOf(key), in: make(chan cwstatement.Statement), out: make(chan cwstatement.Answer, 1), gone: make(chan struct{})}
+func (env *testEnv) sessionFor(e *Engine, key string) *testCaller {
+	tc := &testCaller{c: env.c, key: cwcatalogue.DigestOf(key), in: make(chan cwstatement.Statement), out: make(chan cwstatement.Answer, 1), gone: make(chan struct{})}
 	s := &session{engine: e, caller: tc}
 	e.mu.Lock()
 	e.sessions[s] = struct{}{}
 	e.mu.Unlock()
 	go s.serve()
-	w.c.Cleanup(func() { _ = tc.Close() })
+	env.c.Cleanup(func() { _ = tc.Close() })
 	return tc
 }
 
 // eventually waits until f returns true, and fails the test after 20 s of virtual time.
-func (w *testEnv) eventually(what string, f func() bool) {
-	w.c.Helper()
-	end := w.clock.Now().Add(20 * time.Second)
+func (env *testEnv) eventually(what string, f func() bool) {
+	env.c.Helper()
+	end := env.clock.Now().Add(20 * time.Second)
 	for !f() {
-		if w.clock.Now().After(end) {
-			w.c.Fatalf("not within 20 s: %s", what)
+		if env.clock.Now().After(end) {
+			env.c.Fatalf("not within 20 s: %s", what)
 		}
-		w.clock.Sleep(10 * time.Millisecond)
+		env.clock.Sleep(10 * time.Millisecond)
 	}
 }
 
 // waitForPrimary waits until the engine knows a primary that accepts writes.
-func (w *testEnv) waitForPrimary(e *Engine) {
-	w.c.Helper()
-	w.eventually("a primary is known", func() bool {
+func (env *testEnv) waitForPrimary(e *Engine) {
+	env.c.Helper()
+	env.eventually("a primary is known", func() bool {
 		g, _ := e.Group(testService)
 		_, err := g.Primary()
 		return err == nil
--- a/internal/proxy/cwengine/listings.go
+++ b/internal/proxy/cwengine/listings.go
@@ -73,6 +73,7 @@
 	return slices.ContainsFunc(l.byService[service], func(id cwgroup.MemberID) bool { return isActive(l.byID[id]) })
 }
 
+// isActive reports whether a target is neither leaving nor lapsed.
 func isActive(t cwport.Listing) bool { return !t.Leaving && !t.Lapsed }
 
 // services returns the services that have targets, in no particular order.
--- a/internal/proxy/cwengine/probe_load_test.go
+++ b/internal/proxy/cwengine/probe_load_test.go
@@ -18,36 +18,36 @@
 // Before answers to ordinary statements counted as confirmations, a group received 13
 // status requests a second and two more for each commit.
 func TestStatusRequestsUnderTraffic(t *testing.T) {
-	w := newTestEnv(t, cwcatalogue.ReadOwnWrites)
-	e := w.engine("x")
-	w.waitForPrimary(e)
-	s := w.session(e)
-	assertOK(w.c, s.ask(cwstatement.Write, "WRITE i 0"))
-	before := w.group.Questions()
+	env := newTestEnv(t, cwcatalogue.ReadOwnWrites)
+	e := env.engine("x")
+	env.waitForPrimary(e)
+	s := env.session(e)
+	assertOK(env.c, s.ask(cwstatement.Write, "WRITE i 0"))
+	before := env.group.Questions()
 	const commits = 100
 	for range commits {
-		assertOK(w.c, s.ask(cwstatement.Write, "WRITE i 1"))
-		assertRead(w.c, s.ask(cwstatement.Read, "READ i"), "1")
-		w.clock.Sleep(20 * time.Millisecond)
+		assertOK(env.c, s.ask(cwstatement.Write, "WRITE i 1"))
+		assertRead(env.c, s.ask(cwstatement.Read, "READ i"), "1")
+		env.clock.Sleep(20 * time.Millisecond)
 	}
-	requests := w.group.Questions() - before
+	requests := env.group.Questions() - before
 	t.Logf("%d status requests for %d commits and as many reads", requests, commits)
-	w.c.Assert(requests < 3*commits/2, qt.IsTrue, qt.Commentf("%d status requests", requests))
+	env.c.Assert(requests < 3*commits/2, qt.IsTrue, qt.Commentf("%d status requests", requests))
 }
 
 // Guards against a target that is considered lost although it serves all its open
 // connections. It had as many connections as it accepts, and refused the new one with
 // which it was probed.
 func TestFullTargetIsNotLost(t *testing.T) {
-	w := newTestEnv(t, cwcatalogue.ReadNewest)
-	e := w.engine("x")
-	w.waitForPrimary(e)
-	s := w.session(e)
-	assertOK(w.c, s.ask(cwstatement.Write, "WRITE i 1"))
-	w.group.LimitConnections("a", 1)
+	env := newTestEnv(t, cwcatalogue.ReadNewest)
+	e := env.engine("x")
+	env.waitForPrimary(e)
+	s := env.session(e)
+	assertOK(env.c, s.ask(cwstatement.Write, "WRITE i 1"))
+	env.group.LimitConnections("a", 1)
 	g, _ := e.Group(testService)
 	g.Suspect("a")
-	w.clock.Sleep(500 * time.Millisecond)
-	assertRead(w.c, s.ask(cwstatement.Read, "READ i"), "1")
-	w.c.Assert(w.group.Promotions(), qt.HasLen, 0)
+	env.clock.Sleep(500 * time.Millisecond)
+	assertRead(env.c, s.ask(cwstatement.Read, "READ i"), "1")
+	env.c.Assert(env.group.Promotions(), qt.HasLen, 0)
 }
--- a/internal/proxy/cwengine/quorum_test.go
+++ b/internal/proxy/cwengine/quorum_test.go
@@ -15,15 +15,15 @@
 // newSessionWithoutStore returns a caller's session at an instance whose table is then made
 // unavailable. A primary that the test cuts off afterwards cannot be replaced.
 func newSessionWithoutStore(t *testing.T, rule cwcatalogue.ReadRule) (*testEnv, *Engine, *testCaller) {
-	w := newTestEnv(t, rule)
-	e := w.engine("x")
-	w.waitForPrimary(e)
-	s := w.session(e)
-	assertOK(w.c, s.ask(cwstatement.Write, "WRITE i 1"))
-	w.table.mu.Lock()
-	w.table.unavailable = true
-	w.table.mu.Unlock()
-	return w, e, s
+	env := newTestEnv(t, rule)
+	e := env.engine("x")
+	env.waitForPrimary(e)
+	s := env.session(e)
+	assertOK(env.c, s.ask(cwstatement.Write, "WRITE i 1"))
+	env.table.mu.Lock()
+	env.table.unavailable = true
+	env.table.mu.Unlock()
+	return env, e, s
 }
 
 // Guards against reads that are refused for as long as the primary is lost and the platform's
@@ -32,15 +32,15 @@
 func TestReadsGoOnWithoutAPrimary(t *testing.T) {
 	for _, rule := range readRules {
 		t.Run(string(rule), func(t *testing.T) {
-			w, _, s := newSessionWithoutStore(t, rule)
-			w.group.Cut("x", "a", true)
-			w.clock.Sleep(2 * w.entry.Contract.MaxAge)
-			assertRead(w.c, s.ask(cwstatement.Read, "READ i"), "1")
-			assertOK(w.c, s.ask(cwstatement.BeginRead, "BEGIN READ"))
-			assertRead(w.c, s.ask(cwstatement.Read, "READ i"), "1")
-			assertOK(w.c, s.ask(cwstatement.Commit, "COMMIT"))
-			assertNothingKept(w.c, s.ask(cwstatement.Write, "WRITE i 2"))
-			w.c.Assert(w.group.Promotions(), qt.HasLen, 0)
+			env, _, s := newSessionWithoutStore(t, rule)
+			env.group.Cut("x", "a", true)
+			env.clock.Sleep(2 * env.entry.Contract.MaxAge)
+			assertRead(env.c, s.ask(cwstatement.Read, "READ i"), "1")
+			assertOK(env.c, s.ask(cwstatement.BeginRead, "BEGIN READ"))
+			assertRead(env.c, s.ask(cwstatement.Read, "READ i"), "1")
+			assertOK(env.c, s.ask(cwstatement.Commit, "COMMIT"))
+			assertNothingKept(env.c, s.ask(cwstatement.Write, "WRITE i 2"))
+			env.c.Assert(env.group.Promotions(), qt.HasLen, 0)
 		})
 	}
 }
@@ -50,13 +50,13 @@
 func TestReadWithoutAPrimaryMissesNothing(t *testing.T) {
 	for _, rule := range readRules {
 		t.Run(string(rule), func(t *testing.T) {
-			w, _, s := newSessionWithoutStore(t, rule)
-			w.group.SetDeaf("b", true)
-			assertOK(w.c, s.ask(cwstatement.Write, "WRITE i 2"))
-			w.group.Cut("x", "a", true)
-			w.clock.Sleep(2 * w.entry.Contract.MaxAge)
+			env, _, s := newSessionWithoutStore(t, rule)
+			env.group.SetDeaf("b", true)
+			assertOK(env.c, s.ask(cwstatement.Write, "WRITE i 2"))
+			env.group.Cut("x", "a", true)
+			env.clock.Sleep(2 * env.entry.Contract.MaxAge)
 			for range 10 {
-				assertRead(w.c, s.ask(cwstatement.Read, "READ i"), "2")
+				assertRead(env.c, s.ask(cwstatement.Read, "READ i"), "2")
 			}
 		})
 	}
@@ -65,11 +65,11 @@
 // Checks that a read is refused at once when the primary and the replica with the newest write
 // are lost together. Whether the last member has every write cannot be known.
 func TestReadWithoutAQuorumIsRefused(t *testing.T) {
-	w, e, s := newSessionWithoutStore(t, cwcatalogue.ReadNewest)
-	w.group.SetDeaf("b", true)
-	assertOK(w.c, s.ask(cwstatement.Write, "WRITE i 2"))
-	w.group.Cut("x", "a", true)
-	w.group.Cut("x", "c", true)
-	w.clock.Sleep(2 * time.Second)
-	assertNothingKept(w.c, w.session(e).tryAsk(cwstatement.Read, "READ i"))
+	env, e, s := newSessionWithoutStore(t, cwcatalogue.ReadNewest)
+	env.group.SetDeaf("b", true)
+	assertOK(env.c, s.ask(cwstatement.Write, "WRITE i 2"))
+	env.group.Cut("x", "a", true)
+	env.group.Cut("x", "c", true)
+	env.clock.Sleep(2 * time.Second)
+	assertNothingKept(env.c, env.session(e).tryAsk(cwstatement.Read, "READ i"))
 }
--- a/internal/proxy/cwengine/remote.go
+++ b/internal/proxy/cwengine/remote.go
@@ -87,6 +87,7 @@
 	return r, nil
 }
 
+// isNotSent reports whether a forwarded statement certainly did not reach its holder.
 func isNotSent(err error) bool {
 	var lost *cwport.LostError
 	return errors.As(err, &lost) && lost.NotSent
@@ -255,6 +256,7 @@
 	s.tx = s.failedTransaction(reason)
 }
 
+// failedTransaction returns a transaction that has failed and has no target.
 func (s *session) failedTransaction(reason string) *transaction {
 	return &transaction{session: s, failed: true, failure: reason}
 }
--- a/internal/proxy/cwengine/run.go
+++ b/internal/proxy/cwengine/run.go
@@ -45,6 +45,7 @@
 	return cwtargets.Claim{Deadline: l.startBy, Priority: l.priority, Due: l.due}
 }
 
+// newLimits returns the limits of a statement that arrived at began.
 func newLimits(c cwcatalogue.Contract, began time.Time) limits {
 	aim, timeout := c.Aim, c.StatementTimeout
 	if aim == 0 {
@@ -287,6 +288,7 @@
 	}
 }
 
+// acquireAt waits for the statement's turn at a member and leases a connection to it.
 func (t *task) acquireAt(place cwlead.Place) (*connLease, error) {
 	turn, err := place.Pool.Enter(t.limits.claim())
 	if err != nil {
--- a/internal/proxy/cwengine/session.go
+++ b/internal/proxy/cwengine/session.go
@@ -102,6 +102,8 @@
 	}
 }
 
+// start reads the caller's startup message and accepts or refuses the session. It
+// returns false if the session has ended.
 func (s *session) start() bool {
 	if err := s.caller.SetReadTimeout(startupTimeout); err != nil {
 		return false
@@ -181,6 +183,7 @@
 	_ = s.caller.SetReadTimeout(time.Nanosecond)
 }
 
+// handleEnd rolls back the open transaction after the caller's connection has ended.
 func (s *session) handleEnd(err error) {
 	s.failTransaction("the caller is gone")
 	if !errors.Is(err, io.EOF) {
--- a/internal/proxy/cwengine/transaction.go
+++ b/internal/proxy/cwengine/transaction.go
@@ -151,8 +151,8 @@
 
 // newTask returns the task of one statement of the transaction. The time of the earlier
 // statements makes the statement more urgent. Once a statement has run in the
-// transaction, a later one may start up to its own deadline, since giving up would mean
-// that all of them have to run again.
+// transaction, a later one is not given up for missing the entry's aim: it may start up
+// to its deadline, since otherwise all of them would have to run again.
 func (tx *transaction) newTask(id string, began time.Time) *task {
 	l := newLimits(tx.entry.Contract, began)
 	l.due = l.due.Add(-tx.statementTime)
