--- a/internal/proxy/cwengine/harness_test.go
+++ b/internal/proxy/cwengine/harness_test.go
@@ -23,17 +23,19 @@
 	"cicadawalk.example/cicadawalk/internal/wire/cwplatform"
 )
 
-// world is some engines before one group, on virtual time.
-type world struct {
+// testEnv is a simulated group with any number of engines that use it, on virtual
+// time.
+type testEnv struct {
 	c     *qt.C
 	clock *clockwork.FakeClock
 	group *cwreplica.Group
 	table *memoryTable
 	entry cwcatalogue.Entry
-	// listed are the members in the list of targets of engines that start.
+	// listed are the members in the list of targets that an engine gets at its start.
 	listed []string
-	// first is done to an engine that starts before it knows anything; it may be nil.
-	first func(*Engine)
+	// onStart, if not nil, is called with an engine that starts, before the engine gets
+	// its catalogue and list of targets.
+	onStart func(*Engine)
 }
 
 const (
@@ -41,14 +43,14 @@
 	testDatabase = "bookings"
 )
 
-func newWorld(t *testing.T, rule cwcatalogue.ReadRule) *world {
+func newTestEnv(t *testing.T, rule cwcatalogue.ReadRule) *testEnv {
 	c := qt.New(t)
-	w := &world{
+	env := &testEnv{
 		c: c, clock: clockwork.NewFakeClockAt(time.Unix(1000, 0)),
 		group: cwreplica.NewGroup(testService, "a", "b", "c"), table: &memoryTable{rows: map[string]cwplatform.Row{}},
 		listed: []string{"a", "b", "c"},
 	}
-	w.entry = cwcatalogue.Entry{
+	env.entry = cwcatalogue.Entry{
 		Service: testDatabase,
 		Groups:  []cwcatalogue.Group{{Name: testService}},
 		Contract: cwcatalogue.Contract{
@@ -58,39 +60,40 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go w.loopTime(ctx, done)
+	go env.advanceClock(ctx, done)
 	c.Cleanup(func() { cancel(); <-done })
-	return w
+	return env
 }
 
-// loopTime lets virtual time pass, some five times as fast as real time; the aim
-// and the time limit of the entry leave a busy machine several hundred
+// advanceClock advances the virtual time, about five times as fast as real time. On a
+// busy machine the entry's aim and time limit then still leave several hundred
 // milliseconds for a statement.
-func (w *world) loopTime(ctx context.Context, done chan struct{}) {
+func (env *testEnv) advanceClock(ctx context.Context, done chan struct{}) {
 	defer close(done)
 	for ctx.Err() == nil {
-		w.clock.Advance(2 * time.Millisecond)
+		env.clock.Advance(2 * time.Millisecond)
 		time.Sleep(400 * time.Microsecond)
 	}
 }
 
-// engine starts an engine that is called name on the paths of the group.
-func (w *world) engine(name string) *Engine { return w.engineWith(name, nil) }
+// engine starts an engine with a name, by which the simulated group knows its
+// connections.
+func (env *testEnv) engine(name string) *Engine { return env.engineWithHolders(name, nil) }
 
-// engineWith starts an engine that hands statements to holders.
-func (w *world) engineWith(name string, h cwport.Holders) *Engine {
-	return w.engineOf(name, func(cfg *Config) { cfg.Holders = h })
+// engineWithHolders starts an engine that forwards statements to holders.
+func (env *testEnv) engineWithHolders(name string, h cwport.Holders) *Engine {
+	return env.engineWithConfig(name, func(cfg *Config) { cfg.Holders = h })
 }
 
-// engineOf starts an engine whose settings are changed first.
-func (w *world) engineOf(name string, change func(*Config)) *Engine {
+// engineWithConfig starts an engine whose configuration change modifies first.
+func (env *testEnv) engineWithConfig(name string, change func(*Config)) *Engine {
 	logger, path := log.New(io.Discard), &cwlead.Path{}
 	cfg := Config{
-		Clock: w.clock, Log: logger, Grace: 6 * time.Second, Name: name, Path: path, FirstStart: true,
+		Clock: env.clock, Log: logger, Grace: 6 * time.Second, Name: name, Path: path, FirstStart: true,
 		NewGroup: func(service string) *cwlead.Group {
 			return cwlead.New(cwlead.Config{
-				Self: cwfailover.InstanceID(name), DataCentre: "dc-a", Service: service, Clock: w.clock,
-				Log: logger, Dialer: w.group.From(name), Table: w.table, Promoter: w.group, Seed: "test", Path: path,
+				Self: cwfailover.InstanceID(name), DataCentre: "dc-a", Service: service, Clock: env.clock,
+				Log: logger, Dialer: env.group.From(name), Table: env.table, Promoter: env.group, Seed: "test", Path: path,
 			})
 		},
 	}
@@ -99,60 +102,60 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	eg, ctx := errgroup.WithContext(ctx)
 	e.Start(ctx, eg)
-	if w.first != nil {
-		w.first(e)
+	if env.onStart != nil {
+		env.onStart(e)
 	}
-	e.SetCatalogue(cwcatalogue.Catalogue{Revision: 1, Entries: []cwcatalogue.Entry{w.entry}})
+	e.SetCatalogue(cwcatalogue.Catalogue{Revision: 1, Entries: []cwcatalogue.Entry{env.entry}})
 	var all []cwport.Listing
-	for _, id := range w.listed {
+	for _, id := range env.listed {
 		all = append(all, cwport.Listing{ID: memberID(id), Service: testService, Address: id, DataCentre: "dc-" + id, Slots: 3})
 	}
 	e.SetListings(all)
-	w.c.Cleanup(func() {
+	env.c.Cleanup(func() {
 		cancel()
-		w.c.Check(eg.Wait(), qt.IsNil)
+		env.c.Check(eg.Wait(), qt.IsNil)
 	})
 	return e
 }
 
 // session opens a caller's session.
-func (w *world) session(e *Engine) *testCaller { return w.sessionFor(e, "") }
+func (env *testEnv) session(e *Engine) *testCaller { return env.sessionFor(e, "") }
 
-// sessionFor opens a session of a caller with a key.
-func (w *world) sessionFor(e *Engine, key string) *testCaller {
-	tc := &testCaller{c: w.c, key: cwcatalogue.DigestOf(key), in: make(chan cwstatement.Statement), out: make(chan cwstatement.Answer, 1), gone: make(chan struct{})}
+// sessionFor opens the session of a caller with a key.
+func (env *testEnv) sessionFor(e *Engine, key string) *testCaller {
+	tc := &testCaller{c: env.c, key: cwcatalogue.DigestOf(key), in: make(chan cwstatement.Statement), out: make(chan cwstatement.Answer, 1), gone: make(chan struct{})}
 	s := &session{engine: e, caller: tc}
 	e.mu.Lock()
 	e.sessions[s] = struct{}{}
 	e.mu.Unlock()
-	go s.run()
-	w.c.Cleanup(func() { _ = tc.Close() })
+	go s.serve()
+	env.c.Cleanup(func() { _ = tc.Close() })
 	return tc
 }
 
-// eventually waits, in virtual time, until f holds.
-func (w *world) eventually(what string, f func() bool) {
-	w.c.Helper()
-	end := w.clock.Now().Add(20 * time.Second)
+// eventually waits until f returns true, and fails the test after 20 s of virtual time.
+func (env *testEnv) eventually(what string, f func() bool) {
+	env.c.Helper()
+	end := env.clock.Now().Add(20 * time.Second)
 	for !f() {
-		if w.clock.Now().After(end) {
-			w.c.Fatalf("not within 20 s: %s", what)
+		if env.clock.Now().After(end) {
+			env.c.Fatalf("not within 20 s: %s", what)
 		}
-		w.clock.Sleep(10 * time.Millisecond)
+		env.clock.Sleep(10 * time.Millisecond)
 	}
 }
 
-// settled waits until the engine knows a primary that writes can go to.
-func (w *world) settled(e *Engine) {
-	w.c.Helper()
-	w.eventually("a primary is known", func() bool {
+// waitForPrimary waits until the engine knows a primary that accepts writes.
+func (env *testEnv) waitForPrimary(e *Engine) {
+	env.c.Helper()
+	env.eventually("a primary is known", func() bool {
 		g, _ := e.Group(testService)
 		_, err := g.Primary()
 		return err == nil
 	})
 }
 
-// testCaller is a caller's end of a session. It implements cwport.Caller.
+// testCaller is the caller's side of a session. It implements cwport.Caller.
 type testCaller struct {
 	c    *qt.C
 	in   chan cwstatement.Statement
@@ -160,7 +163,7 @@
 	gone chan struct{}
 	once sync.Once
 
-	// key is the caller's.
+	// key is the digest of the caller's key.
 	key cwcatalogue.KeyDigest
 
 	mu   sync.Mutex
@@ -213,14 +216,14 @@
 	return tc.send(cwstatement.Statement{ID: text, Verb: v, Text: text})
 }
 
-// offer sends a statement of a session that may be sent away; an end without an
-// answer counts as an abort.
-func (tc *testCaller) offer(v cwstatement.Verb, text string) cwstatement.Answer {
+// tryAsk sends a statement on a session that the engine may close. A session that has
+// ended counts as an abort.
+func (tc *testCaller) tryAsk(v cwstatement.Verb, text string) cwstatement.Answer {
 	select {
 	case tc.in <- cwstatement.Statement{ID: text, Verb: v, Text: text}:
 		return <-tc.out
 	case <-tc.gone:
-		return cwstatement.Failure(cwstatement.Aborted, "sent away")
+		return cwstatement.Failure(cwstatement.Aborted, "the session was closed")
 	}
 }
 
@@ -234,21 +237,22 @@
 	return <-tc.out
 }
 
-// memoryTable is a table that loses nothing unless told so.
+// memoryTable is an in-memory table of the platform's store that can be made
+// unavailable.
 type memoryTable struct {
-	mu   sync.Mutex
-	rows map[string]cwplatform.Row
-	next int
-	away bool
+	mu          sync.Mutex
+	rows        map[string]cwplatform.Row
+	next        int
+	unavailable bool
 }
 
-var errAway = errors.New("away")
+var errUnavailable = errors.New("the table is unavailable")
 
 func (m *memoryTable) Get(_ context.Context, key string) (cwplatform.Row, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.away {
-		return cwplatform.Row{}, &cwplatform.UnavailableError{Cause: errAway}
+	if m.unavailable {
+		return cwplatform.Row{}, &cwplatform.UnavailableError{Cause: errUnavailable}
 	}
 	row, ok := m.rows[key]
 	if !ok {
@@ -262,8 +266,8 @@
 func (m *memoryTable) Commit(_ context.Context, ch cwplatform.Change) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.away {
-		return &cwplatform.UnavailableError{Cause: errAway}
+	if m.unavailable {
+		return &cwplatform.UnavailableError{Cause: errUnavailable}
 	}
 	for _, e := range ch.Expect {
 		if m.rows[e.Key].ETag != e.ETag {
