--- a/internal/core/cwroute/quorum.go
+++ b/internal/core/cwroute/quorum.go
@@ -6,13 +6,14 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwgroup"
 )
 
-// ReadQuorum returns a mark at or above everything that was acknowledged before
-// since, from what members other than the primary said. Every acknowledged record
-// was held by the primary and one more member at least, so all members but one
-// must have answered questions that were asked at since or later; the one that
-// did not may be the primary. The second result is false if too few did, if one
-// of them leads, or if a member does not count.
-func ReadQuorum(v cwgroup.View, since time.Time, counts func(cwgroup.MemberID) bool) (cwgroup.Mark, bool) {
+// ReadQuorum returns a mark at or above every record that was acknowledged
+// before since, computed from the reports of the members other than the primary.
+// Every acknowledged record is held by the primary and at least one more member,
+// so all members but one must have reported at since or later; the missing one
+// may be the primary. The second result is false if fewer have reported, if one
+// of them is a primary that is not known to be replaced, or if eligible returns
+// false for one of them.
+func ReadQuorum(v cwgroup.View, since time.Time, eligible func(cwgroup.MemberID) bool) (cwgroup.Mark, bool) {
 	primary, known := v.Primary()
 	var top cwgroup.Mark
 	heard := 0
@@ -23,9 +24,9 @@
 		case r.At.Before(since) || !r.Reachable:
 			continue
 		case r.Role == cwgroup.RolePrimary && r.Adopted <= v.Replaced():
-			// It does not know yet that it was replaced.
+			// This member has been replaced as primary and doesn't know it yet.
 			continue
-		case r.Role == cwgroup.RolePrimary || !counts(r.Member):
+		case r.Role == cwgroup.RolePrimary || !eligible(r.Member):
 			return cwgroup.Mark{}, false
 		}
 		heard++
--- a/internal/core/cwroute/route.go
+++ b/internal/core/cwroute/route.go
@@ -1,13 +1,20 @@
-// Package cwroute decides which member of a group serves a read.
+// Package cwroute routes reads and writes to the members of a replicated group.
 //
-// A member may serve a session's read if its log holds the session's floor, or,
-// where the caller accepts data of a stated age, if it is known to be no older
-// than that. Among those, the nearest data centre is taken first, then the
-// least loaded member. Where no replica qualifies, a Policy decides between
-// going to the primary and waiting for a replica to catch up.
+// A session that reads its own writes has a floor: the log position (a
+// cwgroup.Mark) that a member must have applied before it may serve the
+// session's reads. A caller that accepts bounded staleness states a maximum age
+// of the data instead. A read with a floor may go to any replica that has
+// applied the floor; a read with a maximum age may go to any replica whose data
+// is known to be no older; a read with both needs both.
 //
-// The package does no I/O: it takes a View, the load and the present time, and
-// returns a Decision.
+// Among the replicas that qualify, Router prefers the nearest data centre, then
+// the least loaded member. If no replica qualifies, a Policy chooses between
+// the primary and waiting for a replica to catch up. Quickest balances reads by
+// expected response time instead. History and LagMeter estimate the age of
+// replica data and the replication lag from observed log positions.
+//
+// The package does no I/O: it takes a cwgroup.View, the load and the current
+// time, and returns a Decision.
 package cwroute
 
 import (
@@ -17,78 +24,85 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwsession"
 )
 
-// Kind says what to do with a read.
+// Kind is the action that a Decision prescribes for a read.
 type Kind uint8
 
-// The kinds of decision.
+// The actions of a Decision.
 const (
-	// Serve the read at Decision.Member.
+	// Serve runs the read at Decision.Member.
 	Serve Kind = iota
-	// Wait until a report arrives, Decision.Wait at most, and decide again.
+	// Wait waits for the next status report, for at most Decision.Wait, and then
+	// decides again.
 	Wait
-	// AskPrimary for its position first, confirmed by a majority: the floor is
-	// not known, or not how old the primary's data is.
+	// AskPrimary asks the primary for its log position, confirmed by a majority
+	// of the members, and then decides again. It is returned while the floor or
+	// the age of the primary's data is unknown.
 	AskPrimary
-	// Refuse the read as not run.
+	// Refuse rejects the read without running it.
 	Refuse
 )
 
-// Decision is what to do with a read.
+// Decision is the routing decision for one read.
 type Decision struct {
-	Kind   Kind
+	Kind Kind
+	// Member is the member that serves the read. It is set for Serve only.
 	Member cwgroup.MemberID
 	// Replica is true if Member is not the primary.
 	Replica bool
-	Wait    time.Duration
-	// RetryAfter accompanies Refuse.
+	// Wait is the longest time to wait. It is set for the kind Wait only.
+	Wait time.Duration
+	// RetryAfter is the time after which the caller may retry. It is set for
+	// Refuse only.
 	RetryAfter time.Duration
 }
 
-// Candidate is what a decision needs to know about one member besides its
-// report.
+// Candidate holds what a decision needs to know about one member in addition to
+// its status report.
 type Candidate struct {
 	Member cwgroup.MemberID
-	// Distance is the one-way delay to the member's data centre.
+	// Distance is the one-way network delay to the member's data centre.
 	Distance time.Duration
-	// Load is the number of statements that this proxy has in progress there,
-	// divided by the member's limit.
+	// Load is the number of statements that this proxy has in progress at the
+	// member, divided by the member's limit.
 	Load float64
-	// Leaving is true if a planned stop keeps new work away.
+	// Leaving is true if the member is draining for a planned stop and accepts no
+	// new work.
 	Leaving bool
-	// Age is how old the member's data is at most, by this proxy's clock.
-	// AgeKnown is false if that cannot be told.
+	// Age is an upper bound of the age of the member's data, by this proxy's
+	// clock. It is valid only if AgeKnown is true.
 	Age      time.Duration
 	AgeKnown bool
-	// CatchUp is the expected time until the member holds the floor.
+	// CatchUp is the expected time until the member has applied the floor.
 	CatchUp time.Duration
 }
 
-// Read is one read to be placed.
+// Read describes one read to be routed.
 type Read struct {
 	Floor cwsession.Floor
-	// MaxAge is the age of data that the caller accepts; zero means that only
-	// the floor counts.
+	// MaxAge is the greatest age of data that the caller accepts. Zero means that
+	// only the floor counts.
 	MaxAge time.Duration
-	// Waited is how long the read has been waiting already.
+	// Waited is how long the read has already been waiting for a replica.
 	Waited time.Duration
 	// Confirmed is true if a majority has confirmed the primary since the read
-	// came; then the primary's data has no age.
+	// arrived. The primary's data then counts as current.
 	Confirmed bool
 }
 
-// Fresh is how long a report counts. A member that was silent for longer takes
-// no reads.
+// Fresh is how long a status report stays valid. A member whose last report is
+// older serves no reads.
 const Fresh = 2 * time.Second
 
-// RetryAfter is the time after which a refused read may be repeated.
+// RetryAfter is the time after which a caller may retry a refused read.
 const RetryAfter = 250 * time.Millisecond
 
-// Policy decides what happens to a read for which no replica qualifies but a
-// primary is there.
+// Policy decides what happens to a read for which no replica qualifies while a
+// primary is available.
 type Policy interface {
-	// Behind returns true to wait for a replica, with a bound, and false to go
-	// to the primary. The argument is the shortest expected time until a replica
-	// holds the floor.
+	// Behind returns true and the longest time to wait if the read is to wait for
+	// a replica, and false if it is to go to the primary. catchUp is the shortest
+	// expected time until a replica has applied the floor; waited is how long the
+	// read has been waiting already.
 	Behind(catchUp, waited time.Duration) (time.Duration, bool)
 }
 
@@ -98,8 +112,8 @@
 // Behind implements Policy.
 func (ToPrimary) Behind(time.Duration, time.Duration) (time.Duration, bool) { return 0, false }
 
-// WaitUpTo lets a read wait for a replica while the whole wait is expected to
-// stay within the bound, and sends it to the primary otherwise.
+// WaitUpTo lets a read wait for a replica while its total wait is expected to
+// stay within Bound, and sends it to the primary otherwise.
 type WaitUpTo struct{ Bound time.Duration }
 
 // Behind implements Policy.
@@ -111,31 +125,33 @@
 	return left, true
 }
 
-// Router places reads by a policy.
+// Router routes reads. Policy applies to reads for which no replica qualifies.
 type Router[P Policy] struct {
 	Policy P
 }
 
-// Place decides about one read.
+// Place returns the routing decision for a read, given a candidate for each
+// member of the group.
 func (r Router[P]) Place(v cwgroup.View, cands []Candidate, rd Read, now time.Time) Decision {
-	primary, primaryOK := usablePrimary(v, now)
+	primary, primaryOK := availablePrimary(v, now)
 	if !rd.Floor.Known && rd.MaxAge == 0 {
 		if !primaryOK {
 			return Decision{Kind: Refuse, RetryAfter: RetryAfter}
 		}
 		return Decision{Kind: AskPrimary}
 	}
-	best, catchUp := pickReplica(v, cands, rd, now)
+	best, catchUp := selectReplica(v, cands, rd, now)
 	if best != nil {
 		return Decision{Kind: Serve, Member: best.Member, Replica: true}
 	}
-	// The failure: a proxy on the wrong side of a partition still sees a primary
-	// that was replaced, and a session that has written at the new one roams
-	// here. Its floor tells: a primary of an earlier term lacks its writes.
+	// A proxy on the minority side of a partition still sees a primary that has
+	// been replaced, and a session that wrote to the new primary may move to
+	// this proxy. The term of the session's floor reveals that: a primary of an
+	// earlier term lacks the session's writes.
 	if !primaryOK || rd.Floor.Known && primary.Adopted < rd.Floor.Mark.Term {
 		return Decision{Kind: Refuse, RetryAfter: RetryAfter}
 	}
-	if rd.MaxAge > 0 && !rd.Confirmed && !youngEnough(cands, primary.Member, rd.MaxAge) {
+	if rd.MaxAge > 0 && !rd.Confirmed && !confirmedWithin(cands, primary.Member, rd.MaxAge) {
 		return Decision{Kind: AskPrimary}
 	}
 	if catchUp >= 0 {
@@ -146,34 +162,36 @@
 	return Decision{Kind: Serve, Member: primary.Member}
 }
 
-// pickReplica returns the best replica that may serve the read. If there is
-// none, it returns the shortest expected catch-up, negative if no replica is
-// expected to catch up.
-func pickReplica(v cwgroup.View, cands []Candidate, rd Read, now time.Time) (*Candidate, time.Duration) {
+// selectReplica returns the preferred replica among those that qualify for the
+// read, or nil if there is none. The second result is the shortest expected
+// catch-up time of the replicas that don't qualify; it is negative if there are
+// none.
+func selectReplica(v cwgroup.View, cands []Candidate, rd Read, now time.Time) (*Candidate, time.Duration) {
 	var best *Candidate
 	catchUp := time.Duration(-1)
 	for i := range cands {
 		c := &cands[i]
 		rep, ok := v.Report(c.Member)
-		if !ok || c.Leaving || !onBranch(v, rep) || now.Sub(rep.At) > Fresh || !rep.Reachable {
+		if !ok || c.Leaving || !replicaInCurrentTerm(v, rep) || now.Sub(rep.At) > Fresh || !rep.Reachable {
 			continue
 		}
-		if !qualifies(rep, c, rd) {
+		if !meetsRequirements(rep, c, rd) {
 			if catchUp < 0 || c.CatchUp < catchUp {
 				catchUp = c.CatchUp
 			}
 			continue
 		}
-		if best == nil || better(c, best) {
+		if best == nil || preferred(c, best) {
 			best = c
 		}
 	}
 	return best, catchUp
 }
 
-// youngEnough reports whether the primary is known to have led lately enough. A
-// primary that was replaced without knowing has data as old as that.
-func youngEnough(cands []Candidate, primary cwgroup.MemberID, maxAge time.Duration) bool {
+// confirmedWithin reports whether a majority confirmed the primary within the
+// last maxAge. A primary that has been replaced and doesn't know it yet may
+// lack all writes since its last confirmation.
+func confirmedWithin(cands []Candidate, primary cwgroup.MemberID, maxAge time.Duration) bool {
 	for i := range cands {
 		if cands[i].Member == primary {
 			return cands[i].AgeKnown && cands[i].Age <= maxAge
@@ -182,19 +200,22 @@
 	return false
 }
 
-// onBranch reports whether the member is a replica on the branch of the current
-// primary.
+// replicaInCurrentTerm reports whether the member is a replica whose log
+// belongs to the current primary's term.
 //
-// The guard is against a read from a replaced primary, or from a member that
-// still has a tail which nobody acknowledged and which will be cut: its
-// position can be past the floor on a branch that the session never saw. Such a
-// member's last applied record has an earlier term than the group's, or it leads one, or
-// it is fenced and was not told yet whom to follow.
-func onBranch(v cwgroup.View, r cwgroup.Report) bool {
+// It excludes replaced primaries, and members whose log ends in unacknowledged
+// records of an earlier term that will be truncated: the position of such a
+// member can be past the floor on a diverged log that the session never saw.
+// These members have applied nothing of the group's current term, have the
+// primary role in an earlier term, or are fenced and have no primary to follow
+// yet.
+func replicaInCurrentTerm(v cwgroup.View, r cwgroup.Report) bool {
 	return r.Role == cwgroup.RoleReplica && r.Applied.Term >= v.Term() && r.Applied.Term > 0
 }
 
-func qualifies(rep cwgroup.Report, c *Candidate, rd Read) bool {
+// meetsRequirements reports whether a replica's data satisfies the floor and
+// the maximum age of a read.
+func meetsRequirements(rep cwgroup.Report, c *Candidate, rd Read) bool {
 	if rd.Floor.Known && !rep.Applied.AtLeast(rd.Floor.Mark) {
 		return false
 	}
@@ -204,14 +225,18 @@
 	return c.AgeKnown && c.Age <= rd.MaxAge
 }
 
-func better(a, b *Candidate) bool {
+// preferred reports whether a is preferred to b: by distance, then by load.
+func preferred(a, b *Candidate) bool {
 	if a.Distance != b.Distance {
 		return a.Distance < b.Distance
 	}
 	return a.Load < b.Load
 }
 
-func usablePrimary(v cwgroup.View, now time.Time) (cwgroup.Report, bool) {
+// availablePrimary returns the report of the group's primary. The second result
+// is false if the primary is unknown, unreachable, silent for longer than
+// Fresh, or known to be replaced.
+func availablePrimary(v cwgroup.View, now time.Time) (cwgroup.Report, bool) {
 	p, ok := v.Primary()
 	if !ok || !p.Reachable || now.Sub(p.At) > Fresh || v.Superseded(p.Adopted) {
 		return cwgroup.Report{}, false
@@ -219,14 +244,14 @@
 	return p, true
 }
 
-// WritePrimary returns the member to which a write goes, or false if a write
-// could not be acknowledged now.
+// WritePrimary returns the report of the primary that takes writes. The second
+// result is false if a write cannot be acknowledged at present.
 //
-// A write is refused before it runs, rather than left unknown after, if no
-// majority of the members follows the primary's term: an isolated primary would
-// take the write and nobody could ever acknowledge it.
+// Unless a majority of the members has adopted the primary's term, a write is
+// refused before it runs: an isolated primary would execute it, no majority
+// could acknowledge it, and its outcome would stay unknown.
 func WritePrimary(v cwgroup.View, now time.Time) (cwgroup.Report, bool) {
-	p, ok := usablePrimary(v, now)
+	p, ok := availablePrimary(v, now)
 	if !ok {
 		return cwgroup.Report{}, false
 	}
--- a/internal/core/cwroute/route_test.go
+++ b/internal/core/cwroute/route_test.go
@@ -31,15 +31,17 @@
 	return cwsession.Floor{Mark: cwgroup.Mark{Term: t, Position: p}, Known: true}
 }
 
-// group is a primary a at 1/10, a replica b at 1/10 and a replica c at 1/7.
-func group() cwgroup.View {
+// testGroup returns a view of a primary a at mark 1/10, a replica b at 1/10 and a
+// replica c at 1/7.
+func testGroup() cwgroup.View {
 	return view(
 		report("a", cwgroup.RolePrimary, 1, cwgroup.Mark{Term: 1, Position: 10}),
 		report("b", cwgroup.RoleReplica, 1, cwgroup.Mark{Term: 1, Position: 10}),
 		report("c", cwgroup.RoleReplica, 1, cwgroup.Mark{Term: 1, Position: 7}))
 }
 
-func cands() []Candidate {
+// testCandidates returns a candidate for each member of testGroup.
+func testCandidates() []Candidate {
 	return []Candidate{
 		{Member: "a"},
 		{Member: "b", Distance: 2 * time.Millisecond, AgeKnown: true, Age: 50 * time.Millisecond, CatchUp: 0},
@@ -47,7 +49,7 @@
 	}
 }
 
-func TestPlace(t *testing.T) {
+func TestRoute(t *testing.T) {
 	primary := Decision{Kind: Serve, Member: "a"}
 	at := func(id cwgroup.MemberID) Decision { return Decision{Kind: Serve, Member: id, Replica: true} }
 	for _, tc := range []struct {
@@ -56,71 +58,73 @@
 		rd   Read
 		want Decision
 	}{
-		{"the nearest that has the floor", group(), Read{Floor: floor(1, 7)}, at("c")},
-		{"the farther one if only it has the floor", group(), Read{Floor: floor(1, 9)}, at("b")},
-		{"the primary if no replica has it", group(), Read{Floor: floor(1, 11)}, primary},
-		{"a floor of a later term than the primary's", group(), Read{Floor: floor(2, 3)}, Decision{Kind: Refuse, RetryAfter: RetryAfter}},
-		{"no floor known", group(), Read{}, Decision{Kind: AskPrimary}},
-		{"an age that one replica keeps", group(), Read{MaxAge: 100 * time.Millisecond}, at("b")},
-		{"an age that none keeps", group(), Read{MaxAge: 10 * time.Millisecond}, Decision{Kind: AskPrimary}},
-		{"an age that none keeps, the primary confirmed", group(), Read{MaxAge: 10 * time.Millisecond, Confirmed: true}, primary},
-		{"age and floor", group(), Read{Floor: floor(1, 9), MaxAge: time.Second}, at("b")},
-		{"nobody is there", view(), Read{Floor: floor(1, 1)}, Decision{Kind: Refuse, RetryAfter: RetryAfter}},
+		{"nearest replica has the floor", testGroup(), Read{Floor: floor(1, 7)}, at("c")},
+		{"only the farther replica has the floor", testGroup(), Read{Floor: floor(1, 9)}, at("b")},
+		{"no replica has the floor", testGroup(), Read{Floor: floor(1, 11)}, primary},
+		{"floor of a later term than the primary's", testGroup(), Read{Floor: floor(2, 3)}, Decision{Kind: Refuse, RetryAfter: RetryAfter}},
+		{"floor unknown", testGroup(), Read{}, Decision{Kind: AskPrimary}},
+		{"one replica within the maximum age", testGroup(), Read{MaxAge: 100 * time.Millisecond}, at("b")},
+		{"no replica within the maximum age", testGroup(), Read{MaxAge: 10 * time.Millisecond}, Decision{Kind: AskPrimary}},
+		{"no replica within the maximum age, primary confirmed", testGroup(), Read{MaxAge: 10 * time.Millisecond, Confirmed: true}, primary},
+		{"maximum age and floor", testGroup(), Read{Floor: floor(1, 9), MaxAge: time.Second}, at("b")},
+		{"no member known", view(), Read{Floor: floor(1, 1)}, Decision{Kind: Refuse, RetryAfter: RetryAfter}},
 		{"no primary, floor unknown", view(report("b", cwgroup.RoleReplica, 1, cwgroup.Mark{Term: 1, Position: 10})), Read{}, Decision{Kind: Refuse, RetryAfter: RetryAfter}},
 		{"no primary, floor known", view(report("b", cwgroup.RoleReplica, 1, cwgroup.Mark{Term: 1, Position: 10})), Read{Floor: floor(1, 9)}, at("b")},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			qt.Assert(t, Router[ToPrimary]{}.Place(tc.v, cands(), tc.rd, now), qt.Equals, tc.want)
+			qt.Assert(t, Router[ToPrimary]{}.Place(tc.v, testCandidates(), tc.rd, now), qt.Equals, tc.want)
 		})
 	}
 }
 
-// An owner sees a record that nobody acknowledged, and then it is gone: the
-// read went to a replaced primary, or to a replica whose log still has a tail
-// of the old branch. Neither is asked, whatever its position.
+// Guards against reads of unacknowledged records that disappear later. They come
+// about if a read goes to a replaced primary, or to a replica whose log still
+// ends in records of a diverged branch. Neither may serve reads, whatever its
+// position.
 func TestDeadBranchIsNotRead(t *testing.T) {
-	old := report("a", cwgroup.RolePrimary, 1, cwgroup.Mark{Term: 1, Position: 50})
-	next := report("b", cwgroup.RolePrimary, 2, cwgroup.Mark{Term: 2, Position: 12})
-	tail := report("c", cwgroup.RoleReplica, 2, cwgroup.Mark{Term: 1, Position: 40})
-	d := Router[ToPrimary]{}.Place(view(old, next, tail), cands(), Read{Floor: floor(1, 10)}, now)
+	replaced := report("a", cwgroup.RolePrimary, 1, cwgroup.Mark{Term: 1, Position: 50})
+	promoted := report("b", cwgroup.RolePrimary, 2, cwgroup.Mark{Term: 2, Position: 12})
+	diverged := report("c", cwgroup.RoleReplica, 2, cwgroup.Mark{Term: 1, Position: 40})
+	d := Router[ToPrimary]{}.Place(view(replaced, promoted, diverged), testCandidates(), Read{Floor: floor(1, 10)}, now)
 	qt.Assert(t, d, qt.Equals, Decision{Kind: Serve, Member: "b"})
 	fenced := report("c", cwgroup.RoleFenced, 2, cwgroup.Mark{Term: 2, Position: 40})
-	d = Router[ToPrimary]{}.Place(view(next, fenced), cands(), Read{Floor: floor(1, 10)}, now)
+	d = Router[ToPrimary]{}.Place(view(promoted, fenced), testCandidates(), Read{Floor: floor(1, 10)}, now)
 	qt.Assert(t, d, qt.Equals, Decision{Kind: Serve, Member: "b"})
 }
 
-func TestWaitUpTo(t *testing.T) {
+func TestBoundedWait(t *testing.T) {
 	r := Router[WaitUpTo]{Policy: WaitUpTo{Bound: 50 * time.Millisecond}}
 	v := view(
 		report("a", cwgroup.RolePrimary, 1, cwgroup.Mark{Term: 1, Position: 10}),
 		report("c", cwgroup.RoleReplica, 1, cwgroup.Mark{Term: 1, Position: 7}))
-	d := r.Place(v, cands(), Read{Floor: floor(1, 9)}, now)
+	d := r.Place(v, testCandidates(), Read{Floor: floor(1, 9)}, now)
 	qt.Assert(t, d, qt.Equals, Decision{Kind: Wait, Wait: 50 * time.Millisecond})
-	d = r.Place(v, cands(), Read{Floor: floor(1, 9), Waited: 30 * time.Millisecond}, now)
+	d = r.Place(v, testCandidates(), Read{Floor: floor(1, 9), Waited: 30 * time.Millisecond}, now)
 	qt.Assert(t, d, qt.Equals, Decision{Kind: Serve, Member: "a"})
 }
 
-func TestLeavingAndSilentMembersGetNothing(t *testing.T) {
-	cs := cands()
+func TestDrainingAndUnreachableMembersServeNoReads(t *testing.T) {
+	cs := testCandidates()
 	cs[1].Leaving = true
-	d := Router[ToPrimary]{}.Place(group(), cs, Read{Floor: floor(1, 9)}, now)
+	d := Router[ToPrimary]{}.Place(testGroup(), cs, Read{Floor: floor(1, 9)}, now)
 	qt.Assert(t, d.Member, qt.Equals, cwgroup.MemberID("a"))
-	d = Router[ToPrimary]{}.Place(group(), cands(), Read{Floor: floor(1, 9)}, now.Add(Fresh+1))
+	d = Router[ToPrimary]{}.Place(testGroup(), testCandidates(), Read{Floor: floor(1, 9)}, now.Add(Fresh+1))
 	qt.Assert(t, d.Kind, qt.Equals, Refuse)
-	d = Router[ToPrimary]{}.Place(group().WithUnreachable("b"), cands(), Read{Floor: floor(1, 9)}, now)
+	d = Router[ToPrimary]{}.Place(testGroup().WithUnreachable("b"), testCandidates(), Read{Floor: floor(1, 9)}, now)
 	qt.Assert(t, d.Member, qt.Equals, cwgroup.MemberID("a"))
 }
 
-// A clerk's booking runs at a primary that is cut off from its replicas, and
-// the answer can never be given. It is refused before it runs.
+// Guards against a write that runs at a primary that is cut off from its
+// replicas, where it can never be acknowledged. It must be refused before it
+// runs.
 func TestWritePrimaryNeedsAMajority(t *testing.T) {
-	p, ok := WritePrimary(group(), now)
+	p, ok := WritePrimary(testGroup(), now)
 	qt.Assert(t, ok, qt.IsTrue)
 	qt.Assert(t, p.Member, qt.Equals, cwgroup.MemberID("a"))
-	_, ok = WritePrimary(group().WithUnreachable("b").WithUnreachable("c"), now)
+	_, ok = WritePrimary(testGroup().WithUnreachable("b").WithUnreachable("c"), now)
 	qt.Assert(t, ok, qt.IsFalse)
 	moved := report("b", cwgroup.RoleFenced, 2, cwgroup.Mark{Term: 1, Position: 10})
-	_, ok = WritePrimary(group().WithReport(moved).WithUnreachable("c"), now)
+	_, ok = WritePrimary(testGroup().WithReport(moved).WithUnreachable("c"), now)
 	qt.Assert(t, ok, qt.IsFalse)
 }
 
@@ -137,7 +141,7 @@
 	qt.Assert(t, age, qt.Equals, 300*time.Millisecond)
 	age, _ = h.Age(cwgroup.Mark{Term: 1, Position: 4}, at(3000))
 	qt.Assert(t, age, qt.Equals, 2100*time.Millisecond)
-	// The primary is not seen any more: the age grows.
+	// Without new samples of the primary the age grows.
 	age, _ = h.Age(cwgroup.Mark{Term: 1, Position: 10}, at(9000))
 	qt.Assert(t, age, qt.Equals, 6300*time.Millisecond)
 	for i := range 1000 {
@@ -148,15 +152,18 @@
 	qt.Assert(t, known, qt.IsFalse)
 }
 
-// A hall is cut off together with a primary that has been replaced. An owner
-// who accepts data of five seconds must not be served from it for ever.
+// Guards against bounded-staleness reads that are served without end from a
+// replaced primary. It happens if a data centre is cut off together with that
+// primary, which keeps answering: a caller that accepts data five seconds old
+// would get ever older data.
 func TestSampledNeedsAMajority(t *testing.T) {
-	v := group()
+	v := testGroup()
 	p, _ := v.Primary()
 	at, ok := Sampled(v, p, now.Add(-time.Second))
 	qt.Assert(t, ok, qt.IsTrue)
 	qt.Assert(t, at, qt.Equals, now.Add(-time.Second))
-	// The others were last heard at now; later questions sample no later time.
+	// The other members last reported at now, so a later request confirms no
+	// later time.
 	at, ok = Sampled(v, p, now.Add(time.Hour))
 	qt.Assert(t, ok, qt.IsTrue)
 	qt.Assert(t, at, qt.Equals, now)
@@ -164,7 +171,7 @@
 	qt.Assert(t, ok, qt.IsFalse)
 }
 
-func TestLagMeter(t *testing.T) {
+func TestLagTracker(t *testing.T) {
 	var l LagMeter
 	for i := range 20 {
 		m := cwgroup.Mark{Term: 1, Position: cwgroup.Position(i + 1)}
@@ -177,8 +184,8 @@
 	qt.Assert(t, l.CatchUp("b", cwgroup.Mark{Term: 1, Position: 20}, last.Add(time.Second)), qt.Equals, time.Duration(0))
 }
 
-// A replica shows a record that was committed after the proxy saw the primary's
-// log end below it: the replica followed the primary later than that.
+// A replica that has a record received it from the primary after the last sample
+// in which the primary's log ended below that record.
 func TestCommittedAfter(t *testing.T) {
 	at := func(ms int) time.Time { return time.Unix(100, 0).Add(time.Duration(ms) * time.Millisecond) }
 	h := History{Spacing: 10 * time.Millisecond}
