--- a/internal/core/cwlimit/gate.go
+++ b/internal/core/cwlimit/gate.go
@@ -7,87 +7,92 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwrefusal"
 )
 
-// Ticket is one statement's place at a gate.
+// Ticket is the request of one statement for admission by a Gate.
 type Ticket struct {
-	// Deadline is when the statement must have started at the latest.
+	// Deadline is the latest time at which the statement may start.
 	Deadline time.Time
-	// Priority orders those that wait; lower goes first.
+	// Priority orders waiting statements; lower values are admitted first.
 	Priority int
-	// Due orders those of one priority. Zero stands for Deadline.
+	// Due orders waiting statements of the same priority; earlier times are
+	// admitted first. The zero time means Deadline.
 	Due time.Time
-	// Ready is called once the statement may start, or with a refusal. It is
-	// called while the gate's owner holds its lock, and must not block.
+	// Ready is called with nil once the statement may start, or with a refusal.
+	// It is called while the gate's owner holds its lock, and must not block.
 	Ready func(*cwrefusal.Refusal)
 
 	elem *list.Element
 }
 
-// Gate admits statements to one target. Limit statements are in progress at
-// once; QueueLimit more wait in the order of their priorities, then of when they
-// are due, then of arrival. A statement that is not expected to start by its
-// deadline is refused at once, with the time after which to come back, instead
-// of being held until it is too late.
+// Gate admits statements to one target. At most Limit statements are in progress
+// concurrently and at most QueueLimit wait, ordered by priority, then by due
+// time, then by arrival. A statement that is not expected to start by its
+// deadline is refused at once, with the time after which to retry, instead of
+// being queued until it is too late.
 //
 // A Gate is not safe for concurrent use; its owner's lock guards it.
 type Gate struct {
-	// Limit is the number of statements in progress at once.
+	// Limit is the number of statements that may be in progress concurrently.
 	Limit int
 	// QueueLimit is the number of statements that may wait.
 	QueueLimit int
 
-	// busy is the number of statements in progress. It can exceed Limit after
-	// Limit was lowered, never otherwise.
-	busy    int
-	queue   list.List
-	service time.Duration
+	// inFlight is the number of statements in progress. It exceeds Limit only
+	// after Limit was lowered.
+	inFlight int
+	queue    list.List
+	// averageServiceTime is the moving average of the time that a statement is in
+	// progress.
+	averageServiceTime time.Duration
 }
 
-// smoothing is the weight of the newest service time in the average.
-const smoothing = 0.1
+// serviceTimeWeight is the weight of the newest service time in the average.
+const serviceTimeWeight = 0.1
 
-// minRetryAfter is the least time a refused caller is told to wait.
+// minRetryAfter is the shortest retry delay that a refusal states.
 const minRetryAfter = 10 * time.Millisecond
 
 // Busy returns the number of statements in progress.
-func (g *Gate) Busy() int { return g.busy }
+func (g *Gate) Busy() int { return g.inFlight }
 
-// Queued returns the number of statements that wait.
+// Queued returns the number of waiting statements.
 func (g *Gate) Queued() int { return g.queue.Len() }
 
-// expectedWait is how long a statement would wait behind ahead others.
-func (g *Gate) expectedWait(ahead int) time.Duration {
+// waitBehind returns the expected wait of a statement with ahead statements
+// before it in the queue.
+func (g *Gate) waitBehind(ahead int) time.Duration {
 	if g.Limit <= 0 {
 		return 0
 	}
-	return g.service * time.Duration(ahead+1) / time.Duration(g.Limit)
+	return g.averageServiceTime * time.Duration(ahead+1) / time.Duration(g.Limit)
 }
 
-// Expect returns how long a statement without haste would wait now.
+// Expect returns the expected wait of a statement that is queued last.
 func (g *Gate) Expect() time.Duration {
-	if g.busy < g.Limit && g.queue.Len() == 0 {
+	if g.inFlight < g.Limit && g.queue.Len() == 0 {
 		return 0
 	}
-	return g.expectedWait(g.queue.Len())
+	return g.waitBehind(g.queue.Len())
 }
 
-// before reports whether t goes before o, which came earlier.
+// before reports whether t is admitted before o, which arrived earlier.
 func (t *Ticket) before(o *Ticket) bool {
 	if t.Priority != o.Priority {
 		return t.Priority < o.Priority
 	}
-	return t.due().Before(o.due())
+	return t.dueTime().Before(o.dueTime())
 }
 
-func (t *Ticket) due() time.Time {
+// dueTime returns Due or its default.
+func (t *Ticket) dueTime() time.Time {
 	if t.Due.IsZero() {
 		return t.Deadline
 	}
 	return t.Due
 }
 
-// place returns the waiting ticket behind which t belongs, nil for the front,
-// and how many are ahead of it.
-func (g *Gate) place(t *Ticket) (after *list.Element, ahead int) {
+// queuePosition returns the queue element after which t belongs, or nil if t
+// belongs at the front, and the number of tickets ahead of t.
+func (g *Gate) queuePosition(t *Ticket) (after *list.Element, ahead int) {
 	ahead = g.queue.Len()
 	for e := g.queue.Back(); e != nil; e = e.Prev() {
 		if !t.before(e.Value.(*Ticket)) {
@@ -98,16 +103,16 @@
 	return nil, 0
 }
 
-// Enter asks for a place. It calls Ready at once if there is one or if the
-// statement is refused, and later otherwise.
+// Enter requests admission. It calls Ready at once if the statement may start or
+// is refused. Otherwise the ticket is queued and Ready is called later.
 func (g *Gate) Enter(t *Ticket, now time.Time) {
-	if g.busy < g.Limit && g.queue.Len() == 0 {
-		g.busy++
+	if g.inFlight < g.Limit && g.queue.Len() == 0 {
+		g.inFlight++
 		t.Ready(nil)
 		return
 	}
-	after, ahead := g.place(t)
-	wait := g.expectedWait(ahead)
+	after, ahead := g.queuePosition(t)
+	wait := g.waitBehind(ahead)
 	switch {
 	case g.queue.Len() >= g.QueueLimit:
 		t.Ready(cwrefusal.NotRun(cwrefusal.TooManyConnections, max(wait, minRetryAfter), "the queue for this database is full"))
@@ -118,6 +123,7 @@
 	}
 }
 
+// insert queues t after the given element, or at the front if that is nil.
 func (g *Gate) insert(t *Ticket, after *list.Element) *list.Element {
 	if after == nil {
 		return g.queue.PushFront(t)
@@ -125,8 +131,8 @@
 	return g.queue.InsertAfter(t, after)
 }
 
-// Abandon takes a waiting ticket out of the queue, if it is still there. Ready
-// is not called.
+// Abandon removes a ticket from the queue if it is still waiting. Ready is not
+// called.
 func (g *Gate) Abandon(t *Ticket) {
 	if t.elem != nil {
 		g.queue.Remove(t.elem)
@@ -134,92 +140,95 @@
 	}
 }
 
-// Leave returns a place after a statement took the given time.
+// Leave ends an admitted statement that was in progress for the time took, and
+// admits waiting ones.
 func (g *Gate) Leave(took time.Duration, now time.Time) {
-	g.busy--
-	if g.service == 0 {
-		g.service = took
+	g.inFlight--
+	if g.averageServiceTime == 0 {
+		g.averageServiceTime = took
 	}
-	g.service += time.Duration(smoothing * float64(took-g.service))
-	g.advance(now)
+	g.averageServiceTime += time.Duration(serviceTimeWeight * float64(took-g.averageServiceTime))
+	g.admitWaiting(now)
 }
 
-// SetLimit changes the limit.
+// SetLimit changes Limit and admits waiting statements that it allows.
 func (g *Gate) SetLimit(n int, now time.Time) {
 	g.Limit = n
-	g.advance(now)
+	g.admitWaiting(now)
 }
 
-// Expire refuses the waiting statements whose deadline has passed.
+// Expire refuses waiting statements whose deadline has passed.
 func (g *Gate) Expire(now time.Time) {
 	for e := g.queue.Front(); e != nil; {
 		next := e.Next()
 		if t := e.Value.(*Ticket); now.After(t.Deadline) {
 			g.queue.Remove(e)
 			t.elem = nil
-			t.Ready(cwrefusal.NotRun(cwrefusal.TooManyConnections, max(g.expectedWait(g.queue.Len()), minRetryAfter), "the database stayed too busy to start this in time"))
+			t.Ready(cwrefusal.NotRun(cwrefusal.TooManyConnections, max(g.waitBehind(g.queue.Len()), minRetryAfter), "the database stayed too busy to start this in time"))
 		}
 		e = next
 	}
 }
 
-func (g *Gate) advance(now time.Time) {
+// admitWaiting refuses expired statements and admits waiting ones up to Limit.
+func (g *Gate) admitWaiting(now time.Time) {
 	g.Expire(now)
-	for g.busy < g.Limit && g.queue.Len() > 0 {
+	for g.inFlight < g.Limit && g.queue.Len() > 0 {
 		t := g.queue.Remove(g.queue.Front()).(*Ticket)
 		t.elem = nil
-		g.busy++
+		g.inFlight++
 		t.Ready(nil)
 	}
 }
 
-// Budget bounds retries to a share of the requests, so that an outage is not
-// multiplied by everybody repeating. Each request earns a fraction of a retry,
-// and each retry spends one.
+// Budget limits retries to a share of the requests, so that retries don't
+// multiply the load during an outage. Each request adds a fraction of a token
+// and each retry takes one token. The budget starts full.
 type Budget struct {
-	// Ratio is the retries earned by one request.
+	// Ratio is the number of tokens that a request adds.
 	Ratio float64
-	// Max is the most that can be saved up.
+	// Max is the greatest number of tokens that accumulate.
 	Max float64
 
-	saved   float64
+	tokens  float64
 	started bool
 }
 
-// Earn records a request.
+// Earn adds the tokens of one request.
 func (b *Budget) Earn() {
 	if !b.started {
-		b.saved, b.started = b.Max, true
+		b.tokens, b.started = b.Max, true
 	}
-	b.saved = min(b.Max, b.saved+b.Ratio)
+	b.tokens = min(b.Max, b.tokens+b.Ratio)
 }
 
-// Spend takes one retry from the budget, or reports that there is none.
+// Spend takes a token for one retry. It returns false if there is none.
 func (b *Budget) Spend() bool {
-	if b.saved < 1 {
+	if b.tokens < 1 {
 		return false
 	}
-	b.saved--
+	b.tokens--
 	return true
 }
 
-// Adaptive finds the number of statements that a target executes well at once.
-// It starts from a seed, the entry's slots, and moves by additive increase and
-// multiplicative decrease: while latency stays near the best seen it grows, and
-// once latency is a multiple of that it shrinks.
+// Adaptive finds the concurrency limit of a target, the number of statements
+// that it executes concurrently without queueing them. The limit starts at Seed,
+// the slots of the catalogue entry, and changes by additive increase and
+// multiplicative decrease: it grows while the latency stays near the lowest one
+// observed and shrinks once the latency is a multiple of that.
 type Adaptive struct {
-	// Seed is where the limit starts. Max is its upper bound.
+	// Seed is the initial limit, and Max its upper bound.
 	Seed, Max int
 
-	limit float64
-	best  time.Duration
+	limit       float64
+	bestLatency time.Duration
 }
 
-// latencyTolerance is the multiple of the best latency beyond which the target
-// counts as queueing.
+// latencyTolerance is the multiple of the lowest latency above which the target
+// is considered to queue statements.
 const latencyTolerance = 3
 
-// Limit returns the present limit.
+// Limit returns the current limit. It is at least 1.
 func (a *Adaptive) Limit() int {
 	if a.limit == 0 {
 		a.limit = float64(a.Seed)
@@ -227,23 +236,24 @@
 	return max(1, min(a.Max, int(a.limit)))
 }
 
-// Observe records one statement's latency while busy statements were in
-// progress.
+// Observe records the latency of a statement that ended while busy statements
+// were in progress.
 func (a *Adaptive) Observe(latency time.Duration, busy int) {
 	limit := a.Limit()
-	if a.best == 0 || latency < a.best {
-		a.best = latency
+	if a.bestLatency == 0 || latency < a.bestLatency {
+		a.bestLatency = latency
 	}
 	switch {
-	case latency <= latencyTolerance*a.best+time.Millisecond:
+	case latency <= latencyTolerance*a.bestLatency+time.Millisecond:
 		if busy >= limit {
 			a.limit = min(float64(a.Max), a.limit+1/a.limit)
 		}
 	case limit > 1:
 		a.limit = max(1, a.limit*0.98)
 	default:
-		// Alone and still slow: the target became slower for good. Only now may
-		// the best latency be forgotten; otherwise queueing would pass for it.
-		a.best += (latency - a.best) / 16
+		// A single statement is slow too, so the target itself became slower. The
+		// lowest latency is raised in this case only; otherwise it would adapt to
+		// queueing.
+		a.bestLatency += (latency - a.bestLatency) / 16
 	}
 }
--- a/internal/core/cwlimit/limit_test.go
+++ b/internal/core/cwlimit/limit_test.go
@@ -13,7 +13,7 @@
 
 var now = time.Unix(1000, 0)
 
-func names(n int) []string {
+func instanceNames(n int) []string {
 	out := make([]string, n)
 	for i := range out {
 		out[i] = fmt.Sprintf("entry-%d", i)
@@ -21,10 +21,10 @@
 	return out
 }
 
-func TestSharesFillTheLimitAndNoMore(t *testing.T) {
+func TestSharesSumToLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := Shares{Limit: rapid.IntRange(0, 60).Draw(t, "limit"), Control: rapid.IntRange(0, 20).Draw(t, "control")}
-		holders := names(rapid.IntRange(1, 40).Draw(t, "holders"))
+		holders := instanceNames(rapid.IntRange(1, 40).Draw(t, "holders"))
 		sum := 0
 		for _, h := range holders {
 			sum += s.Of(h, "db-1", holders)
@@ -35,17 +35,19 @@
 	})
 }
 
-// A failover's connections are refused: the list of instances lags, a new proxy
-// took its share already and the others still had the larger ones. Whatever the
-// order in which proxies start and stop and hear of it, the sum stays within.
+// Guards against connections that the target refuses, for example those of a
+// failover, because the sum of all shares exceeds its limit. It comes about if
+// the list of instances is out of date: a new proxy uses its share while the
+// others still use their larger ones. The sum must stay within the limit in
+// whatever order proxies start, stop and learn of each other.
 func TestHeldSharesNeverExceedTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const tick, lagTicks = 100 * time.Millisecond, 10
 		s := Shares{Limit: 25, Control: 5}
-		all := names(6)
+		all := instanceNames(6)
 		held := make([]Held, len(all))
 		running := make([]bool, len(all))
-		var truth [][]string
+		var listHistory [][]string
 		for n := range 80 {
 			i := rapid.IntRange(0, 40).Draw(t, "flip")
 			if i < len(all) {
@@ -58,39 +60,41 @@
 					live = append(live, h)
 				}
 			}
-			truth = append(truth, live)
+			listHistory = append(listHistory, live)
 			sum := 0
 			for i, h := range all {
 				if !running[i] {
 					continue
 				}
-				// Each proxy sees the list as it was some time ago.
+				// Each proxy sees a list of up to lagTicks-1 ticks ago.
 				old := max(0, n-rapid.IntRange(0, lagTicks-1).Draw(t, "old"))
-				sum += held[i].Update(s.Of(h, "db", truth[old]), now.Add(time.Duration(n)*tick))
+				sum += held[i].Update(s.Of(h, "db", listHistory[old]), now.Add(time.Duration(n)*tick))
 			}
 			if sum > s.Limit-s.Control {
-				t.Fatalf("%d connections held at tick %d", sum, n)
+				t.Fatalf("shares sum to %d connections at tick %d", sum, n)
 			}
 		}
 	})
 }
 
+// waiter is a ticket that records whether it was admitted or refused.
 type waiter struct {
 	Ticket
 	started bool
 	refused *cwrefusal.Refusal
 }
 
-func wait(deadline time.Duration) *waiter {
+// newWaiter returns a waiter whose deadline is that long after now.
+func newWaiter(deadline time.Duration) *waiter {
 	w := &waiter{}
 	w.Deadline = now.Add(deadline)
 	w.Ready = func(r *cwrefusal.Refusal) { w.started, w.refused = r == nil, r }
 	return w
 }
 
-func TestGate(t *testing.T) {
+func TestAdmissionQueue(t *testing.T) {
 	g := Gate{Limit: 1, QueueLimit: 2}
-	first, second, third, fourth := wait(time.Second), wait(time.Second), wait(time.Second), wait(time.Second)
+	first, second, third, fourth := newWaiter(time.Second), newWaiter(time.Second), newWaiter(time.Second), newWaiter(time.Second)
 	for _, w := range []*waiter{first, second, third, fourth} {
 		g.Enter(&w.Ticket, now)
 	}
@@ -105,32 +109,32 @@
 	qt.Assert(t, third.started, qt.IsFalse)
 	qt.Assert(t, g.Busy(), qt.Equals, 0)
 
-	t.Run("who cannot make it is refused at once", func(t *testing.T) {
+	t.Run("statement that cannot start in time is refused at once", func(t *testing.T) {
 		g := Gate{Limit: 1, QueueLimit: 100}
-		g.Enter(&wait(time.Hour).Ticket, now)
+		g.Enter(&newWaiter(time.Hour).Ticket, now)
 		g.Leave(time.Second, now)
-		g.Enter(&wait(time.Hour).Ticket, now)
-		late := wait(500 * time.Millisecond)
+		g.Enter(&newWaiter(time.Hour).Ticket, now)
+		late := newWaiter(500 * time.Millisecond)
 		g.Enter(&late.Ticket, now)
 		qt.Assert(t, late.refused, qt.Not(qt.IsNil))
 		qt.Assert(t, late.refused.RetryAfter, qt.Equals, time.Second)
 	})
-	t.Run("who has least time goes first", func(t *testing.T) {
+	t.Run("earliest deadline is admitted first", func(t *testing.T) {
 		g := Gate{Limit: 1, QueueLimit: 100}
-		g.Enter(&wait(time.Hour).Ticket, now)
-		patient, urgent, second := wait(time.Hour), wait(time.Second), wait(time.Second)
-		for _, w := range []*waiter{patient, urgent, second} {
+		g.Enter(&newWaiter(time.Hour).Ticket, now)
+		relaxed, urgent, second := newWaiter(time.Hour), newWaiter(time.Second), newWaiter(time.Second)
+		for _, w := range []*waiter{relaxed, urgent, second} {
 			g.Enter(&w.Ticket, now)
 		}
 		g.Leave(time.Millisecond, now)
-		qt.Assert(t, urgent.started && !second.started && !patient.started, qt.IsTrue)
+		qt.Assert(t, urgent.started && !second.started && !relaxed.started, qt.IsTrue)
 		g.Leave(time.Millisecond, now)
-		qt.Assert(t, second.started && !patient.started, qt.IsTrue)
+		qt.Assert(t, second.started && !relaxed.started, qt.IsTrue)
 	})
-	t.Run("priority goes before haste, haste before patience", func(t *testing.T) {
+	t.Run("priority precedes due time", func(t *testing.T) {
 		g := Gate{Limit: 1, QueueLimit: 100}
-		g.Enter(&wait(time.Hour).Ticket, now)
-		low, high, due := wait(time.Second), wait(time.Hour), wait(time.Hour)
+		g.Enter(&newWaiter(time.Hour).Ticket, now)
+		low, high, due := newWaiter(time.Second), newWaiter(time.Hour), newWaiter(time.Hour)
 		high.Priority, due.Priority = -1, -1
 		due.Due = now
 		for _, w := range []*waiter{low, high, due} {
@@ -141,10 +145,10 @@
 		g.Leave(time.Millisecond, now)
 		qt.Assert(t, high.started && !low.started, qt.IsTrue)
 	})
-	t.Run("who waited too long is refused when that is sure", func(t *testing.T) {
+	t.Run("expired statement is refused", func(t *testing.T) {
 		g := Gate{Limit: 1, QueueLimit: 100}
-		g.Enter(&wait(time.Hour).Ticket, now)
-		w := wait(time.Second)
+		g.Enter(&newWaiter(time.Hour).Ticket, now)
+		w := newWaiter(time.Second)
 		g.Enter(&w.Ticket, now)
 		g.Expire(now.Add(2 * time.Second))
 		qt.Assert(t, w.refused.NotRun, qt.IsTrue)
@@ -152,7 +156,7 @@
 	})
 }
 
-func TestBudgetBoundsRetries(t *testing.T) {
+func TestRetryBudget(t *testing.T) {
 	b := Budget{Ratio: 0.1, Max: 5}
 	spent := 0
 	for range 1000 {
@@ -165,8 +169,8 @@
 	qt.Assert(t, spent >= 95, qt.IsTrue, qt.Commentf("%d", spent))
 }
 
-func TestAdaptiveLimitFindsTheKnee(t *testing.T) {
-	// A target that executes four statements well at once: beyond, they queue.
+func TestAdaptiveLimitConverges(t *testing.T) {
+	// The target executes four statements concurrently and queues any more.
 	a := Adaptive{Seed: 3, Max: 50}
 	for range 3000 {
 		n := a.Limit()
--- a/internal/core/cwlimit/seed_test.go
+++ b/internal/core/cwlimit/seed_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// TestMain draws the same cases at each run, so that CI gives the same verdict.
-// To draw others, give -rapid.seed, and -rapid.checks for more.
+// TestMain sets a fixed seed for the property tests, so that CI runs are
+// reproducible. Set -rapid.seed to draw other cases and -rapid.checks to draw
+// more.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	given := false
--- a/internal/core/cwlimit/share.go
+++ b/internal/core/cwlimit/share.go
@@ -1,10 +1,18 @@
-// Package cwlimit keeps connections scarce and overload short.
+// Package cwlimit provides admission control and limits for connections,
+// concurrency and retries.
 //
-// Four small parts, each without I/O: a Share says how many connections one
-// proxy may open to one target, such that the sum over all proxies stays within
-// the target's limit; a Gate admits statements, keeps a bounded queue and
-// refuses at once what cannot make its deadline; a Budget bounds retries; an
-// Adaptive limit finds how many statements a target executes well at once.
+// Its types do no I/O:
+//
+//   - Shares divides a target's connection limit among the instances that open
+//     connections to it. Held applies a changed share without exceeding the
+//     limit while instances see different lists of each other.
+//   - Gate admits statements to a target up to a concurrency limit, keeps a
+//     bounded queue, and refuses at once a statement that is not expected to
+//     start by its deadline.
+//   - Adaptive and Pace adjust a concurrency limit to the observed latency:
+//     Adaptive by the latency of each statement, Pace by the average latency at
+//     a target that several proxies share.
+//   - Budget limits retries to a share of the requests.
 package cwlimit
 
 import (
@@ -13,74 +21,78 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwplace"
 )
 
-// Shares is what the limit of a target leaves each of its holders.
+// Shares divides the connection limit of a target among its holders, the
+// instances that may open connections to it.
 type Shares struct {
 	// Limit is the number of connections that the target accepts.
 	Limit int
-	// Control is how many of them are set aside for control: a feed for each
-	// holder and a few for fresh probes.
+	// Control is the number of connections reserved for control: a status feed
+	// for each holder and a few for probes over new connections.
 	Control int
 }
 
-// Of returns how many connections instance self may open for traffic, where the
-// holders are the instances that may open any. The remainder of the division
-// goes to the first holders by rendezvous order of the target, so that not
-// always the same instances have one more. Past the size at which every holder
-// can have at least one, the first Limit-Control holders have one each.
+// Of returns how many connections instance self may open for traffic. It is zero
+// if self is not among holders. The remainder of the division goes to the first
+// holders in the rendezvous order of the target, so that the additional
+// connections don't always go to the same instances. If there are more holders
+// than connections for traffic, the first Limit-Control holders get one each.
 func (s Shares) Of(self, target string, holders []string) int {
 	rank := cwplace.Rank(self, target, holders)
 	if rank == len(holders) {
-		// Whoever is not in the list is not counted by the others either.
+		// The other instances don't count this one either.
 		return 0
 	}
-	free := max(0, s.Limit-s.Control)
-	share, rest := free/len(holders), free%len(holders)
-	if rank < rest {
+	available := max(0, s.Limit-s.Control)
+	share, remainder := available/len(holders), available%len(holders)
+	if rank < remainder {
 		share++
 	}
 	return share
 }
 
-// Held is the share of one target that a proxy acts on. It falls at once and
-// rises late.
+// Held is the share of a target's connections that a proxy uses at present. It
+// decreases at once and increases after a delay.
 //
-// The failure: the list of instances lags. A new instance already takes its
-// share while the others still count without it, and the sum exceeds the
-// target's limit, which shows as refused connections, at worst those of a
-// failover. The guard: a proxy lets its share rise only after the larger share
-// has been due for the whole lag, and every list since then has agreed. A share
-// that is due to fall falls at once. A proxy that has just started begins at
-// zero and waits as well.
+// The list of instances that a proxy sees can be out of date. A new instance
+// could use its share while the others still compute theirs without it, and the
+// sum would exceed the target's limit. The target would then refuse connections,
+// in the worst case those of a failover. Therefore an increased share applies
+// only after every list during the time Lag has given at least that share. A
+// smaller share applies at once. A proxy that has just started begins at zero
+// and waits as well.
 type Held struct {
-	// Lag is the longest time by which the list of instances lags, and the time
-	// between two looks at it: a proxy acts on a list that old.
+	// Lag is the greatest age of the list that a proxy acts on: the propagation
+	// delay of the list plus the interval between two reads of it.
 	Lag time.Duration
 
-	now   int
-	due   int
-	since time.Time
+	// current is the share in use.
+	current int
+	// pending is the increased share that applies once Lag has passed since
+	// pendingSince. It equals current if no increase is pending.
+	pending      int
+	pendingSince time.Time
 }
 
-// Update takes the share that the present list gives and returns the share to
-// act on.
+// Update takes the share computed from the latest list and returns the share to
+// use.
 func (h *Held) Update(due int, now time.Time) int {
 	switch {
-	case due <= h.now:
-		h.now, h.due, h.since = due, due, now
-	case h.since.IsZero() || h.due <= h.now:
-		h.due, h.since = due, now
-	case due < h.due:
-		// Still above what is held: wait on for the smaller one.
-		h.due = due
+	case due <= h.current:
+		h.current, h.pending, h.pendingSince = due, due, now
+	case h.pendingSince.IsZero() || h.pending <= h.current:
+		h.pending, h.pendingSince = due, now
+	case due < h.pending:
+		// Still above the current share: go on waiting, for the smaller increase.
+		h.pending = due
 	}
-	if h.due > h.now && now.Sub(h.since) >= h.Lag {
-		h.now = h.due
+	if h.pending > h.current && now.Sub(h.pendingSince) >= h.Lag {
+		h.current = h.pending
 	}
-	if due > h.due {
-		h.due, h.since = due, now
+	if due > h.pending {
+		h.pending, h.pendingSince = due, now
 	}
-	return h.now
+	return h.current
 }
 
-// Now returns the share to act on.
-func (h *Held) Now() int { return h.now }
+// Now returns the share to use.
+func (h *Held) Now() int { return h.current }
--- a/internal/core/cwroute/route.go
+++ b/internal/core/cwroute/route.go
@@ -35,8 +35,8 @@
 	// decides again.
 	Wait
 	// AskPrimary asks the primary for its log position, confirmed by a majority
-	// of the members, and then decides again. It is returned while the floor or
-	// the age of the primary's data is unknown.
+	// of the members, and then decides again. It is returned while the floor is
+	// unknown, or while the primary's data may be older than the read accepts.
 	AskPrimary
 	// Refuse rejects the read without running it.
 	Refuse
@@ -248,8 +248,8 @@
 // result is false if a write cannot be acknowledged at present.
 //
 // Unless a majority of the members has adopted the primary's term, a write is
-// refused before it runs: an isolated primary would execute it, no majority
-// could acknowledge it, and its outcome would stay unknown.
+// refused before it runs: an isolated primary would execute it, it could never
+// be acknowledged, and its outcome would stay unknown.
 func WritePrimary(v cwgroup.View, now time.Time) (cwgroup.Report, bool) {
 	p, ok := availablePrimary(v, now)
 	if !ok {
