--- a/internal/core/cwholder/choose.go
+++ b/internal/core/cwholder/choose.go
@@ -5,41 +5,51 @@
 	"time"
 )
 
-// SpareAfter is how long a connection may take until the next holder is connected, too.
+// SpareAfter is how long a connection attempt may take before the next holder is
+// connected as well (hedging).
 const SpareAfter = 50 * time.Millisecond
 
-// LinkState is where the connection to a holder stands.
+// LinkState is the state of the connection to a holder.
 type LinkState struct {
-	// Ready is true if there is one that takes statements.
+	// Ready is true if there is a connection that accepts statements.
 	Ready bool
-	// Failed is true if the last try to connect failed, or the holder is left alone for
-	// another reason.
+	// Failed is true if the last connection attempt failed, or if the holder is
+	// not to be used for another reason.
 	Failed bool
-	// Connecting is how long one has been under way; negative if none is.
+	// Connecting is how long a connection attempt has been in progress;
+	// negative if none is.
 	Connecting time.Duration
 }
 
-// Choice is what to do with a statement of one of many groups.
+// Choice says what to do with a statement of a group while there are more than
+// ManyGroups groups.
 type Choice struct {
-	// Use is the place of the holder that takes it; negative if none does now.
+	// Use is the index of the holder that takes the statement; negative if none
+	// does at present.
 	Use int
-	// Connect is the place of the holder to connect; negative if there is none.
+	// Connect is the index of the holder to connect to; negative if there is
+	// none.
 	Connect int
-	// Wait is true if a connection is worth waiting for, and Spare when to choose again
-	// if it has not come about; zero if there is no other choice.
+	// Wait is true if the statement is to wait for a connection. Spare is the
+	// time after which to choose again if no connection is ready by then; zero
+	// if there is no further holder to connect to.
 	Wait  bool
 	Spare time.Duration
 }
 
-// Choose chooses among the holders of one of many groups, by their connections in the
-// order in which they are asked.
+// Choose chooses a holder for a statement while there are more than ManyGroups
+// groups. links are the states of the connections to the group's holders, in the
+// order in which statements are handed to them.
 //
-// The load it answers: hundreds of instances before a thousand groups, each of which an
-// instance has a statement for once in a while. Tried in turn, all holders of all data
-// centres were connected for one statement, which ran on the spot meanwhile: the group
-// was made there, on new connections to its targets, and nothing was known of it. Holders
-// that are connected come first; otherwise the first in order is connected and waited
-// for, and the next one only when that takes long.
+// A holder with a ready connection is preferred. Otherwise the first usable
+// holder in order is connected and waited for, and the next one only if that
+// takes longer than SpareAfter.
+//
+// With hundreds of instances and a thousand groups, an instance has a statement
+// for a given group only once in a while. Trying the holders in turn made an
+// instance connect to all holders in all data centres for a single statement,
+// which meanwhile ran locally: the instance set up the group itself, with new
+// connections to its targets and without any knowledge of their state.
 func Choose(links []LinkState) Choice {
 	c := Choice{Use: slices.IndexFunc(links, func(l LinkState) bool { return l.Ready }), Connect: -1}
 	if c.Use >= 0 {
--- a/internal/core/cwholder/holder.go
+++ b/internal/core/cwholder/holder.go
@@ -1,21 +1,24 @@
-// Package cwholder decides which instances hold a group of targets.
+// Package cwholder selects the holders of each group of targets.
 //
-// A holder keeps connections to the group's targets and runs the statements of
-// other instances' callers there. With many instances before few connections
-// each instance alone would have less than one: connections would be opened and
-// closed for single statements, which costs a target more than many a statement,
-// and whoever comes while all are taken is refused. A few holders in each data
-// centre keep theirs open and know how busy the targets are.
+// A holder of a group is an instance that keeps connection pools to the group's
+// targets and runs statements there, also those that other instances forward.
+// If there are more instances than connections, each instance's share is less
+// than one connection: instances would open and close connections for single
+// statements, which costs a target more than many of the statements themselves,
+// and would refuse statements while all connections are in use. Therefore a few
+// holders in each data centre keep their connections open and know the load of
+// the targets.
 //
-// Before many groups an instance has callers for more of them than it could keep
-// connections for, and each group has few statements a second. Then a few holders of
-// the whole deployment serve a group, and all instances hand its statements to the
-// same one first: what is known of a group is fresh where all of its traffic goes.
+// With more than ManyGroups groups, an instance has callers for more groups than
+// it could keep connections for, and each group gets few statements per second.
+// A group then has a few holders in the whole deployment, and all instances
+// forward its statements to the same holder first, whose knowledge of the group
+// is current because all of the group's traffic passes it.
 //
-// Every instance computes the same holders from the same list, by rendezvous
-// hashing, without talking to the others. Lists that differ for a while do no
-// harm: who may write and what was acknowledged is guarded by the targets and the
-// claims, and any instance may run any statement.
+// Every instance computes the same holders from the same list of instances by
+// rendezvous hashing, without communication. Lists that differ for a while do no
+// harm: the targets and the claims ensure who may write and what was
+// acknowledged, and any instance may run any statement.
 package cwholder
 
 import (
@@ -24,63 +27,70 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwplace"
 )
 
-// Instance is one instance that can hold groups.
+// Instance describes an instance that can be a holder.
 type Instance struct {
 	ID         string
 	DataCentre string
-	// Address is where it takes the statements of other instances, IP:port.
+	// Address is the IP:port at which the instance accepts statements that other
+	// instances forward.
 	Address string
 }
 
-// Demand is what a group's targets take from all instances together.
+// Demand describes the capacity of a group's targets, which determines the
+// number of its holders.
 type Demand struct {
-	// Connections and Slots are those of one target.
+	// Connections is the connection limit of one target, and Slots the number of
+	// statements that it executes concurrently.
 	Connections, Slots int
-	// Many is true if the group is one of more than ManyGroups.
+	// Many is true if there are more than ManyGroups groups.
 	Many bool
 }
 
-// Figures of holders.
+// Numbers of holders, connections and groups.
 const (
-	// connectionsPerSlot is how many connections a holder wants for each
-	// statement that a target runs at once: one for the statement that runs, one
-	// for a transaction that rests between two of its own.
+	// connectionsPerSlot is the number of connections that a holder needs for
+	// each statement that a target executes concurrently: one for the
+	// statement, and one for a transaction that is idle between two of its
+	// statements.
 	connectionsPerSlot = 2
-	// MinPerDataCentre is the least number of holders in a data centre: while
-	// one is restarted, the other one serves without a detour through another
-	// data centre.
+	// MinPerDataCentre is the minimum number of holders in a data centre. While
+	// one restarts, the other one serves without forwarding to another data
+	// centre.
 	MinPerDataCentre = 2
-	// ManyGroups is up to how many groups an instance has ready, and their holders
-	// connected, before a statement comes. Before more of them it uses few: it holds
-	// some and has callers for others, and those that it has no part in are made when a
-	// statement comes for them. Each group takes an instance its pools, its view of the
-	// members, and a goroutine.
+	// ManyGroups is the number of groups up to which an instance sets up every
+	// group, and connects to its holders, in advance. With more groups, an
+	// instance uses only a few of them: it holds some and has callers for others,
+	// and it sets up the remaining ones on the first statement. Each group costs
+	// an instance its pools, its view of the members, and a goroutine.
 	ManyGroups = 128
-	// holdersOfMany is how many holders each of many groups has, in as many data
-	// centres as there are: one is left if two data centres are lost with another
-	// instance.
-	holdersOfMany = 4
+	// holdersWithManyGroups is the number of holders of each group if there are
+	// more than ManyGroups groups, spread over as many data centres as possible.
+	// One is left if two data centres and one more instance are lost.
+	holdersWithManyGroups = 4
 )
 
-// inDataCentre returns how many holders a group has in one of some data centres. Rank
-// is the data centre's place among them in the order of the group.
-func (d Demand) inDataCentre(rank, dataCentres int) int {
+// holdersInDataCentre returns the number of holders of a group in one data
+// centre out of dataCentres. rank is the position of that data centre in the
+// group's rendezvous order.
+func (d Demand) holdersInDataCentre(rank, dataCentres int) int {
 	if !d.Many {
-		return d.perDataCentre(dataCentres)
+		return d.holdersPerDataCentre(dataCentres)
 	}
-	if rank >= holdersOfMany {
+	if rank >= holdersWithManyGroups {
 		return 0
 	}
-	return (holdersOfMany-rank-1)/max(1, dataCentres) + 1
+	return (holdersWithManyGroups-rank-1)/max(1, dataCentres) + 1
 }
 
-// perDataCentre returns how many holders one of a few groups has in each data centre.
-func (d Demand) perDataCentre(dataCentres int) int {
+// holdersPerDataCentre returns the number of holders of a group in each data
+// centre if there are at most ManyGroups groups.
+func (d Demand) holdersPerDataCentre(dataCentres int) int {
 	wanted := max(1, d.Slots*connectionsPerSlot)
 	return max(MinPerDataCentre, d.Connections/wanted/max(1, dataCentres))
 }
 
-// Holders returns the holders of a group among all instances, as Placement does.
+// Holders returns the holders of a group among all instances, in the order of
+// Placement.Holders.
 func Holders(group string, all []Instance, d Demand) []Instance {
 	var p Placement
 	for _, i := range all {
@@ -89,9 +99,10 @@
 	return p.Holders(group, d)
 }
 
-// Order returns the holders in the order in which self hands statements to
-// them: itself, then those of its own data centre, then the others. Instances
-// begin with different holders, so that these share the work.
+// Order returns the holders in the order in which self forwards statements to
+// them: self if it is a holder, then those in its own data centre, then the
+// others. The order differs between instances, so that the holders share the
+// load.
 func Order(self Instance, group string, holders []Instance) []Instance {
 	var mine, near, far []Instance
 	for _, h := range holders {
@@ -105,11 +116,11 @@
 		}
 	}
 	key := self.ID + "/" + group
-	return slices.Concat(mine, first(key, near, len(near)), first(key, far, len(far)))
+	return slices.Concat(mine, firstInOrder(key, near, len(near)), firstInOrder(key, far, len(far)))
 }
 
-// first returns the first n instances in the order of the key.
-func first(key string, list []Instance, n int) []Instance {
+// firstInOrder returns the first n instances in the rendezvous order of the key.
+func firstInOrder(key string, list []Instance, n int) []Instance {
 	ids := make([]string, 0, len(list))
 	byID := make(map[string]Instance, len(list))
 	for _, i := range list {
--- a/internal/core/cwholder/holder_test.go
+++ b/internal/core/cwholder/holder_test.go
@@ -8,7 +8,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// instances returns n instances in each of some data centres.
+// instances returns n instances in each of the data centres.
 func instances(n int, centres ...string) []Instance {
 	var all []Instance
 	for _, c := range centres {
@@ -19,7 +19,8 @@
 	return all
 }
 
-func inCentre(list []Instance, centre string) int {
+// countInCentre returns the number of instances in a data centre.
+func countInCentre(list []Instance, centre string) int {
 	n := 0
 	for _, i := range list {
 		if i.DataCentre == centre {
@@ -31,29 +32,29 @@
 
 func TestHolders(t *testing.T) {
 	scarce := Demand{Connections: 36, Slots: 3}
-	t.Run("a few instances hold everything", func(t *testing.T) {
+	t.Run("few instances", func(t *testing.T) {
 		all := instances(2, "a", "b", "c", "d")
 		qt.Assert(t, Holders("g", all, scarce), qt.HasLen, len(all))
 	})
-	t.Run("many instances before few connections", func(t *testing.T) {
+	t.Run("many instances and few connections", func(t *testing.T) {
 		all := instances(20, "a", "b", "c", "d")
 		holders := Holders("g", all, scarce)
 		qt.Assert(t, holders, qt.HasLen, 4*MinPerDataCentre)
-		qt.Assert(t, inCentre(holders, "a"), qt.Equals, MinPerDataCentre)
+		qt.Assert(t, countInCentre(holders, "a"), qt.Equals, MinPerDataCentre)
 	})
-	t.Run("more connections, more holders", func(t *testing.T) {
+	t.Run("more connections", func(t *testing.T) {
 		all := instances(20, "a", "b", "c", "d")
 		holders := Holders("g", all, Demand{Connections: 216, Slots: 5})
 		qt.Assert(t, holders, qt.HasLen, 4*5)
 	})
-	t.Run("nothing is known of the targets", func(t *testing.T) {
+	t.Run("unknown capacity of the targets", func(t *testing.T) {
 		qt.Assert(t, Holders("g", instances(3, "a"), Demand{}), qt.HasLen, MinPerDataCentre)
 	})
 }
 
-// An instance is replaced. Whoever had nothing to do with it goes on with the
-// same holder, or all connections would be opened anew at once.
-func TestLossMovesOnlyItsOwnWork(t *testing.T) {
+// Guards against reopening all connections at once when an instance is lost:
+// instances that did not use the lost holder must keep their holder.
+func TestLossKeepsOtherHolders(t *testing.T) {
 	all := instances(20, "a", "b")
 	before := Holders("g", all, Demand{Connections: 36, Slots: 3})
 	lost := before[0]
@@ -67,13 +68,13 @@
 	for _, self := range rest {
 		was, is := Order(self, "g", before)[0], Order(self, "g", after)[0]
 		if was != lost && is != was && is != self {
-			// Only the one that took the lost holder's place may attract others.
+			// Only the new holder may attract further instances.
 			qt.Assert(t, before, qt.Not(qt.Contains), is)
 		}
 	}
 }
 
-func TestOrder(t *testing.T) {
+func TestForwardingOrder(t *testing.T) {
 	all := instances(20, "a", "b", "c")
 	holders := Holders("g", all, Demand{Connections: 36, Slots: 3})
 	count := map[string]int{}
@@ -87,12 +88,13 @@
 		count[order[0].ID]++
 	}
 	for id, n := range count {
-		qt.Assert(t, n < 17, qt.IsTrue, qt.Commentf("%s has %d of 18 of its data centre", id, n))
+		qt.Assert(t, n < 17, qt.IsTrue, qt.Commentf("%s is the first holder of %d of 18 instances in its data centre", id, n))
 	}
 }
 
-// Guards against groups whose few statements a second are spread over many holders.
-func TestManyGroupsHaveFewHolders(t *testing.T) {
+// Guards against spreading the few statements per second of a group over many
+// holders.
+func TestFewHoldersWithManyGroups(t *testing.T) {
 	many := Demand{Connections: 278, Slots: 3, Many: true}
 	centresOf := func(list []Instance) map[string]bool {
 		out := make(map[string]bool)
@@ -101,22 +103,22 @@
 		}
 		return out
 	}
-	t.Run("in as many data centres as there are", func(t *testing.T) {
+	t.Run("spread over as many data centres as possible", func(t *testing.T) {
 		for n, centres := range map[int][]string{4: {"a", "b", "c", "d", "e", "f"}, 3: {"a", "b", "c"}, 2: {"a", "b"}, 1: {"a"}} {
 			holders := Holders("g", instances(20, centres...), many)
-			qt.Assert(t, holders, qt.HasLen, holdersOfMany)
+			qt.Assert(t, holders, qt.HasLen, holdersWithManyGroups)
 			qt.Assert(t, centresOf(holders), qt.HasLen, n)
 			qt.Assert(t, centresOf(holders[:n]), qt.HasLen, n)
 		}
 	})
-	t.Run("all instances begin with the same one", func(t *testing.T) {
+	t.Run("all instances have the same order", func(t *testing.T) {
 		all := instances(20, "a", "b", "c", "d", "e", "f")
 		holders := Holders("g", all, many)
 		for _, self := range all {
 			qt.Assert(t, placementOf(self, all).Route("g", many), qt.DeepEquals, holders)
 		}
 	})
-	t.Run("the groups are spread", func(t *testing.T) {
+	t.Run("groups are spread evenly", func(t *testing.T) {
 		all := instances(50, "a", "b", "c", "d", "e", "f")
 		held := make(map[string]int)
 		for g := range 300 {
@@ -128,7 +130,7 @@
 			qt.Assert(t, n < 16, qt.IsTrue, qt.Commentf("%s holds %d", id, n))
 		}
 	})
-	t.Run("a lost one moves its own groups only", func(t *testing.T) {
+	t.Run("loss of an instance changes only its own groups", func(t *testing.T) {
 		all := instances(20, "a", "b", "c", "d", "e", "f")
 		for g := range 100 {
 			group := fmt.Sprintf("group-%d", g)
--- a/internal/core/cwholder/placement.go
+++ b/internal/core/cwholder/placement.go
@@ -7,42 +7,46 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwplace"
 )
 
-// Placement tells who holds each group, by the instances that are known. It keeps what it
-// has worked out until a change of the instances touches it: one that comes or goes is
-// compared with the holders of a group, and other groups stay as they are. Its zero value
-// knows no instances.
+// Placement computes the holders of each group from the known instances and
+// caches the results. When an instance is added or removed, only the groups
+// whose holders it changes are recomputed, because with hundreds of instances
+// and a thousand groups every instance processes each change of all others. The
+// zero Placement has no instances.
 //
-// The load it answers: hundreds of instances before a thousand groups, in which each
-// instance hears of each change of all others.
+// A Placement is not safe for concurrent use.
 type Placement struct {
-	// Self is the instance whose places and routes are told.
+	// Self is the instance from whose view Place and Route answer.
 	Self Instance
 
 	instances map[string]Instance
-	// centres has the names of the instances of each data centre; none is empty.
-	centres map[string][]string
-	// routes and places are what was worked out for a group.
-	routes map[string]route
-	places map[string]place
+	// idsByCentre has the IDs of the instances in each data centre. It has no
+	// empty lists.
+	idsByCentre map[string][]string
+	// routes and ranks cache the results of Route and Place by group.
+	routes map[string]groupRoute
+	ranks  map[string]selfRank
 }
 
-type route struct {
+// groupRoute is the cached result of Route for a group.
+type groupRoute struct {
 	demand Demand
-	// holders are those of the group, and route the same in the order in which Self
-	// hands statements over.
-	holders, route []Instance
+	// holders are the group's holders, and order the same in the order in which
+	// Self forwards statements to them.
+	holders, order []Instance
 }
 
-type place struct {
+// selfRank is the cached result of Place for a group.
+type selfRank struct {
 	demand Demand
-	// before counts the instances of the data centre of Self that come before it in the
-	// order of the group, and wanted the holders that the group has there.
-	before, wanted int
-	// rank is the place of Self among the holders, -1 if it is none.
+	// preceding is the number of instances in the data centre of Self that
+	// precede Self in the group's rendezvous order. localHolders is the number
+	// of holders that the group has in that data centre.
+	preceding, localHolders int
+	// rank is the index of Self in the list of holders; -1 if it is not a holder.
 	rank int
 }
 
-// Set takes an instance that is new or has moved, and reports whether that is news.
+// Set adds or updates an instance and reports whether anything changed.
 func (p *Placement) Set(i Instance) bool {
 	if p.instances[i.ID] == i {
 		return false
@@ -50,77 +54,81 @@
 	p.Remove(i.ID)
 	if p.instances == nil {
 		p.instances = make(map[string]Instance)
-		p.centres = make(map[string][]string)
+		p.idsByCentre = make(map[string][]string)
 	}
 	p.instances[i.ID] = i
-	p.centres[i.DataCentre] = append(p.centres[i.DataCentre], i.ID)
-	p.changed(i, 1)
+	p.idsByCentre[i.DataCentre] = append(p.idsByCentre[i.DataCentre], i.ID)
+	p.invalidate(i, 1)
 	return true
 }
 
-// Remove takes an instance out, and reports whether it was there.
-func (p *Placement) Remove(name string) bool {
-	i, ok := p.instances[name]
+// Remove removes the instance with the ID and reports whether it was known.
+func (p *Placement) Remove(id string) bool {
+	i, ok := p.instances[id]
 	if !ok {
 		return false
 	}
-	delete(p.instances, name)
-	left := slices.DeleteFunc(p.centres[i.DataCentre], func(n string) bool { return n == name })
-	p.centres[i.DataCentre] = left
-	if len(left) == 0 {
-		delete(p.centres, i.DataCentre)
+	delete(p.instances, id)
+	remaining := slices.DeleteFunc(p.idsByCentre[i.DataCentre], func(n string) bool { return n == id })
+	p.idsByCentre[i.DataCentre] = remaining
+	if len(remaining) == 0 {
+		delete(p.idsByCentre, i.DataCentre)
 	}
-	p.changed(i, -1)
+	p.invalidate(i, -1)
 	return true
 }
 
-// Instance returns the instance of a name.
-func (p *Placement) Instance(name string) (Instance, bool) {
-	i, ok := p.instances[name]
+// Instance returns the instance with the ID. The second result is false if it is
+// not known.
+func (p *Placement) Instance(id string) (Instance, bool) {
+	i, ok := p.instances[id]
 	return i, ok
 }
 
-// Instances returns all instances by name. It is not to be changed.
+// Instances returns all instances by ID. Callers must not change the map.
 func (p *Placement) Instances() map[string]Instance { return p.instances }
 
-// Centre returns the names of a data centre's instances. It is not to be changed.
-func (p *Placement) Centre(name string) []string { return p.centres[name] }
+// Centre returns the IDs of the instances in a data centre. Callers must not
+// change the slice.
+func (p *Placement) Centre(dataCentre string) []string { return p.idsByCentre[dataCentre] }
 
-// changed drops what an instance may change that was added, by 1, or removed, by -1.
-func (p *Placement) changed(i Instance, by int) {
-	if n := len(p.centres[i.DataCentre]); n == 0 || n == 1 && by > 0 {
-		// The data centres have changed with it.
+// invalidate drops the cached results that an instance changes which was added
+// (by is 1) or removed (by is -1).
+func (p *Placement) invalidate(i Instance, by int) {
+	if n := len(p.idsByCentre[i.DataCentre]); n == 0 || n == 1 && by > 0 {
+		// The set of data centres has changed as well.
 		clear(p.routes)
-		clear(p.places)
+		clear(p.ranks)
 		return
 	}
 	for group, r := range p.routes {
-		if p.touches(i, group, r) {
+		if p.affects(i, group, r) {
 			delete(p.routes, group)
-			delete(p.places, group)
+			delete(p.ranks, group)
 		}
 	}
 	if i.DataCentre != p.Self.DataCentre {
 		return
 	}
-	for group, known := range p.places {
+	for group, known := range p.ranks {
 		if i.ID == p.Self.ID || known.rank >= 0 {
-			delete(p.places, group)
+			delete(p.ranks, group)
 			continue
 		}
 		if !cwplace.Before(i.ID, p.Self.ID, group) {
 			continue
 		}
-		known.before += by
-		p.places[group] = known
-		if known.before < known.wanted {
-			delete(p.places, group)
+		known.preceding += by
+		p.ranks[group] = known
+		if known.preceding < known.localHolders {
+			delete(p.ranks, group)
 		}
 	}
 }
 
-// touches reports whether an instance is among the holders of a group, or would be.
-func (p *Placement) touches(i Instance, group string, r route) bool {
+// affects reports whether an instance is one of the holders of a group, or
+// becomes one if it is added.
+func (p *Placement) affects(i Instance, group string, r groupRoute) bool {
 	var near []string
 	for _, h := range r.holders {
 		if h.ID == i.ID {
@@ -130,79 +138,83 @@
 			near = append(near, h.ID)
 		}
 	}
-	return cwplace.Rank(i.ID, group, append(near, i.ID)) < p.wanted(i.DataCentre, group, r.demand)
+	return cwplace.Rank(i.ID, group, append(near, i.ID)) < p.holdersIn(i.DataCentre, group, r.demand)
 }
 
-// wanted returns how many holders a group has in a data centre.
-func (p *Placement) wanted(centre, group string, d Demand) int {
+// holdersIn returns the number of holders of a group in a data centre.
+func (p *Placement) holdersIn(centre, group string, d Demand) int {
 	rank := 0
-	for other := range p.centres {
+	for other := range p.idsByCentre {
 		if other != centre && cwplace.Before(other, centre, group) {
 			rank++
 		}
 	}
-	return d.inDataCentre(rank, len(p.centres))
+	return d.holdersInDataCentre(rank, len(p.idsByCentre))
 }
 
-// Holders returns the group's holders, of many groups in the order in which all
-// instances hand statements to them. Where a data centre has no more instances than it
-// needs holders, all of them hold the group and nothing is handed over there.
+// Holders returns the group's holders. With more than ManyGroups groups, this is
+// the order in which all instances forward statements to them. If a data centre
+// has no more instances than the group needs holders there, all of them are
+// holders and none of them has to forward.
 func (p *Placement) Holders(group string, d Demand) []Instance {
-	centres := cwplace.Order(group, slices.Collect(maps.Keys(p.centres)))
-	var out, others []Instance
+	centres := cwplace.Order(group, slices.Collect(maps.Keys(p.idsByCentre)))
+	var out, additional []Instance
 	for rank, c := range centres {
-		for n, name := range cwplace.First(group, p.centres[c], d.inDataCentre(rank, len(centres))) {
+		for n, id := range cwplace.First(group, p.idsByCentre[c], d.holdersInDataCentre(rank, len(centres))) {
 			if n == 0 {
-				out = append(out, p.instances[name])
+				out = append(out, p.instances[id])
 			} else {
-				others = append(others, p.instances[name])
+				additional = append(additional, p.instances[id])
 			}
 		}
 	}
-	return append(out, others...)
+	return append(out, additional...)
 }
 
-// Route returns the group's holders in the order in which Self hands statements to them.
-// It is not to be changed.
-func (p *Placement) Route(group string, d Demand) []Instance { return p.route(group, d).route }
+// Route returns the group's holders in the order in which Self forwards
+// statements to them. Callers must not change the slice.
+func (p *Placement) Route(group string, d Demand) []Instance { return p.cachedRoute(group, d).order }
 
-func (p *Placement) route(group string, d Demand) route {
+// cachedRoute returns the route of a group and computes it if it is not cached.
+func (p *Placement) cachedRoute(group string, d Demand) groupRoute {
 	if r, ok := p.routes[group]; ok && r.demand == d {
 		return r
 	}
 	holders := p.Holders(group, d)
-	r := route{demand: d, holders: holders, route: holders}
+	r := groupRoute{demand: d, holders: holders, order: holders}
 	if !d.Many {
-		r.route = Order(p.Self, group, holders)
+		r.order = Order(p.Self, group, holders)
 	}
 	if p.routes == nil {
-		p.routes = make(map[string]route)
+		p.routes = make(map[string]groupRoute)
 	}
 	p.routes[group] = r
 	return r
 }
 
-// Place returns the place of Self among the group's holders; false if it is none. The
-// others are worked out only if it is one.
+// Place returns the index of Self in the list of the group's holders. The second
+// result is false if Self is not a holder. The other holders are computed only
+// if Self is one.
 func (p *Placement) Place(group string, d Demand) (int, bool) {
-	known, ok := p.places[group]
+	known, ok := p.ranks[group]
 	if !ok || known.demand != d {
-		known = p.place(group, d)
-		if p.places == nil {
-			p.places = make(map[string]place)
+		known = p.computeRank(group, d)
+		if p.ranks == nil {
+			p.ranks = make(map[string]selfRank)
 		}
-		p.places[group] = known
+		p.ranks[group] = known
 	}
 	return known.rank, known.rank >= 0
 }
 
-func (p *Placement) place(group string, d Demand) place {
-	centre := p.centres[p.Self.DataCentre]
-	out := place{demand: d, before: len(centre), wanted: p.wanted(p.Self.DataCentre, group, d), rank: -1}
+// computeRank computes the result of Place for a group.
+func (p *Placement) computeRank(group string, d Demand) selfRank {
+	centre := p.idsByCentre[p.Self.DataCentre]
+	out := selfRank{demand: d, preceding: len(centre), localHolders: p.holdersIn(p.Self.DataCentre, group, d), rank: -1}
 	if p.instances[p.Self.ID] == p.Self {
-		out.before = cwplace.Rank(p.Self.ID, group, centre)
-		if out.before < out.wanted {
-			out.rank = slices.Index(p.route(group, d).holders, p.Self)
+		out.preceding = cwplace.Rank(p.Self.ID, group, centre)
+		if out.preceding < out.localHolders {
+			out.rank = slices.Index(p.cachedRoute(group, d).holders, p.Self)
 		}
 	}
 	return out
--- a/internal/core/cwholder/placement_test.go
+++ b/internal/core/cwholder/placement_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// placementOf returns what an instance knows of all.
+// placementOf returns a Placement of self that knows all instances.
 func placementOf(self Instance, all []Instance) *Placement {
 	p := &Placement{Self: self}
 	for _, i := range all {
@@ -19,9 +19,11 @@
 	return p
 }
 
+// demands are the demands that the tests of Placement use.
 var demands = []Demand{{}, {Connections: 36, Slots: 3}, {Connections: 216, Slots: 5}, {Connections: 900, Slots: 3}, {Connections: 278, Slots: 3, Many: true}}
 
-// Guards against an instance that neither watches a group nor hands its statements over.
+// Guards against an instance that neither holds a group nor forwards its
+// statements, because Place and the list of holders disagree.
 func TestPlaceAgreesWithTheListOfHolders(t *testing.T) {
 	all := instances(9, "a", "b", "c")
 	for _, d := range demands {
@@ -37,8 +39,9 @@
 	}
 }
 
-// Guards against what is kept after a change of the instances that would have changed it.
-func TestPlacementIsWhatIsWorkedOutAnew(t *testing.T) {
+// Guards against cached results that stay after a change of the instances that
+// makes them wrong.
+func TestCachedPlacementEqualsRecomputed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := instances(6, "a", "b", "c", "d", "e")
 		p := placementOf(all[0], all[:rapid.IntRange(1, len(all)).Draw(t, "first")])
@@ -53,29 +56,30 @@
 				i.DataCentre = rapid.SampledFrom([]string{"a", "b", "f"}).Draw(t, "data centre")
 				p.Set(i)
 			}
-			fresh := placementOf(p.Self, slices.Collect(maps.Values(p.Instances())))
+			recomputed := placementOf(p.Self, slices.Collect(maps.Values(p.Instances())))
 			for g := range 2 * len(demands) {
 				group := fmt.Sprint("group-", g)
 				d := demands[g/2]
 				rank, _ := p.Place(group, d)
-				want, _ := fresh.Place(group, d)
+				want, _ := recomputed.Place(group, d)
 				if rank != want {
-					t.Fatalf("%s: place %d, worked out anew %d", group, rank, want)
+					t.Fatalf("%s: rank %d, recomputed %d", group, rank, want)
 				}
 				if g%2 == 0 {
-					// Of most groups an instance knows its place and no route.
+					// For most groups an instance caches its rank and no route.
 					continue
 				}
-				if got, want := p.Route(group, d), fresh.Route(group, d); !slices.Equal(got, want) {
-					t.Fatalf("%s: route %v, worked out anew %v", group, got, want)
+				if got, want := p.Route(group, d), recomputed.Route(group, d); !slices.Equal(got, want) {
+					t.Fatalf("%s: route %v, recomputed %v", group, got, want)
 				}
 			}
 		}
 	})
 }
 
-// Guards against one change that makes all instances work out every group.
-func TestChangeOfOneInstanceTouchesItsGroupsOnly(t *testing.T) {
+// Guards against a change of one instance that makes the others recompute every
+// group.
+func TestChangeInvalidatesAffectedGroupsOnly(t *testing.T) {
 	const groups = 1000
 	d := Demand{Connections: 278, Slots: 3, Many: true}
 	for _, n := range []int{5, 20, 50} {
@@ -86,22 +90,24 @@
 			p.Place(fmt.Sprint("group-", g), d)
 		}
 		p.Set(all[len(all)-1])
-		forgotten := groups - len(p.routes)
-		held := groups * holdersOfMany / len(all)
-		qt.Assert(t, forgotten < 2*held, qt.IsTrue, qt.Commentf("%d instances: %d forgotten, %d are held", len(all), forgotten, held))
+		invalidated := groups - len(p.routes)
+		held := groups * holdersWithManyGroups / len(all)
+		qt.Assert(t, invalidated < 2*held, qt.IsTrue, qt.Commentf("%d instances: %d groups invalidated, %d groups held", len(all), invalidated, held))
 		p.Remove(all[len(all)-1].ID)
-		qt.Assert(t, groups-len(p.routes), qt.Equals, forgotten)
-		worked := 0
+		qt.Assert(t, groups-len(p.routes), qt.Equals, invalidated)
+		uncached := 0
 		for g := range groups {
-			if _, ok := p.places[fmt.Sprint("group-", g)]; !ok {
-				worked++
+			if _, ok := p.ranks[fmt.Sprint("group-", g)]; !ok {
+				uncached++
 			}
 		}
-		qt.Assert(t, worked <= forgotten, qt.IsTrue, qt.Commentf("%d instances: %d places are to be worked out", len(all), worked))
+		qt.Assert(t, uncached <= invalidated, qt.IsTrue, qt.Commentf("%d instances: %d ranks to recompute", len(all), uncached))
 	}
 }
 
-func BenchmarkChangeOfOneInstance(b *testing.B) {
+// BenchmarkInstanceChange measures Place for 1,000 groups and a change of
+// one instance.
+func BenchmarkInstanceChange(b *testing.B) {
 	const groups = 1000
 	d := Demand{Connections: 278, Slots: 3, Many: true}
 	for _, n := range []int{50, 164, 330} {
