--- a/internal/core/cwfeed/chain_test.go
+++ b/internal/core/cwfeed/chain_test.go
@@ -7,36 +7,37 @@
 	"pgregory.net/rapid"
 )
 
-// hop is what an instance of a chain knows: all changes up to a time.
-type hop struct{ confirmed, knows time.Time }
+// chainNode is an instance in a chain of feeders. It knows all changes up to
+// knownUntil and takes its data as confirmed at confirmed.
+type chainNode struct{ confirmed, knownUntil time.Time }
 
-// A key is taken away, and an instance at the end of a chain of feeders says that
-// its knowledge is young while it lacks the change. Questions and answers are
-// held up and instances stand still anywhere on the way; what an instance takes as
-// confirmed is never later than what it really knows.
+// Guards against an instance that takes its data as current while it lacks a
+// change, for example the removal of a key. It comes about if queries and
+// responses are delayed, or instances are suspended, anywhere in the chain. The
+// time of confirmation must never be later than what the instance really knows.
 func TestConfirmationIsNeverYoungerThanTheTruth(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		later := func(what string) {
 			now = now.Add(time.Duration(rapid.Int64Range(0, 3000).Draw(t, what)) * time.Millisecond)
 		}
-		chain := make([]hop, 3)
+		chain := make([]chainNode, 3)
 		for range rapid.IntRange(1, 60).Draw(t, "answers") {
 			i := rapid.IntRange(0, len(chain)-1).Draw(t, "instance")
 			sent := now
 			later("question")
-			came := now
+			arrived := now
 			later("held")
 			if i == 0 {
-				askStore(t, &chain[0], sent, came, now)
-			} else if from := chain[i-1]; !from.knows.IsZero() {
-				a := FeederAnswer{Sent: sent, Held: now.Sub(came), Age: now.Sub(from.confirmed)}
+				queryStore(t, &chain[0], sent, arrived, now)
+			} else if from := chain[i-1]; !from.knownUntil.IsZero() {
+				a := FeederAnswer{Sent: sent, Held: now.Sub(arrived), Age: now.Sub(from.confirmed)}
 				later("answer")
-				chain[i].take(a.Confirmed(), from.knows)
+				chain[i].apply(a.Confirmed(), from.knownUntil)
 			}
 			for n, h := range chain {
-				if !h.confirmed.IsZero() && h.confirmed.After(h.knows) {
-					t.Fatalf("instance %d takes %v as confirmed and knows %v", n, h.confirmed, h.knows)
+				if !h.confirmed.IsZero() && h.confirmed.After(h.knownUntil) {
+					t.Fatalf("instance %d takes its data as confirmed at %v and knows changes until %v", n, h.confirmed, h.knownUntil)
 				}
 			}
 			later("pause")
@@ -44,25 +45,26 @@
 	})
 }
 
-// askStore is a question that came to the store at a time and was answered at
-// another, with all that there was then.
-func askStore(t *rapid.T, root *hop, sent, came, answered time.Time) {
+// queryStore simulates a query of root that arrived at the store at the time
+// arrived. The store responds at the time answered, or at the end of the wait if
+// that is earlier, with all changes up to then.
+func queryStore(t *rapid.T, root *chainNode, sent, arrived, answered time.Time) {
 	wait := time.Duration(rapid.Int64Range(0, 3000).Draw(t, "wait")) * time.Millisecond
 	a := StoreAnswer{Sent: sent, Wait: wait, News: true}
-	if answered.Sub(came) >= wait {
-		// Nothing came until the end of the wait.
-		answered, a.News = came.Add(wait), false
+	if answered.Sub(arrived) >= wait {
+		// There were no changes until the end of the wait.
+		answered, a.News = arrived.Add(wait), false
 	}
 	a.Answered = answered.Add(time.Duration(rapid.Int64Range(0, 3000).Draw(t, "answer")) * time.Millisecond)
-	root.take(a.Confirmed(), answered)
+	root.apply(a.Confirmed(), answered)
 }
 
-// take takes an answer that tells all changes up to a time.
-func (h *hop) take(confirmed, knows time.Time) {
+// apply applies a response that contains all changes up to knownUntil.
+func (h *chainNode) apply(confirmed, knownUntil time.Time) {
 	if confirmed.After(h.confirmed) {
 		h.confirmed = confirmed
 	}
-	if knows.After(h.knows) {
-		h.knows = knows
+	if knownUntil.After(h.knownUntil) {
+		h.knownUntil = knownUntil
 	}
 }
--- a/internal/core/cwfeed/feed_test.go
+++ b/internal/core/cwfeed/feed_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-func names(n int) []string {
+func instanceNames(n int) []string {
 	var out []string
 	for i := range n {
 		out = append(out, fmt.Sprintf("front-%d", i))
@@ -18,9 +18,9 @@
 	return out
 }
 
-// steps returns how many instances stand between self and the store, itself not
-// counted.
-func steps(t *testing.T, tree Tree, self string, all []string) int {
+// treeDepth returns the number of instances between self and the store, self not
+// included.
+func treeDepth(t *testing.T, tree Tree, self string, all []string) int {
 	t.Helper()
 	for n := range len(all) {
 		parent, ok := tree.Parent(self, all)
@@ -29,7 +29,7 @@
 		}
 		self = parent
 	}
-	t.Fatalf("%s is in a circle", self)
+	t.Fatalf("%s is in a cycle", self)
 	return 0
 }
 
@@ -38,7 +38,7 @@
 		{1, 1, 0}, {7, 7, 0}, {8, 2, 1}, {34, 2, 1}, {35, 2, 2}, {425, 2, 2},
 	} {
 		t.Run(fmt.Sprintf("%d instances", tc.instances), func(t *testing.T) {
-			all := names(tc.instances)
+			all := instanceNames(tc.instances)
 			children := make(map[string]int)
 			roots, depth := 0, 0
 			for _, self := range all {
@@ -47,23 +47,23 @@
 					roots++
 				}
 				children[parent]++
-				depth = max(depth, steps(t, Tree{}, self, all))
+				depth = max(depth, treeDepth(t, Tree{}, self, all))
 			}
 			delete(children, "")
 			qt.Assert(t, roots, qt.Equals, tc.roots)
 			qt.Assert(t, depth, qt.Equals, tc.depth)
 			for name, n := range children {
-				qt.Assert(t, n <= DefaultFanout, qt.IsTrue, qt.Commentf("%s has %d", name, n))
+				qt.Assert(t, n <= DefaultFanout, qt.IsTrue, qt.Commentf("%s has %d children", name, n))
 			}
 		})
 	}
 }
 
-// A feeder loses power for good. Each instance below it finds that out by itself
-// and leaves it out of its own list; if all of them turned to the store, the
-// store would be asked by half of a data centre.
-func TestLostRootIsReplacedByOne(t *testing.T) {
-	all := names(32)
+// Guards against half of a data centre querying the store after a root is lost.
+// Each child of the root detects the loss by itself and removes the root from
+// its own list; only one of them may become a root.
+func TestLostRootIsReplacedOnce(t *testing.T) {
+	all := instanceNames(32)
 	var below []string
 	lost := ""
 	for _, self := range all {
@@ -91,27 +91,28 @@
 		confirmed time.Time
 		want      time.Time
 	}{
-		{"news may have been there since the question", StoreAnswer{Sent: sent, Answered: at(900), Wait: wait, News: true}.Confirmed(), sent},
-		{"nothing until the end of the wait", StoreAnswer{Sent: sent, Answered: at(1010), Wait: wait}.Confirmed(), at(1000)},
-		{"an answer held up on its way", StoreAnswer{Sent: sent, Answered: at(9000), Wait: wait}.Confirmed(), at(1000)},
-		{"a store that ends the wait early", StoreAnswer{Sent: sent, Answered: at(400), Wait: wait}.Confirmed(), sent},
-		{"a feeder's age counts from its answer", FeederAnswer{Sent: sent, Held: at(700).Sub(sent), Age: at(200).Sub(sent)}.Confirmed(), at(500)},
-		{"an old word stays old", FeederAnswer{Sent: sent, Age: time.Minute}.Confirmed(), sent.Add(-time.Minute)},
+		{"response with changes", StoreAnswer{Sent: sent, Answered: at(900), Wait: wait, News: true}.Confirmed(), sent},
+		{"response without changes at the end of the wait", StoreAnswer{Sent: sent, Answered: at(1010), Wait: wait}.Confirmed(), at(1000)},
+		{"delayed response", StoreAnswer{Sent: sent, Answered: at(9000), Wait: wait}.Confirmed(), at(1000)},
+		{"store that ends the wait early", StoreAnswer{Sent: sent, Answered: at(400), Wait: wait}.Confirmed(), sent},
+		{"age of a feeder counts from its response", FeederAnswer{Sent: sent, Held: at(700).Sub(sent), Age: at(200).Sub(sent)}.Confirmed(), at(500)},
+		{"feeder with old data", FeederAnswer{Sent: sent, Age: time.Minute}.Confirmed(), sent.Add(-time.Minute)},
 	} {
 		t.Run(tc.name, func(t *testing.T) { qt.Assert(t, tc.confirmed, qt.Equals, tc.want) })
 	}
 }
 
-// An instance that was told changes by several feeders, each of which knows
-// another part of the past, must end up with the rows there are: one that is
-// removed and comes back to life would be a target that left.
+// Guards against a removed row that reappears, such as a target that has left. It
+// comes about if an instance receives changes from several feeders, each of
+// which knows a different part of the history. In the end the instance must have
+// the rows of the store.
 func TestHistoryTellsEverything(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var store History[Entry[int]]
 		store.Replace(1, nil)
 		feeders := make([]History[Entry[int]], 3)
 		seen := make([]Version, len(feeders))
-		var asker History[Entry[int]]
+		var reader History[Entry[int]]
 		version := Version(1)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 2).Draw(t, "step") {
@@ -122,49 +123,52 @@
 					Removed: rapid.Bool().Draw(t, "removed"),
 				}
 				e.Row = int(version)
-				store.Add(version, []Entry[Entry[int]]{wrap(e)})
+				store.Add(version, []Entry[Entry[int]]{wrapEntry(e)})
 			case 1:
 				i := rapid.IntRange(0, len(feeders)-1).Draw(t, "feeder")
 				fresh := rapid.Bool().Draw(t, "snapshot")
-				tell(&store, &feeders[i], &seen[i], fresh)
+				update(&store, &feeders[i], &seen[i], fresh)
 			case 2:
 				from := &feeders[rapid.IntRange(0, len(feeders)-1).Draw(t, "from")]
 				if _, known := from.Version(); known {
-					v, _ := asker.Version()
-					tell(from, &asker, &v, false)
+					v, _ := reader.Version()
+					update(from, &reader, &v, false)
 				}
 			}
 		}
-		v, _ := asker.Version()
-		tell(&store, &asker, &v, false)
-		rows, _ := asker.Since(0)
+		v, _ := reader.Version()
+		update(&store, &reader, &v, false)
+		rows, _ := reader.Since(0)
 		want, _ := store.Since(0)
-		if got, want := present(rows), present(want); !slices.Equal(got, want) {
+		if got, want := presentRows(rows), presentRows(want); !slices.Equal(got, want) {
 			t.Fatalf("got %v, want %v", got, want)
 		}
 	})
 }
 
-func wrap(e Entry[int]) Entry[Entry[int]] {
+// wrapEntry returns an entry whose row is the entry e, so that Since returns
+// removals as well.
+func wrapEntry(e Entry[int]) Entry[Entry[int]] {
 	return Entry[Entry[int]]{Key: e.Key, Version: e.Version, Removed: e.Removed, Row: e}
 }
 
-// tell brings one history up to date by another one, all anew if fresh.
-func tell(from, to *History[Entry[int]], after *Version, fresh bool) {
+// update applies the changes of from to the history to, which knows them up to
+// after. If snapshot is true, it replaces all rows.
+func update(from, to *History[Entry[int]], after *Version, snapshot bool) {
 	ask := *after
-	if fresh {
+	if snapshot {
 		ask = 0
 	}
 	version, _ := from.Version()
 	rows, whole := from.Since(ask)
-	if fresh {
-		// A snapshot has the rows that are there and none that are gone.
+	if snapshot {
+		// A snapshot has no tombstones.
 		rows = slices.DeleteFunc(rows, func(e Entry[int]) bool { return e.Removed })
 		whole = true
 	}
 	var entries []Entry[Entry[int]]
 	for _, r := range rows {
-		entries = append(entries, wrap(r))
+		entries = append(entries, wrapEntry(r))
 	}
 	if _, known := to.Version(); whole || !known {
 		to.Replace(version, entries)
@@ -174,7 +178,8 @@
 	*after = max(*after, version)
 }
 
-func present(rows []Entry[int]) []int {
+// presentRows returns the rows that are not removed, in ascending order.
+func presentRows(rows []Entry[int]) []int {
 	var out []int
 	for _, r := range rows {
 		if !r.Removed {
@@ -185,13 +190,13 @@
 	return out
 }
 
-func TestHistoryIsBounded(t *testing.T) {
+func TestTombstonesAreBounded(t *testing.T) {
 	var h History[int]
 	h.Replace(1, nil)
-	for v := Version(2); v < 10*maxRemoved; v++ {
+	for v := Version(2); v < 10*maxTombstones; v++ {
 		h.Add(v, []Entry[int]{{Key: fmt.Sprint(v), Version: v, Removed: true}})
 	}
-	qt.Assert(t, len(h.entries) <= maxRemoved, qt.IsTrue)
+	qt.Assert(t, len(h.entries) <= maxTombstones, qt.IsTrue)
 	_, whole := h.Since(2)
-	qt.Assert(t, whole, qt.IsTrue, qt.Commentf("changes that are forgotten are not told one by one"))
+	qt.Assert(t, whole, qt.IsTrue, qt.Commentf("changes before the compaction cannot be listed"))
 }
--- a/internal/core/cwfeed/history.go
+++ b/internal/core/cwfeed/history.go
@@ -5,53 +5,61 @@
 	"slices"
 )
 
-// maxRemoved is how many removed rows a History keeps: more than come and go
-// while an instance is restarted or looks for another feeder.
-const maxRemoved = 512
+// maxTombstones is the number of tombstones that a History keeps. It exceeds the
+// number of rows that are removed while an instance restarts or looks for
+// another feeder.
+const maxTombstones = 512
 
-// Entry is the newest state of one row.
+// Entry is the latest state of one row.
 type Entry[R any] struct {
 	Key string
-	// Version is that of the change that made the row what it is.
+	// Version is the version of the last change of the row.
 	Version Version
-	// Removed is true if the row is gone.
+	// Removed is true if the row was removed. The entry is then a tombstone.
 	Removed bool
 	Row     R
 }
 
-// History holds the rows of one topic and tells what has changed since a
-// version. It keeps the newest state of each row only, so what it tells is
-// bounded by the rows there are, however much happened. Its zero value knows
-// nothing.
+// History holds the rows of one topic and returns the changes since a version.
+// It keeps only the latest state of each row and a bounded number of tombstones,
+// so its size depends on the number of rows and not on the number of changes.
+// The zero History is empty and knows no version.
 type History[R any] struct {
 	entries map[string]Entry[R]
-	// version is up to where everything is known, floor the version from which
-	// on changes can be told. floor never exceeds version.
-	version, floor Version
-	// changed is the newest version of a row.
-	changed Version
-	known   bool
-	removed int
+	// version is the version up to which all changes are known. compacted is the
+	// version up to which changes can no longer be listed one by one. It never
+	// exceeds version.
+	version, compacted Version
+	// lastChange is the highest version of any row.
+	lastChange Version
+	// known is true after the first Replace.
+	known bool
+	// tombstones is the number of entries of removed rows.
+	tombstones int
 }
 
-// Version returns up to where everything is known; false if nothing is.
+// Version returns the version up to which all changes are known. The second
+// result is false if no version is known.
 func (h *History[R]) Version() (Version, bool) { return h.version, h.known }
 
-// Replace takes all rows as of a version.
+// Replace sets all rows as of a version. It is ignored if the version is lower
+// than the known one.
 func (h *History[R]) Replace(version Version, rows []Entry[R]) {
 	if h.known && version < h.version {
 		return
 	}
 	h.entries = make(map[string]Entry[R], len(rows))
-	h.changed = 0
+	h.lastChange = 0
 	for _, r := range rows {
 		h.entries[r.Key] = r
-		h.changed = max(h.changed, r.Version)
+		h.lastChange = max(h.lastChange, r.Version)
 	}
-	h.version, h.floor, h.known, h.removed = version, version, true, 0
+	h.version, h.compacted, h.known, h.tombstones = version, version, true, 0
 }
 
-// Add takes the changes up to a version.
+// Add applies the changes up to a version. It is ignored before the first
+// Replace. A change that is not newer than the known state of its row is
+// skipped.
 func (h *History[R]) Add(version Version, rows []Entry[R]) {
 	if !h.known {
 		return
@@ -61,52 +69,55 @@
 		if ok && old.Version >= r.Version {
 			continue
 		}
-		h.count(old.Removed, r.Removed)
+		h.countTombstones(old.Removed, r.Removed)
 		h.entries[r.Key] = r
-		h.changed = max(h.changed, r.Version)
+		h.lastChange = max(h.lastChange, r.Version)
 	}
 	h.version = max(h.version, version)
-	h.forget()
+	h.compact()
 }
 
-func (h *History[R]) count(before, after bool) {
+// countTombstones updates the number of tombstones for an entry that was
+// (before) or is (after) one.
+func (h *History[R]) countTombstones(before, after bool) {
 	if before {
-		h.removed--
+		h.tombstones--
 	}
 	if after {
-		h.removed++
+		h.tombstones++
 	}
 }
 
-// forget drops the oldest removed rows beyond maxRemoved. Who asks for older
-// changes needs all rows.
-func (h *History[R]) forget() {
-	if h.removed <= maxRemoved {
+// compact discards the oldest tombstones, down to half of maxTombstones, once
+// there are more than maxTombstones. A reader that asks for changes since an
+// earlier version then gets all rows.
+func (h *History[R]) compact() {
+	if h.tombstones <= maxTombstones {
 		return
 	}
-	var gone []Entry[R]
+	var removed []Entry[R]
 	for _, e := range h.entries {
 		if e.Removed {
-			gone = append(gone, e)
+			removed = append(removed, e)
 		}
 	}
-	slices.SortFunc(gone, func(a, b Entry[R]) int { return cmp.Compare(a.Version, b.Version) })
-	for _, e := range gone[:len(gone)-maxRemoved/2] {
+	slices.SortFunc(removed, func(a, b Entry[R]) int { return cmp.Compare(a.Version, b.Version) })
+	for _, e := range removed[:len(removed)-maxTombstones/2] {
 		delete(h.entries, e.Key)
-		h.floor = max(h.floor, e.Version)
-		h.removed--
+		h.compacted = max(h.compacted, e.Version)
+		h.tombstones--
 	}
 }
 
-// HasSince reports whether there is anything to tell who knows all up to a
-// version.
-func (h *History[R]) HasSince(after Version) bool { return after < h.changed || after < h.floor }
+// HasSince reports whether there are changes after a version, or whether they
+// can no longer be listed.
+func (h *History[R]) HasSince(after Version) bool { return after < h.lastChange || after < h.compacted }
 
-// Since returns the rows that changed after a version, oldest change first; whole
-// is true if these are all rows there are, because the changes alone are no
-// longer known.
+// Since returns the rows that changed after a version, removed ones included, in
+// the order of their versions. If the changes can no longer be listed, it returns
+// all present rows instead, and whole is true.
 func (h *History[R]) Since(after Version) (rows []R, whole bool) {
-	whole = after < h.floor
+	whole = after < h.compacted
 	var changed []Entry[R]
 	for _, e := range h.entries {
 		if whole && !e.Removed || !whole && e.Version > after {
--- a/internal/core/cwfeed/restore_test.go
+++ b/internal/core/cwfeed/restore_test.go
@@ -7,25 +7,27 @@
 	"pgregory.net/rapid"
 )
 
-// restoredStore is a store that can go back to copies of itself.
-type restoredStore struct {
+// restorableStore simulates a store that can be restored from backups.
+type restorableStore struct {
 	era, number uint64
 	history     History[Entry[int]]
-	copies      []storeCopy
+	backups     []storeBackup
 }
 
-type storeCopy struct {
+// storeBackup holds the rows of the store as of a number.
+type storeBackup struct {
 	number uint64
 	rows   []Entry[int]
 }
 
-func newRestoredStore(t *rapid.T) *restoredStore {
-	s := &restoredStore{number: 1}
-	s.history.Replace(s.at(t, 1), nil)
+func newRestorableStore(t *rapid.T) *restorableStore {
+	s := &restorableStore{number: 1}
+	s.history.Replace(s.version(t, 1), nil)
 	return s
 }
 
-func (s *restoredStore) at(t *rapid.T, number uint64) Version {
+// version returns the version of a number in the current era.
+func (s *restorableStore) version(t *rapid.T, number uint64) Version {
 	v, err := At(s.era, number)
 	if err != nil {
 		t.Fatal(err)
@@ -33,37 +35,41 @@
 	return v
 }
 
-func (s *restoredStore) put(t *rapid.T, key string, row int, removed bool) {
+// put writes or removes a row.
+func (s *restorableStore) put(t *rapid.T, key string, row int, removed bool) {
 	s.number++
-	v := s.at(t, s.number)
-	s.history.Add(v, []Entry[Entry[int]]{wrap(Entry[int]{Key: key, Version: v, Removed: removed, Row: row})})
+	v := s.version(t, s.number)
+	s.history.Add(v, []Entry[Entry[int]]{wrapEntry(Entry[int]{Key: key, Version: v, Removed: removed, Row: row})})
 }
 
-func (s *restoredStore) copy() {
+// backup adds a backup of the current rows.
+func (s *restorableStore) backup() {
 	rows, _ := s.history.Since(0)
 	rows = slices.DeleteFunc(rows, func(e Entry[int]) bool { return e.Removed })
-	s.copies = append(s.copies, storeCopy{number: s.number, rows: rows})
+	s.backups = append(s.backups, storeBackup{number: s.number, rows: rows})
 }
 
-func (s *restoredStore) restore(t *rapid.T, c storeCopy) {
+// restore replaces the rows by those of a backup and begins a new era.
+func (s *restorableStore) restore(t *rapid.T, c storeBackup) {
 	s.era++
 	s.number = c.number
 	var entries []Entry[Entry[int]]
 	for _, r := range c.rows {
-		r.Version = s.at(t, r.Version.Number())
-		entries = append(entries, wrap(r))
+		r.Version = s.version(t, r.Version.Number())
+		entries = append(entries, wrapEntry(r))
 	}
 	s.history = History[Entry[int]]{}
-	s.history.Replace(s.at(t, s.number), entries)
+	s.history.Replace(s.version(t, s.number), entries)
 }
 
-// Guards against rows of before and after a restore of the store that are mixed on their way.
+// Guards against a reader that ends up with a mixture of rows from before and
+// after a restore of the store.
 func TestHistoryTellsEverythingAcrossRestores(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		store := newRestoredStore(t)
+		store := newRestorableStore(t)
 		feeders := make([]History[Entry[int]], 3)
 		seen := make([]Version, len(feeders))
-		var asker History[Entry[int]]
+		var reader History[Entry[int]]
 		for row := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0:
@@ -71,26 +77,26 @@
 				store.put(t, key, row, rapid.Bool().Draw(t, "removed"))
 			case 1:
 				i := rapid.IntRange(0, len(feeders)-1).Draw(t, "feeder")
-				tell(&store.history, &feeders[i], &seen[i], rapid.Bool().Draw(t, "snapshot"))
+				update(&store.history, &feeders[i], &seen[i], rapid.Bool().Draw(t, "snapshot"))
 			case 2:
 				from := &feeders[rapid.IntRange(0, len(feeders)-1).Draw(t, "from")]
 				if _, known := from.Version(); known {
-					v, _ := asker.Version()
-					tell(from, &asker, &v, false)
+					v, _ := reader.Version()
+					update(from, &reader, &v, false)
 				}
 			case 3:
-				store.copy()
+				store.backup()
 			case 4:
-				if len(store.copies) > 0 {
-					store.restore(t, rapid.SampledFrom(store.copies).Draw(t, "copy"))
+				if len(store.backups) > 0 {
+					store.restore(t, rapid.SampledFrom(store.backups).Draw(t, "copy"))
 				}
 			}
 		}
-		v, _ := asker.Version()
-		tell(&store.history, &asker, &v, false)
-		rows, _ := asker.Since(0)
+		v, _ := reader.Version()
+		update(&store.history, &reader, &v, false)
+		rows, _ := reader.Since(0)
 		want, _ := store.history.Since(0)
-		if got, want := present(rows), present(want); !slices.Equal(got, want) {
+		if got, want := presentRows(rows), presentRows(want); !slices.Equal(got, want) {
 			t.Fatalf("got %v, want %v", got, want)
 		}
 	})
--- /dev/null
+++ b/internal/core/cwfeed/staleness.go
@@ -0,0 +1,77 @@
+package cwfeed
+
+import "time"
+
+// Ages holds the staleness bound of an instance's data of one topic.
+type Ages struct {
+	// Stale is the age of the store's last confirmation from which on an instance
+	// queries the store itself.
+	Stale time.Duration
+}
+
+// Waits of queries, in percent of Stale.
+const (
+	// storeWaitPercent is the wait of a root's query to the store. A response
+	// with changes confirms the data only up to the time at which its query was
+	// sent, so two waits and the way down the tree must fit into Stale.
+	storeWaitPercent = 45
+	// feederWaitPercent is the wait of a query to a feeder. The feeder responds
+	// as soon as its own data is confirmed again. If it does not within half of
+	// Stale, it is queried again, so that its response shows that it is alive.
+	feederWaitPercent = 50
+)
+
+// AskWait returns how long the store may hold a root's query.
+func (a Ages) AskWait() time.Duration { return a.Stale * storeWaitPercent / 100 }
+
+// FollowWait returns how long a feeder may hold a query.
+func (a Ages) FollowWait() time.Duration { return a.Stale * feederWaitPercent / 100 }
+
+// IsStale reports whether data that was last confirmed at confirmed is too old,
+// so that the instance must query the store.
+func (a Ages) IsStale(confirmed, now time.Time) bool { return now.Sub(confirmed) >= a.Stale }
+
+// StoreAnswer holds the times of a query to the store and of its response, by
+// the clock of the instance that sent the query.
+type StoreAnswer struct {
+	Sent, Answered time.Time
+	// Wait is how long the store was allowed to hold the query.
+	Wait time.Duration
+	// News is true if the response contains changes.
+	News bool
+}
+
+// Confirmed returns a time at which the response was certainly complete: it
+// contains every change that the store had acknowledged by then.
+//
+// A partition can delay a response, so that the time at which it arrives says
+// nothing about the age of its contents. The time at which the query was sent
+// is a safe bound. A response without changes was sent at the end of the wait,
+// unless it arrived before that.
+func (a StoreAnswer) Confirmed() time.Time {
+	if a.News {
+		return a.Sent
+	}
+	end := a.Sent.Add(a.Wait)
+	if a.Answered.Before(end) {
+		return a.Sent
+	}
+	return end
+}
+
+// FeederAnswer holds the time at which a query to a feeder was sent, and the
+// durations that the feeder's response states.
+type FeederAnswer struct {
+	Sent time.Time
+	// Held is how long the feeder held the query. Age is how long before its
+	// response the store had confirmed its data.
+	Held, Age time.Duration
+}
+
+// Confirmed returns a time at which the feeder's data was certainly complete: it
+// contains every change that the store had acknowledged by then.
+//
+// The network can delay the response, and the feeder can be suspended between
+// creating and sending it. Only the time at which the query was sent is by this
+// instance's own clock. The feeder responded no earlier than Held after that.
+func (a FeederAnswer) Confirmed() time.Time { return a.Sent.Add(a.Held - a.Age) }
--- a/internal/core/cwfeed/tree.go
+++ b/internal/core/cwfeed/tree.go
@@ -1,54 +1,57 @@
-// Package cwfeed decides how news of the platform's store reaches the instances.
+// Package cwfeed models the distribution of changes from the platform's store to
+// the instances.
 //
-// In each data centre few instances, the roots, ask the store. Every other
-// instance asks one that stands above it in a tree, its feeder, and answers
-// those below with what it has learnt. All instances work out the same tree from
-// the list of instances, by rendezvous hashing, without talking to each other;
-// lists that differ for a while cost a detour and nothing else, because a
-// feeder's word is not what an instance relies on:
+// In each data centre a few instances, the roots, query the store. Every other
+// instance queries its parent in a distribution tree, its feeder, and answers the
+// queries of its own children from what it has received. The queries are long
+// polls: the store or the feeder holds a query until there are changes or until
+// a wait has passed. All instances compute the same Tree from the list of
+// instances by rendezvous hashing, without communication. Lists that differ for
+// a while only cause a detour, because an instance does not rely on its feeder:
 //
-//   - Each answer says how long ago the store itself confirmed what it tells.
-//     That age is passed on from instance to instance, never made younger.
-//   - An instance whose knowledge is not confirmed for too long asks the store
+//   - Each response states how long ago the store confirmed its contents. This
+//     age is passed down the tree and never reduced.
+//   - An instance whose data was not confirmed for too long queries the store
 //     itself, whatever its feeder says. See Ages.
 //
-// So a feeder that is frozen, cut off, behind, or in a circle with others delays
-// news by a bounded time. A History answers who asks.
+// So a feeder that is suspended, cut off, behind, or in a cycle with others
+// delays changes by a bounded time only. A History answers the queries.
 package cwfeed
 
 import "cicadawalk.example/cicadawalk/internal/core/cwplace"
 
-// Figures of the tree.
+// Default parameters of a Tree.
 const (
-	// DefaultRoots is how many instances of a data centre ask the store: while
-	// one is restarted, the other one tells half of the data centre without a
-	// gap.
+	// DefaultRoots is the number of instances in a data centre that query the
+	// store. While one restarts, the other one serves half of the data centre
+	// without a gap.
 	DefaultRoots = 2
-	// DefaultFanout is how many instances ask one. A node that answers sixteen
-	// every second or two spends some 0.1% of a core on it, and 425 instances of
-	// a data centre are reached in two steps.
+	// DefaultFanout is the maximum number of children of an instance. Answering
+	// sixteen children every one or two seconds takes about 0.1% of a core, and
+	// 425 instances of a data centre are reached in two steps.
 	DefaultFanout = 16
-	// DefaultLeast is the size of a data centre below which all its instances
-	// ask the store. What others rely on is asked two to three times as often as
-	// what one instance needs for itself, so two roots save nothing before six.
+	// DefaultLeast is the number of instances in a data centre below which all of
+	// them query the store. A root queries the store two to three times as often
+	// as an instance does for itself alone, so two roots save nothing with fewer
+	// than six instances.
 	DefaultLeast = 8
 )
 
-// Tree places the instances of a data centre. The zero value stands for the
-// default figures.
+// Tree arranges the instances of a data centre in distribution trees. The zero
+// Tree uses the default parameters.
 type Tree struct {
-	// Roots, Fanout and Least replace the default figures where they are not
-	// zero.
+	// Roots, Fanout and Least replace DefaultRoots, DefaultFanout and
+	// DefaultLeast if they are not zero.
 	Roots, Fanout, Least int
 }
 
-// Parent returns the instance that self asks. The second result is false if self
-// asks the store. The instances are those of one data centre, self among them,
-// without those that self knows to be out of reach: a root that is lost is
-// replaced by the next in order.
+// Parent returns the feeder of self. The second result is false if self queries
+// the store. instances are those of one data centre, self included, without
+// those that self knows to be unreachable: the next instance in the rendezvous
+// order replaces a lost root.
 func (t Tree) Parent(self string, instances []string) (string, bool) {
-	roots, fanout := figure(t.Roots, DefaultRoots), figure(t.Fanout, DefaultFanout)
-	if len(instances) < figure(t.Least, DefaultLeast) {
+	roots, fanout := orDefault(t.Roots, DefaultRoots), orDefault(t.Fanout, DefaultFanout)
+	if len(instances) < orDefault(t.Least, DefaultLeast) {
 		return "", false
 	}
 	rank := cwplace.Rank(self, treeKey, instances)
@@ -58,13 +61,14 @@
 	return cwplace.Order(treeKey, instances)[(rank-roots)/fanout], true
 }
 
-// treeKey is what the order of the tree is hashed with. It differs from the
-// names of groups, so that roots hold no more groups than others.
+// treeKey is the rendezvous key of the tree. It differs from the names of groups,
+// so that roots don't hold more groups than other instances.
 const treeKey = "tree of feeders"
 
-func figure(own, usual int) int {
-	if own > 0 {
-		return own
+// orDefault returns value, or fallback if value is not positive.
+func orDefault(value, fallback int) int {
+	if value > 0 {
+		return value
 	}
-	return usual
+	return fallback
 }
--- a/internal/core/cwfeed/version_test.go
+++ b/internal/core/cwfeed/version_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against news of after a restore that look older than those of before.
-func TestVersionsRiseWithTheEra(t *testing.T) {
+// Guards against changes after a restore that seem older than those before it.
+func TestVersionOrderFollowsEra(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		era := rapid.Uint64Range(0, maxEra-1).Draw(t, "era")
 		before := rapid.Uint64Range(0, maxNumber).Draw(t, "before")
