--- a/internal/core/cwquota/quota.go
+++ b/internal/core/cwquota/quota.go
@@ -1,18 +1,19 @@
-// Package cwquota keeps the quota of a workspace over many instances.
+// Package cwquota enforces the quota of a workspace across many instances with
+// distributed token buckets.
 //
-// A quota is split into shards of equal size, as many in each data centre. Each
-// shard is a token bucket at one instance, its issuer; whoever begins an
-// operation takes a token from a shard of its own data centre, or from any other
-// one that it reaches. No issuer knows of the others, so nothing has to be agreed
-// while data centres are cut off from each other: each side spends its own
-// shards.
+// A quota is divided into shards of equal size, with the same number of shards in
+// each data centre. Each shard is a token bucket at one instance, its issuer. An
+// instance that begins an operation takes a token from a shard in its own data
+// centre, or from any other shard that it can reach. Issuers don't communicate
+// with each other, so no agreement is needed while data centres are cut off from
+// each other: each side of a partition spends its own shards.
 //
-// What makes the sum hold is the shape of a bucket: in no time t does it give
-// more than its depth and t times its rate. An issuer that takes the place of
-// another begins with an almost empty bucket; the tokens of both together are
-// then no more than one bucket would have given, and what the newcomer begins
-// with is part of the tolerance. So an issuer may be killed at any moment and
-// needs no memory and no wait.
+// The sum of all shards stays within the quota because a token bucket issues at
+// most its depth plus t times its rate in any time t. An issuer that replaces
+// another one begins with an almost empty bucket. Both together then issue no
+// more than a single bucket would have, apart from the initial tokens of the
+// new one, which are part of the rule's slack. An issuer may therefore be killed
+// at any moment, and its replacement needs neither stored state nor a delay.
 package cwquota
 
 import (
@@ -21,79 +22,87 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwcatalogue"
 )
 
-// Shape is the size of one shard's bucket.
+// Shape holds the parameters of one shard's token bucket.
 type Shape struct {
-	// Rate is in tokens a second, Depth the most that can be saved up.
+	// Rate is the number of tokens that are added per second. Depth is the
+	// greatest number of tokens that accumulate.
 	Rate, Depth float64
-	// Initial is what an issuer begins with that may have had a predecessor.
+	// Initial is the number of tokens with which an issuer begins that may
+	// replace another one.
 	Initial float64
 }
 
-// newcomers is the part of the rule's slack that is kept for issuers that take
-// another's place, so that small workspaces are served at once after a start. The
-// rest, and the overage, make up for what callers do not reach: some shards are
-// behind a cut, and what lies in shards that nobody asks is lost.
-const newcomers = 0.25
+// replacementSlack is the part of the rule's slack that is reserved for the
+// initial tokens of replacement issuers, so that small workspaces are served
+// immediately after a start. The rest of the slack, and the overage, compensate
+// for tokens that callers don't reach: some shards are behind a network
+// partition, and tokens in shards that no caller uses are lost.
+const replacementSlack = 0.25
 
-// ShapeOf returns the shape of each of some shards. With every shard's issuer
-// replaced once in the rule's window, all together give as much as the rule
-// allows, and no more.
+// ShapeOf returns the bucket parameters of each shard of a quota. Even if every
+// issuer is replaced once per window of the rule, all shards together issue at
+// most what the rule allows.
 func ShapeOf(q cwcatalogue.Quota, r cwcatalogue.QuotaRule, shards int) Shape {
 	n := float64(max(1, shards))
 	return Shape{
 		Rate:    (1 + r.Overage) * q.Rate / n,
-		Depth:   ((1+r.Overage)*q.Burst + (1-newcomers)*r.Slack) / n,
-		Initial: newcomers * r.Slack / n,
+		Depth:   ((1+r.Overage)*q.Burst + (1-replacementSlack)*r.Slack) / n,
+		Initial: replacementSlack * r.Slack / n,
 	}
 }
 
-// Shard is one shard at its issuer. Make one with NewShard.
+// Shard is the token bucket of one shard at its issuer. It is created by
+// NewShard and is not safe for concurrent use.
 type Shard struct {
-	shape Shape
-	// level is how many tokens there were at a time; 0 <= level <= shape.Depth.
-	level float64
-	at    time.Time
+	params Shape
+	// level is the number of tokens at updatedAt; 0 <= level <= params.Depth.
+	level     float64
+	updatedAt time.Time
 }
 
-// NewShard returns the shard of an issuer that has given no token since a time;
-// first is true if there was no issuer before.
+// NewShard returns the shard of an issuer that has issued no tokens since the
+// given time. first is true if the shard had no issuer before; the bucket is then
+// full.
 func NewShard(s Shape, since time.Time, first bool) *Shard {
 	level := s.Initial
 	if first {
 		level = s.Depth
 	}
-	return &Shard{shape: s, level: min(level, s.Depth), at: since}
+	return &Shard{params: s, level: min(level, s.Depth), updatedAt: since}
 }
 
-// Reshape takes another shape, after the quota was changed. Tokens beyond the new
-// depth are lost.
-func (s *Shard) Reshape(shape Shape, now time.Time) {
-	if s.shape == shape {
+// Reshape changes the parameters of the bucket after a change of the quota.
+// Tokens above the new depth are lost.
+func (s *Shard) Reshape(params Shape, now time.Time) {
+	if s.params == params {
 		return
 	}
-	s.fill(now)
-	s.shape, s.level = shape, min(s.level, shape.Depth)
+	s.refill(now)
+	s.params, s.level = params, min(s.level, params.Depth)
 }
 
-// Take takes a token, or returns how long it takes until there is one.
+// Take takes a token. If there is none, it returns false and the time until the
+// next token is available, or zeroRateWait if no tokens are added.
 func (s *Shard) Take(now time.Time) (ok bool, wait time.Duration) {
-	s.fill(now)
+	s.refill(now)
 	if s.level >= 1 {
 		s.level--
 		return true, 0
 	}
-	if s.shape.Rate <= 0 {
-		return false, neverWait
+	if s.params.Rate <= 0 {
+		return false, zeroRateWait
 	}
-	return false, time.Duration((1 - s.level) / s.shape.Rate * float64(time.Second))
+	return false, time.Duration((1 - s.level) / s.params.Rate * float64(time.Second))
 }
 
-// neverWait is what callers are told who will have no quota unless it is changed.
-const neverWait = 10 * time.Second
+// zeroRateWait is the wait that Take returns for a quota with a rate of zero,
+// which never has another token unless the quota is changed.
+const zeroRateWait = 10 * time.Second
 
-func (s *Shard) fill(now time.Time) {
-	if d := now.Sub(s.at); d > 0 {
-		s.level = min(s.shape.Depth, s.level+d.Seconds()*s.shape.Rate)
-		s.at = now
+// refill adds the tokens that have accumulated since updatedAt.
+func (s *Shard) refill(now time.Time) {
+	if d := now.Sub(s.updatedAt); d > 0 {
+		s.level = min(s.params.Depth, s.level+d.Seconds()*s.params.Rate)
+		s.updatedAt = now
 	}
 }
--- a/internal/core/cwquota/quota_test.go
+++ b/internal/core/cwquota/quota_test.go
@@ -15,27 +15,28 @@
 	rule  = cwcatalogue.QuotaRule{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
 )
 
-// allowed is what the rule allows in one window.
+// allowed returns the number of operations that the rule allows in one window.
 func allowed(q cwcatalogue.Quota) float64 {
 	return (q.Rate*rule.Window.Seconds()+q.Burst)*(1+rule.Overage) + rule.Slack
 }
 
-// mostInWindow returns the most that was given in any span of the window's
-// length.
-func mostInWindow(given []time.Time) int {
-	most, first := 0, 0
-	for i, at := range given {
-		for at.Sub(given[first]) > rule.Window {
+// maxInWindow returns the greatest number of tokens issued in any time span of
+// the window's length.
+func maxInWindow(issued []time.Time) int {
+	greatest, first := 0, 0
+	for i, at := range issued {
+		for at.Sub(issued[first]) > rule.Window {
 			first++
 		}
-		most = max(most, i-first+1)
+		greatest = max(greatest, i-first+1)
 	}
-	return most
+	return greatest
 }
 
-// A workspace sends many times its usual while the instances that keep its quota
-// are killed and come back, each once in a window, and callers ask whom they
-// reach. However it falls out, no five seconds see more than its quota allows.
+// Guards against a workspace that gets more than its quota in some window of five
+// seconds. It comes about if the workspace sends many times its usual load while
+// its issuers are killed and restarted, each at most once per window, and callers
+// take tokens from any shard that they reach.
 func TestSumOfShardsKeepsTheQuota(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := cwcatalogue.Quota{
@@ -45,26 +46,26 @@
 		shards := rapid.IntRange(1, 12).Draw(t, "shards")
 		shape := ShapeOf(q, rule, shards)
 		now := start
-		all := make([]*Shard, shards)
+		issuers := make([]*Shard, shards)
 		replaced := make([]time.Time, shards)
-		for i := range all {
-			all[i] = NewShard(shape, now, true)
+		for i := range issuers {
+			issuers[i] = NewShard(shape, now, true)
 		}
-		var given []time.Time
+		var issued []time.Time
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "pauseMs")) * time.Millisecond)
 			i := rapid.IntRange(0, shards-1).Draw(t, "shard")
 			if rapid.IntRange(0, 9).Draw(t, "kill") == 0 && now.Sub(replaced[i]) > rule.Window {
-				all[i], replaced[i] = NewShard(shape, now, false), now
+				issuers[i], replaced[i] = NewShard(shape, now, false), now
 			}
 			for range rapid.IntRange(0, 200).Draw(t, "asks") {
-				if ok, _ := all[i].Take(now); ok {
-					given = append(given, now)
+				if ok, _ := issuers[i].Take(now); ok {
+					issued = append(issued, now)
 				}
 			}
 		}
-		if most, want := mostInWindow(given), allowed(q); float64(most) > want+1e-6 {
-			t.Fatalf("%d in one window, %.1f allowed", most, want)
+		if got, want := maxInWindow(issued), allowed(q); float64(got) > want+1e-6 {
+			t.Fatalf("%d tokens issued in one window, %.1f allowed", got, want)
 		}
 	})
 }
@@ -79,7 +80,7 @@
 			}
 		}
 	}
-	t.Run("what is within the quota is never refused", func(t *testing.T) {
+	t.Run("operations within the quota are never refused", func(t *testing.T) {
 		s := NewShard(shape, start, true)
 		qt.Assert(t, drain(s, start) >= 10, qt.IsTrue)
 		for n := 1; n <= 100; n++ {
@@ -87,7 +88,7 @@
 			qt.Assert(t, ok, qt.IsTrue, qt.Commentf("operation %d", n))
 		}
 	})
-	t.Run("a refusal tells when to come back", func(t *testing.T) {
+	t.Run("refusal states when the next token is available", func(t *testing.T) {
 		s := NewShard(shape, start, true)
 		drain(s, start)
 		ok, wait := s.Take(start)
@@ -96,17 +97,17 @@
 		ok, _ = s.Take(start.Add(wait + time.Microsecond))
 		qt.Assert(t, ok, qt.IsTrue)
 	})
-	t.Run("a lower quota takes what was saved up", func(t *testing.T) {
+	t.Run("lower quota discards accumulated tokens", func(t *testing.T) {
 		s := NewShard(shape, start, true)
 		lower := cwcatalogue.Quota{Rate: 1, Burst: 1}
 		s.Reshape(ShapeOf(lower, rule, 1), start)
 		n := drain(s, start) + drain(s, start.Add(rule.Window))
 		qt.Assert(t, float64(n) <= allowed(lower), qt.IsTrue, qt.Commentf("%d", n))
 	})
-	t.Run("a quota of nothing is told as such", func(t *testing.T) {
+	t.Run("quota with a rate of zero", func(t *testing.T) {
 		s := NewShard(ShapeOf(cwcatalogue.Quota{Burst: 1}, cwcatalogue.QuotaRule{Window: time.Second}, 1), start, true)
 		qt.Assert(t, drain(s, start), qt.Equals, 1)
 		_, wait := s.Take(start.Add(time.Hour))
-		qt.Assert(t, wait, qt.Equals, neverWait)
+		qt.Assert(t, wait, qt.Equals, zeroRateWait)
 	})
 }
