--- a/internal/core/cwplace/place.go
+++ b/internal/core/cwplace/place.go
@@ -1,6 +1,7 @@
-// Package cwplace spreads work over instances by rendezvous hashing: every
-// instance computes the same order for a key from the same list, without
-// talking to the others, and a change of the list moves as little as possible.
+// Package cwplace implements rendezvous hashing. For each key, every instance
+// computes the same order of the nodes in a list, without communication. If a
+// node is added or removed, the relative order of the others stays the same, so
+// that as few keys as possible move.
 package cwplace
 
 import (
@@ -8,14 +9,16 @@
 	"slices"
 )
 
-// Figures of FNV-1a with 64 bits.
+// Parameters of the 64-bit FNV-1a hash.
 const (
 	fnvOffset = 14695981039346656037
 	fnvPrime  = 1099511628211
 )
 
-// weight is computed for each pair of a node and a key, hundreds of thousands at a
-// change of the nodes, so it allocates nothing.
+// weight returns the rendezvous weight of a node for a key: the FNV-1a hash of
+// the key, a zero byte and the node, followed by a finalizer. It is computed
+// hundreds of thousands of times when the list of nodes changes, once for each
+// pair of a node and a key, so it must not allocate.
 func weight(node, key string) uint64 {
 	x := uint64(fnvOffset)
 	for i := range len(key) {
@@ -25,7 +28,7 @@
 	for i := range len(node) {
 		x = (x ^ uint64(node[i])) * fnvPrime
 	}
-	// FNV mixes the last bytes poorly; finish as in splitmix64.
+	// FNV mixes the last bytes poorly, so apply the finalizer of splitmix64.
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
 	x ^= x >> 27
@@ -33,7 +36,8 @@
 	return x ^ x>>31
 }
 
-// Order returns the nodes in the order of the key, first choice first.
+// Order returns the nodes in descending order of their weight for the key. Nodes
+// of equal weight are ordered by name.
 func Order(key string, nodes []string) []string {
 	weights := make(map[string]uint64, len(nodes))
 	for _, n := range nodes {
@@ -49,56 +53,60 @@
 	return out
 }
 
-// Before reports whether a node comes before another one in the order of the key.
+// Before reports whether node precedes other in the order of the key.
 func Before(node, other, key string) bool {
-	return before(weight(node, key), node, weight(other, key), other)
+	return precedes(weight(node, key), node, weight(other, key), other)
 }
 
-func before(w uint64, node string, than uint64, other string) bool {
-	return w > than || w == than && node < other
+// precedes reports whether node, whose weight is w, precedes other, whose weight
+// is otherWeight.
+func precedes(w uint64, node string, otherWeight uint64, other string) bool {
+	return w > otherWeight || w == otherWeight && node < other
 }
 
-// Rank returns the place of self in the order of the key, or len(nodes) if it
-// is not among them.
+// Rank returns the index of self in the order of the key, or len(nodes) if self
+// is not one of the nodes.
 func Rank(self, key string, nodes []string) int {
 	if !slices.Contains(nodes, self) {
 		return len(nodes)
 	}
-	mine, rank := weight(self, key), 0
+	selfWeight, rank := weight(self, key), 0
 	for _, n := range nodes {
-		if before(weight(n, key), n, mine, self) {
+		if precedes(weight(n, key), n, selfWeight, self) {
 			rank++
 		}
 	}
 	return rank
 }
 
-// fewFirst is up to how many nodes First selects without putting all in order.
-const fewFirst = 8
+// maxSelected is the largest n for which First selects nodes without sorting all
+// of them.
+const maxSelected = 8
 
-// First returns the first n nodes in the order of the key.
+// First returns the first n nodes in the order of the key, or all of them if
+// there are fewer.
 func First(key string, nodes []string, n int) []string {
-	if n > fewFirst {
+	if n > maxSelected {
 		out := Order(key, nodes)
 		return out[:min(n, len(out))]
 	}
-	var weights [fewFirst]uint64
+	var weights [maxSelected]uint64
 	out := make([]string, 0, n)
 	for _, node := range nodes {
 		w := weight(node, key)
-		at := len(out)
-		for at > 0 && before(w, node, weights[at-1], out[at-1]) {
-			at--
+		index := len(out)
+		for index > 0 && precedes(w, node, weights[index-1], out[index-1]) {
+			index--
 		}
-		if at == n {
+		if index == n {
 			continue
 		}
 		if len(out) == n {
 			out = out[:n-1]
 		}
-		copy(weights[at+1:], weights[at:len(out)])
-		weights[at] = w
-		out = slices.Insert(out, at, node)
+		copy(weights[index+1:], weights[index:len(out)])
+		weights[index] = w
+		out = slices.Insert(out, index, node)
 	}
 	return out
 }
--- a/internal/core/cwplace/place_test.go
+++ b/internal/core/cwplace/place_test.go
@@ -20,7 +20,7 @@
 	qt.Assert(t, First("k", nodes, 9), qt.HasLen, 5)
 }
 
-func TestSpreadIsEvenAndStable(t *testing.T) {
+func TestDistributionIsEvenAndStable(t *testing.T) {
 	nodes := []string{"a", "b", "c", "d", "e"}
 	count := map[string]int{}
 	moved := 0
@@ -33,12 +33,12 @@
 		}
 	}
 	for n, c := range count {
-		qt.Assert(t, c > 850 && c < 1150, qt.IsTrue, qt.Commentf("%s has %d", n, c))
+		qt.Assert(t, c > 850 && c < 1150, qt.IsTrue, qt.Commentf("%s is first for %d keys", n, c))
 	}
 	qt.Assert(t, moved, qt.Equals, count["e"])
 }
 
-// Guards against a selection of the first nodes that differs from their order.
+// Guards against First and Before disagreeing with Order.
 func TestFirstAgreesWithOrder(t *testing.T) {
 	var nodes []string
 	for i := range 40 {
--- a/internal/core/cwplace/weight_test.go
+++ b/internal/core/cwplace/weight_test.go
@@ -8,10 +8,11 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Instances of two versions run side by side during an update and must agree about
-// the order. The hash of a node and a key is FNV-1a of the key, a zero byte and the
-// node, then mixed.
-func TestWeightIsThatOfTheStandardHash(t *testing.T) {
+// Guards against a change of the hash: during an update, instances of two
+// versions run side by side and must agree on the order. The weight must be the
+// FNV-1a hash of the key, a zero byte and the node, followed by the finalizer of
+// splitmix64.
+func TestWeightMatchesStandardHash(t *testing.T) {
 	for i := range 100 {
 		node, key := fmt.Sprintf("front-%d", i*i), fmt.Sprintf("group %d", i)
 		h := fnv.New64a()
