--- a/internal/core/cwsession/session.go
+++ b/internal/core/cwsession/session.go
@@ -1,13 +1,16 @@
-// Package cwsession keeps the promise that a session reads its own writes.
+// Package cwsession implements the read-your-writes guarantee of sessions.
 //
-// A session is a caller's sequence of requests, over any number of connections
-// and proxies. What it has seen is a Token: one mark for each group that it
-// wrote to. The caller carries the token; no proxy and no table does, so a
-// proxy's death loses nothing and the cost does not grow with the sessions.
+// A session is a sequence of requests by one caller, over any number of
+// connections and proxies. What it has seen is recorded in a Token, which has one
+// log position (a cwgroup.Mark) for each group that the session wrote to. The
+// caller stores the token and sends it along; no proxy and no table stores it, so
+// the loss of a proxy loses nothing and the cost does not grow with the number of
+// sessions.
 //
-// A connection that brings no token gets a floor all the same: the primary's
-// position, asked for after the connection was made. Whatever the session wrote
-// and saw acknowledged before is at or below it.
+// A Floor is the lowest mark that a member must hold to serve a session's reads
+// of a group. It comes from the token. A connection without a token gets a floor
+// too: the primary's position, requested after the connection was made. Every
+// write that the session had seen acknowledged before is at or below it.
 package cwsession
 
 import (
@@ -22,7 +25,7 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwgroup"
 )
 
-// Bounds of what a token may be; it is read from outside.
+// Bounds of a token. Tokens come from callers and are not trusted.
 const (
 	// MaxTokenLen is the longest token accepted, in bytes.
 	MaxTokenLen = 1024
@@ -32,10 +35,10 @@
 	checksumLen    = 4
 )
 
-// TokenFault says what is wrong with a token.
+// TokenFault is the reason for which a token is rejected.
 type TokenFault string
 
-// The faults of a token.
+// The reasons for which a token is rejected.
 const (
 	FaultTooLong   TokenFault = "longer than the bound"
 	FaultMalformed TokenFault = "malformed"
@@ -45,28 +48,29 @@
 	FaultFuture    TokenFault = "is ahead of everything the group has written"
 )
 
-// TokenError reports a token that is refused.
+// TokenError reports a rejected token.
 type TokenError struct{ Fault TokenFault }
 
 func (e *TokenError) Error() string { return "session token " + string(e.Fault) }
 
-// Token is what a session has seen. It is immutable; the zero Token has seen
-// nothing.
+// Token holds the newest mark that a session has seen in each group. It is
+// immutable. The zero Token is empty.
 type Token struct {
 	marks map[string]cwgroup.Mark
 }
 
-// Mark returns what the session has seen of the group.
+// Mark returns the newest mark that the session has seen in the group. The second
+// result is false if there is none.
 func (t Token) Mark(group string) (cwgroup.Mark, bool) {
 	m, ok := t.marks[group]
 	return m, ok
 }
 
-// Empty reports whether the token has seen nothing.
+// Empty reports whether the token has no marks.
 func (t Token) Empty() bool { return len(t.marks) == 0 }
 
-// WithMark returns a token that has also seen m. A token never goes back: an
-// earlier mark changes nothing.
+// WithMark returns a token whose mark of the group is at least m. A mark never
+// decreases: if the token already has a later one, it is returned unchanged.
 func (t Token) WithMark(group string, m cwgroup.Mark) Token {
 	if old, ok := t.marks[group]; ok && old.AtLeast(m) {
 		return t
@@ -79,8 +83,9 @@
 	return Token{marks: marks}
 }
 
-// Only returns a token without the groups that are not listed, or an error if
-// the token names none of them: then it comes from another service.
+// Only returns a token with the marks of the listed groups only. If the token is
+// not empty and has none of these groups, it belongs to another service, and Only
+// returns a *TokenError with FaultForeign.
 func (t Token) Only(groups []string) (Token, error) {
 	out := Token{}
 	for _, g := range groups {
@@ -94,7 +99,8 @@
 	return out, nil
 }
 
-// String encodes the token. Callers treat it as opaque.
+// String encodes the token in the form that ParseToken reads. It is empty for an
+// empty token. Callers treat the encoding as opaque.
 func (t Token) String() string {
 	if t.Empty() {
 		return ""
@@ -111,8 +117,8 @@
 	return tokenPrefix + base64.RawURLEncoding.EncodeToString(append(sum, body...))
 }
 
-// ParseToken reads a token that came from outside. The empty text is the empty
-// token.
+// ParseToken decodes a token that a caller sent. The empty string is the empty
+// token. Any error is a *TokenError.
 func ParseToken(s string) (Token, error) {
 	if s == "" {
 		return Token{}, nil
@@ -135,6 +141,9 @@
 	return parseMarks(body)
 }
 
+// parseMarks decodes the body of a token. Each mark is encoded as the length of
+// the group's name in one byte, the name, and the term and the position as
+// unsigned varints.
 func parseMarks(body []byte) (Token, error) {
 	marks := make(map[string]cwgroup.Mark)
 	for len(body) > 0 {
@@ -166,21 +175,24 @@
 }
 
 // Floor is the lowest mark that a member must hold to serve a session's reads.
-// The zero Floor is not known yet: the primary must be asked first.
+// While Known is false, as in the zero Floor, the primary must be asked for its
+// position first.
 type Floor struct {
 	Mark  cwgroup.Mark
 	Known bool
 }
 
-// FloorOf returns the floor that a token gives in a group.
+// FloorOf returns the floor of a group according to a token. It is not known if
+// the token has no mark of the group.
 func FloorOf(t Token, group string) Floor {
 	m, ok := t.Mark(group)
 	return Floor{Mark: m, Known: ok}
 }
 
-// CheckTip compares a floor with the primary's mark, asked for after the token
-// arrived. A floor beyond it cannot come from this group, and is refused rather
-// than waited for: no member would ever reach it.
+// CheckTip compares a floor with tip, the mark at which the primary's log ended
+// when it was asked after the token arrived. A floor beyond tip cannot come from
+// this group. It is rejected with a *TokenError instead of waited for, because no
+// member would ever reach it.
 func (f Floor) CheckTip(tip cwgroup.Mark) error {
 	if f.Known && !tip.AtLeast(f.Mark) {
 		return &TokenError{Fault: FaultFuture}
@@ -188,5 +200,5 @@
 	return nil
 }
 
-// GoString describes the floor in test failures.
+// GoString formats the floor for test failures.
 func (f Floor) GoString() string { return fmt.Sprintf("floor(%v %t)", f.Mark, f.Known) }
--- a/internal/core/cwsession/session_test.go
+++ b/internal/core/cwsession/session_test.go
@@ -9,10 +9,11 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwgroup"
 )
 
-func mark(t cwgroup.Term, p cwgroup.Position) cwgroup.Mark {
+func newMark(t cwgroup.Term, p cwgroup.Position) cwgroup.Mark {
 	return cwgroup.Mark{Term: t, Position: p}
 }
 
+// assertFault checks that err is a *TokenError with the given fault.
 func assertFault(t *testing.T, err error, f TokenFault) {
 	t.Helper()
 	var te *TokenError
@@ -21,24 +22,24 @@
 }
 
 func TestTokenRoundTrip(t *testing.T) {
-	tok := Token{}.WithMark("g1", mark(3, 99)).WithMark("g2", mark(1, 1<<40))
+	tok := Token{}.WithMark("g1", newMark(3, 99)).WithMark("g2", newMark(1, 1<<40))
 	back, err := ParseToken(tok.String())
 	qt.Assert(t, err, qt.IsNil)
 	m, ok := back.Mark("g1")
 	qt.Assert(t, ok, qt.IsTrue)
-	qt.Assert(t, m, qt.Equals, mark(3, 99))
+	qt.Assert(t, m, qt.Equals, newMark(3, 99))
 	qt.Assert(t, back.String(), qt.Equals, tok.String())
 }
 
-func TestTokenNeverGoesBack(t *testing.T) {
-	tok := Token{}.WithMark("g", mark(2, 5))
-	qt.Assert(t, tok.WithMark("g", mark(1, 900)).String(), qt.Equals, tok.String())
-	m, _ := tok.WithMark("g", mark(2, 6)).Mark("g")
-	qt.Assert(t, m, qt.Equals, mark(2, 6))
+func TestTokenMarksNeverDecrease(t *testing.T) {
+	tok := Token{}.WithMark("g", newMark(2, 5))
+	qt.Assert(t, tok.WithMark("g", newMark(1, 900)).String(), qt.Equals, tok.String())
+	m, _ := tok.WithMark("g", newMark(2, 6)).Mark("g")
+	qt.Assert(t, m, qt.Equals, newMark(2, 6))
 }
 
-func TestBadTokens(t *testing.T) {
-	good := Token{}.WithMark("g", mark(2, 5)).String()
+func TestRejectedTokens(t *testing.T) {
+	good := Token{}.WithMark("g", newMark(2, 5)).String()
 	for text, fault := range map[string]TokenFault{
 		"hello":                   FaultMalformed,
 		"cw1.!!!":                 FaultMalformed,
@@ -55,16 +56,16 @@
 	assertFault(t, err, FaultForeign)
 }
 
-func TestFloorBeyondTheTip(t *testing.T) {
-	f := FloorOf(Token{}.WithMark("g", mark(2, 5)), "g")
-	qt.Assert(t, f.CheckTip(mark(2, 5)), qt.IsNil)
-	qt.Assert(t, f.CheckTip(mark(3, 1)), qt.IsNil)
-	assertFault(t, f.CheckTip(mark(2, 4)), FaultFuture)
-	qt.Assert(t, FloorOf(Token{}, "g").CheckTip(mark(1, 1)), qt.IsNil)
+func TestFloorBeyondPrimary(t *testing.T) {
+	f := FloorOf(Token{}.WithMark("g", newMark(2, 5)), "g")
+	qt.Assert(t, f.CheckTip(newMark(2, 5)), qt.IsNil)
+	qt.Assert(t, f.CheckTip(newMark(3, 1)), qt.IsNil)
+	assertFault(t, f.CheckTip(newMark(2, 4)), FaultFuture)
+	qt.Assert(t, FloorOf(Token{}, "g").CheckTip(newMark(1, 1)), qt.IsNil)
 }
 
 func FuzzParseToken(f *testing.F) {
-	f.Add(Token{}.WithMark("g1", mark(3, 99)).String())
+	f.Add(Token{}.WithMark("g1", newMark(3, 99)).String())
 	f.Add("cw1.AAAAAAAA")
 	f.Add("cw1.")
 	f.Fuzz(func(t *testing.T, text string) {
@@ -74,7 +75,7 @@
 		}
 		back, err := ParseToken(tok.String())
 		if err != nil || back.String() != tok.String() {
-			t.Fatalf("%q does not survive a round trip: %v", text, err)
+			t.Fatalf("%q changes in a round trip: %v", text, err)
 		}
 	})
 }
