--- a/internal/core/cwstatement/statement.go
+++ b/internal/core/cwstatement/statement.go
@@ -1,10 +1,10 @@
-// Package cwstatement models what callers ask and what targets answer, without
-// a byte of any protocol.
+// Package cwstatement defines the protocol-independent requests of callers and
+// responses of targets.
 //
-// A caller's session sends one Statement at a time. The engine turns it into
-// Commands for a target and the target's Answers into one Answer for the
-// caller. Codecs before and behind the engine translate both from and to a
-// protocol.
+// A caller's session sends one Statement at a time. The engine translates it into
+// one or more Commands for a target, and the target's Answers into one Answer for
+// the caller. Codecs on the caller's side and on the target's side of the engine
+// encode and decode these types for a wire protocol.
 package cwstatement
 
 import (
@@ -15,149 +15,161 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwgroup"
 )
 
-// Verb says what a statement does.
+// Verb is the operation of a statement.
 type Verb uint8
 
 // The verbs.
 const (
-	// Unknown is a statement that the codec could not read.
+	// Unknown is a statement that the codec could not parse.
 	Unknown Verb = iota
-	// Begin opens a transaction that may write.
+	// Begin begins a read-write transaction.
 	Begin
-	// BeginRead opens a transaction that only reads.
+	// BeginRead begins a read-only transaction.
 	BeginRead
 	// Commit ends a transaction and keeps its writes.
 	Commit
-	// Rollback ends a transaction and drops its writes.
+	// Rollback ends a transaction and discards its writes.
 	Rollback
 	// Read reads one item.
 	Read
 	// Write writes one item.
 	Write
-	// Set gives a session setting a value.
+	// Set changes the value of a session setting.
 	Set
-	// Prepare names a statement for later.
+	// Prepare defines a prepared statement.
 	Prepare
 	// Execute runs a prepared statement.
 	Execute
-	// Deallocate forgets a prepared statement.
+	// Deallocate discards a prepared statement.
 	Deallocate
-	// Reset forgets all settings and prepared statements. Only the engine
-	// sends it.
+	// Reset discards all session settings and prepared statements. Only the
+	// engine sends it.
 	Reset
 )
 
+// verbNames are the names of the verbs in logs and messages, by value.
 var verbNames = [...]string{
 	"unknown", "begin", "beginRead", "commit", "rollback", "read", "write",
 	"set", "prepare", "execute", "deallocate", "reset",
 }
 
-// String names the verb for logs and messages.
+// String returns the verb's name in logs and messages.
 func (v Verb) String() string { return verbNames[v] }
 
-// VerbNamed returns the verb with the name, or Unknown.
+// VerbNamed returns the verb with the given name, or Unknown if there is none.
 func VerbNamed(name string) Verb { return Verb(max(0, slices.Index(verbNames[:], name))) }
 
-// Statement is what a caller asks.
+// Statement is a request of a caller.
 type Statement struct {
-	// ID is the caller's name for this statement; it goes to the target
-	// unchanged.
+	// ID is the identifier that the caller gave the statement. It is passed to
+	// the target unchanged.
 	ID   string
 	Verb Verb
 	// Text is the statement as the caller wrote it.
 	Text string
-	// Name is the setting of Set and the prepared statement of Prepare, Execute
-	// and Deallocate.
+	// Name is the name of the setting for Set, and that of the prepared statement
+	// for Prepare, Execute and Deallocate.
 	Name string
-	// Rest is what follows the name: the value of Set, the shape of Prepare,
-	// the item and data of Execute.
+	// Rest is the text that follows the name: the value for Set, the shape for
+	// Prepare, and the item and data for Execute.
 	Rest string
 	// Writes is true for a Prepare of a statement that writes.
 	Writes bool
 }
 
-// Command is what the engine sends to a target.
+// Command is a request that the engine sends to a target.
 type Command struct {
-	// ID is the caller's, or empty for a statement of the engine's own.
+	// ID is the identifier of the caller's statement, or empty if the command
+	// comes from the engine itself.
 	ID   string
 	Verb Verb
-	// Text is the caller's text for statements that go unchanged; it is used
-	// if Name is empty.
+	// Text is the caller's text of a statement that is passed on unchanged. It is
+	// used if Name is empty.
 	Text string
-	// Name, Rest and Writes are those of a Statement.
+	// Name, Rest and Writes have the same meaning as in Statement.
 	Name, Rest string
 	Writes     bool
-	// Floor is the mark that the target's log must hold before it runs a read
-	// or begins a transaction. The zero Mark asks for nothing.
+	// Floor is the mark that the target's log must hold before the target runs a
+	// read or begins a transaction. The zero Mark sets no condition.
 	Floor cwgroup.Mark
 }
 
-// State is where a session stands after an answer.
+// State is the transaction state of a session after an answer.
 type State uint8
 
-// The states of a session.
+// The transaction states of a session.
 const (
 	// Idle means that no transaction is open.
 	Idle State = iota
 	// Open means that a transaction is open.
 	Open
-	// Failed means that the open transaction failed; it can only be ended.
+	// Failed means that the open transaction has failed. It can only be ended.
 	Failed
 )
 
+// stateNames are the names of the states in messages, by value.
 var stateNames = [...]string{"idle", "open", "failed"}
 
-// String names the state for messages.
+// String returns the state's name in messages.
 func (s State) String() string { return stateNames[s] }
 
-// StateNamed returns the state with the name, or false.
+// StateNamed returns the state with the given name. The second result is false if
+// there is none.
 func StateNamed(name string) (State, bool) {
 	i := slices.Index(stateNames[:], name)
 	return State(max(0, i)), i >= 0
 }
 
-// Code says how a statement failed. The zero Code is success.
+// Code is the outcome of a statement. The zero Code is success.
 type Code uint8
 
-// The codes. Some of them promise that nothing of the caller's attempt is kept.
+// The outcomes of a statement. Promises and NotRun tell which of them guarantee
+// that the statement had no lasting effect or did not run.
 const (
+	// OK means that the statement succeeded.
 	OK Code = iota
-	// Busy means that nothing ran because too much runs already.
+	// Busy means that nothing ran because too many statements are in progress.
 	Busy
-	// Aborted means that the transaction is over and nothing of it is kept.
+	// Aborted means that the transaction has ended and none of its writes is
+	// kept.
 	Aborted
-	// Behind means that the target's log lacks the floor; nothing ran.
+	// Behind means that the target's log does not hold the floor yet. Nothing
+	// ran.
 	Behind
-	// NotPrimary means that the target takes no writes; nothing ran.
+	// NotPrimary means that the target accepts no writes. Nothing ran.
 	NotPrimary
-	// WrongTarget means that another database has this address.
+	// WrongTarget means that the database at the target's address is another one.
 	WrongTarget
-	// TooManyConnections means that the target takes no more connections.
+	// TooManyConnections means that the target accepts no further connections.
 	TooManyConnections
-	// NotPrepared means that the target has no such prepared statement.
+	// NotPrepared means that the target doesn't have the prepared statement.
 	NotPrepared
 	// RunFailed means that the statement ran and failed.
 	RunFailed
-	// TimedOut means that the statement may have run.
+	// TimedOut means that there was no response in time. The statement may have
+	// run.
 	TimedOut
-	// Unresolved means that a commit may have taken effect or not.
+	// Unresolved means that it is unknown whether a commit took effect.
 	Unresolved
-	// Malformed means that the statement cannot be read or has no place here.
+	// Malformed means that the statement cannot be parsed or is not allowed in
+	// the current state.
 	Malformed
-	// NoDatabase means that the catalogue has no such entry.
+	// NoDatabase means that the catalogue has no entry for the database.
 	NoDatabase
-	// Unauthorised means that the caller's key is not known.
+	// Unauthorised means that the caller's key is unknown.
 	Unauthorised
-	// OtherCode is a code that this program doesn't know. It promises nothing.
+	// OtherCode stands for any code that this program doesn't know. It guarantees
+	// nothing.
 	OtherCode
 )
 
+// codeNames are the names of the codes in messages, logs and metrics, by value.
 var codeNames = [...]string{
 	"ok", "busy", "aborted", "behind", "notPrimary", "wrongTarget", "tooManyConnections",
 	"notPrepared", "runFailed", "timedOut", "unresolved", "malformed", "noDatabase", "unauthorised", "other",
 }
 
-// String names the code for logs and metrics.
+// String returns the code's name in messages, logs and metrics.
 func (c Code) String() string {
 	if int(c) < len(codeNames) {
 		return codeNames[c]
@@ -165,7 +177,7 @@
 	return "code" + strconv.Itoa(int(c))
 }
 
-// CodeNamed returns the code with the name, or OtherCode.
+// CodeNamed returns the code with the given name, or OtherCode if there is none.
 func CodeNamed(name string) Code {
 	if i := slices.Index(codeNames[:], name); i >= 0 {
 		return Code(i)
@@ -173,8 +185,8 @@
 	return OtherCode
 }
 
-// NotRun reports whether the code, from a target, means that the statement did
-// not run.
+// NotRun reports whether the code, in the answer of a target, means that the
+// statement did not run.
 func (c Code) NotRun() bool {
 	switch c {
 	case Busy, Behind, NotPrimary, WrongTarget, TooManyConnections, NotPrepared:
@@ -183,8 +195,8 @@
 	return false
 }
 
-// Promises reports whether the code promises a caller that nothing of its
-// attempt is kept.
+// Promises reports whether the code guarantees to a caller that none of the
+// effects of its statement or transaction is kept.
 func (c Code) Promises() bool {
 	switch c {
 	case Busy, Aborted, Behind, NotPrimary, WrongTarget, TooManyConnections:
@@ -193,48 +205,51 @@
 	return false
 }
 
-// Answer is what comes back for a statement or command.
+// Answer is the response to a statement or a command.
 type Answer struct {
 	Rows []string
-	// Proof is the target's signature of what it ran. It is empty for what the
-	// engine answered by itself.
+	// Proof is the target's signature of what it ran. It is empty if the engine
+	// answered without a target.
 	Proof string
 	Code  Code
-	// Detail explains a failure.
+	// Detail explains a failure to the caller.
 	Detail string
 	State  State
-	// Mark is where the target's log stood; zero if it did not say.
+	// Mark is the end of the target's log at the time of the answer; zero if the
+	// target did not report it.
 	Mark cwgroup.Mark
 }
 
-// Failure returns the answer to a statement that failed.
+// Failure returns an answer with a code and its explanation.
 func Failure(c Code, detail string) Answer { return Answer{Code: c, Detail: detail} }
 
-// RetryLater returns the answer to a statement that did not run, with the time
-// after which a repeat may succeed.
+// RetryLater returns an answer to a statement that did not run. Its detail
+// contains the reason why, notRun=true, and the time after which a retry may
+// succeed, in milliseconds and at least 1.
 func RetryLater(c Code, why string, after time.Duration) Answer {
 	return Failure(c, why+" notRun=true retryAfterMs="+strconv.FormatInt(max(after, time.Millisecond).Milliseconds(), 10))
 }
 
-// WithState returns a copy in the state.
+// WithState returns a copy of the answer with another transaction state.
 func (a Answer) WithState(s State) Answer {
 	a.State = s
 	return a
 }
 
-// Health is what a target says about itself.
+// Health is the status that a target reports about itself.
 type Health struct {
 	Role cwgroup.Role
 	// Term is the term of the target's log.
 	Term cwgroup.Term
-	// Received is where its log ends.
+	// Received is the end of the target's log.
 	Received cwgroup.Mark
-	// Fence is the term for which it stopped receiving; zero if it receives.
+	// Fence is the term for which the target has been fenced and stopped
+	// replicating; zero if it replicates.
 	Fence cwgroup.Term
-	// Lag is how far its data is behind, by its own account.
+	// Lag is the replication lag of the target's data, as measured by the target.
 	Lag time.Duration
-	// Busy is the number of statements that it runs.
+	// Busy is the number of statements in progress at the target.
 	Busy int
-	// Connections is the number of connections that it has, from everybody.
+	// Connections is the number of connections to the target from all clients.
 	Connections int
 }
