--- a/internal/core/cwfeed/tree.go
+++ b/internal/core/cwfeed/tree.go
@@ -4,10 +4,11 @@
 // In each data centre a few instances, the roots, query the store. Every other
 // instance queries its parent in a distribution tree, its feeder, and answers the
 // queries of its own children from what it has received. The queries are long
-// polls: the store or the feeder holds a query until there are changes or until
-// a wait has passed. All instances compute the same Tree from the list of
-// instances by rendezvous hashing, without communication. Lists that differ for
-// a while only cause a detour, because an instance does not rely on its feeder:
+// polls: the store or the feeder holds a query until it has something new to
+// report, or until a wait has passed. All instances compute the same Tree from
+// the list of instances by rendezvous hashing, without communication. Lists that
+// differ for a while only cause a detour, because an instance does not rely on
+// its feeder:
 //
 //   - Each response states how long ago the store confirmed its contents. This
 //     age is passed down the tree and never reduced.
@@ -15,7 +16,8 @@
 //     itself, whatever its feeder says. See Ages.
 //
 // So a feeder that is suspended, cut off, behind, or in a cycle with others
-// delays changes by a bounded time only. A History answers the queries.
+// delays changes by a bounded time only. A History holds the rows from which
+// queries are answered.
 package cwfeed
 
 import "cicadawalk.example/cicadawalk/internal/core/cwplace"
--- a/internal/core/cwholder/choose.go
+++ b/internal/core/cwholder/choose.go
@@ -39,7 +39,7 @@
 
 // Choose chooses a holder for a statement while there are more than ManyGroups
 // groups. links are the states of the connections to the group's holders, in the
-// order in which statements are handed to them.
+// order in which statements are forwarded to them.
 //
 // A holder with a ready connection is preferred. Otherwise the first usable
 // holder in order is connected and waited for, and the next one only if that
--- a/internal/core/cwquota/quota.go
+++ b/internal/core/cwquota/quota.go
@@ -32,12 +32,12 @@
 	Initial float64
 }
 
-// replacementSlack is the part of the rule's slack that is reserved for the
+// replacementSlackShare is the part of the rule's slack that is reserved for the
 // initial tokens of replacement issuers, so that small workspaces are served
 // immediately after a start. The rest of the slack, and the overage, compensate
 // for tokens that callers don't reach: some shards are behind a network
 // partition, and tokens in shards that no caller uses are lost.
-const replacementSlack = 0.25
+const replacementSlackShare = 0.25
 
 // ShapeOf returns the bucket parameters of each shard of a quota. Even if every
 // issuer is replaced once per window of the rule, all shards together issue at
@@ -46,8 +46,8 @@
 	n := float64(max(1, shards))
 	return Shape{
 		Rate:    (1 + r.Overage) * q.Rate / n,
-		Depth:   ((1+r.Overage)*q.Burst + (1-replacementSlack)*r.Slack) / n,
-		Initial: replacementSlack * r.Slack / n,
+		Depth:   ((1+r.Overage)*q.Burst + (1-replacementSlackShare)*r.Slack) / n,
+		Initial: replacementSlackShare * r.Slack / n,
 	}
 }
 
