--- a/cicadawalk.go
+++ b/cicadawalk.go
@@ -91,9 +91,9 @@
 	// Decision is what to do with a read.
 	Decision = cwroute.Decision
 	// ToPrimary sends a read that no replica can serve to the primary.
-	ToPrimary = cwroute.ToPrimary
+	ToPrimary = cwroute.PrimaryFallback
 	// WaitUpTo lets such a read wait for a replica.
-	WaitUpTo = cwroute.WaitUpTo
+	WaitUpTo = cwroute.BoundedWait
 	// Router places reads by a policy.
 	Router[P cwroute.Policy] = cwroute.Router[P]
 )
@@ -106,7 +106,7 @@
 
 // WritePrimary returns the member that takes writes, or false if a write could
 // not be acknowledged now.
-var WritePrimary = cwroute.WritePrimary
+var WritePrimary = cwroute.WritablePrimary
 
 // Failover.
 type (
--- a/example_test.go
+++ b/example_test.go
@@ -36,7 +36,7 @@
 	token := cicadawalk.Token{}.WithMark("g", wrote)
 	read := cicadawalk.Read{Floor: cicadawalk.FloorOf(token, "g")}
 	candidates := []cicadawalk.Candidate{{Member: "b"}, {Member: "c"}}
-	d := cicadawalk.Router[cicadawalk.ToPrimary]{}.Place(sup.View(), candidates, read, now)
+	d := cicadawalk.Router[cicadawalk.ToPrimary]{}.Route(sup.View(), candidates, read, now)
 	fmt.Println("read at:", d.Member)
 
 	now = now.Add(time.Second)
--- a/internal/core/cwproof/ledger_test.go
+++ b/internal/core/cwproof/ledger_test.go
@@ -61,7 +61,7 @@
 	r.tries++
 	bury := r.tries > 6
 	p.do(func() {
-		pr, ok := cwroute.WritePrimary(p.sup.View(), l.w.now)
+		pr, ok := cwroute.WritablePrimary(p.sup.View(), l.w.now)
 		if !ok {
 			return
 		}
@@ -136,7 +136,7 @@
 
 func (l *ledger) placed(r *request, p *proxy, rd cwroute.Read) {
 	d := p.place(rd)
-	switch d.Kind {
+	switch d.Action {
 	case cwroute.Wait:
 		l.w.after(5*time.Millisecond, func() {
 			p.do(func() {
--- a/internal/core/cwproof/proxy_test.go
+++ b/internal/core/cwproof/proxy_test.go
@@ -21,8 +21,8 @@
 	index   int
 	sup     *cwfailover.Supervisor
 	tracker cwack.Tracker
-	lagging cwroute.LagMeter
-	history cwroute.History
+	lagging cwroute.LagTracker
+	history cwroute.PositionHistory
 	heard   map[cwgroup.MemberID]time.Time
 	changes int
 	// starts counts the restarts, which makes claims unique.
@@ -44,7 +44,7 @@
 func (p *proxy) restart() {
 	p.starts++
 	p.sup = cwfailover.NewSupervisor(cwfailover.InstanceID(p.name), fmt.Sprint(p.starts), "g", []cwgroup.MemberID{"m0", "m1", "m2"})
-	p.tracker, p.lagging, p.history = cwack.Tracker{}, cwroute.LagMeter{}, cwroute.History{}
+	p.tracker, p.lagging, p.history = cwack.Tracker{}, cwroute.LagTracker{}, cwroute.PositionHistory{}
 	for _, m := range p.w.members {
 		p.heard[m.id()] = p.w.now
 	}
@@ -62,12 +62,12 @@
 		p.beat()
 	}
 	if pr, ok := p.sup.View().Primary(); ok && pr.Member == s.Member {
-		p.lagging.Primary(s.Last, p.w.now)
-		if at, ok := cwroute.Sampled(p.sup.View(), pr, asked); ok && !asked.IsZero() {
+		p.lagging.ObservePrimary(s.Last, p.w.now)
+		if at, ok := cwroute.ConfirmedAt(p.sup.View(), pr, asked); ok && !asked.IsZero() {
 			p.history.Observe(s.Last, at)
 		}
 	} else {
-		p.lagging.Replica(s.Member, s.Applied, p.w.now)
+		p.lagging.ObserveReplica(s.Member, s.Applied, p.w.now)
 	}
 	p.tracker.Observe(p.sup.View(), p.w.now)
 }
@@ -271,9 +271,9 @@
 		cands = append(cands, c)
 	}
 	if b := p.w.opts.waitReads; b > 0 {
-		return cwroute.Router[cwroute.WaitUpTo]{Policy: cwroute.WaitUpTo{Bound: b}}.Place(v, cands, rd, p.w.now)
+		return cwroute.Router[cwroute.BoundedWait]{Policy: cwroute.BoundedWait{Bound: b}}.Route(v, cands, rd, p.w.now)
 	}
-	return cwroute.Router[cwroute.ToPrimary]{}.Place(v, cands, rd, p.w.now)
+	return cwroute.Router[cwroute.PrimaryFallback]{}.Route(v, cands, rd, p.w.now)
 }
 
 // tip asks every member for its status, and answers with the primary's position
--- a/internal/core/cwroute/balance.go
+++ b/internal/core/cwroute/balance.go
@@ -8,30 +8,30 @@
 
 // Parameters of read balancing.
 const (
-	// AwayShare is the penalty for a member in another data centre, in percent of
+	// RemotePenaltyPercent is the penalty for a member in another data centre, in percent of
 	// the member's statement latency: traffic between data centres costs money,
 	// and a path within a data centre fails less often. With 75, two data centres
 	// share the load once one of them takes nearly twice as long as the other.
 	// Compared with a flat penalty of 8 ms, statements of 25 ms sent a quarter
 	// fewer bytes between data centres (3 MB instead of 4 MB in 34 s) with the
 	// same response times.
-	AwayShare = 75
-	// PrimaryShare is the penalty for the primary, in percent of its statement
+	RemotePenaltyPercent = 75
+	// PrimaryPenaltyPercent is the penalty for the primary, in percent of its statement
 	// latency: only the primary runs writes, and reads that replicas could serve
 	// delay them. At two thirds of the members' capacity, 9% of the writes were
 	// late with 150 and 13% with 0, about a third fewer; reads were served as
 	// soon.
-	PrimaryShare = 150
-	// UntriedLatency is the assumed minimum latency of a member, also used if its
+	PrimaryPenaltyPercent = 150
+	// MinAssumedLatency is the assumed minimum latency of a member, also used if its
 	// latency is unknown. It is low so that every member is tried now and then.
-	UntriedLatency = 5 * time.Millisecond
+	MinAssumedLatency = 5 * time.Millisecond
 )
 
-// Option describes one member that may serve a read.
-type Option struct {
+// ReadTarget describes one member that may serve a read.
+type ReadTarget struct {
 	Member cwgroup.MemberID
-	// Away is true if the member is in another data centre.
-	Away bool
+	// Remote is true if the member is in another data centre.
+	Remote bool
 	// Primary is true if the member is the primary and takes the writes.
 	Primary bool
 	// CatchUp is the expected time until the member has applied the floor; zero
@@ -40,35 +40,35 @@
 	// Wait is the expected wait for a connection. Latency is the recent average
 	// duration of a statement at the member; zero if unknown.
 	Wait, Latency time.Duration
-	// Busy is the number of statements that this proxy has at the member, and
+	// InFlight is the number of statements that this proxy has at the member, and
 	// Slots the number of statements that the member executes concurrently.
-	Busy, Slots int
+	InFlight, Slots int
 }
 
 // expectedResponseTime returns the expected response time of a read at the
 // member, including the penalties.
-func (o Option) expectedResponseTime() time.Duration {
-	latency := max(o.Latency, UntriedLatency)
-	d := o.Wait + latency + latency*time.Duration(o.Busy)/time.Duration(max(1, o.Slots))
-	if o.Away {
-		d += latency * AwayShare / 100
+func (o ReadTarget) expectedResponseTime() time.Duration {
+	latency := max(o.Latency, MinAssumedLatency)
+	d := o.Wait + latency + latency*time.Duration(o.InFlight)/time.Duration(max(1, o.Slots))
+	if o.Remote {
+		d += latency * RemotePenaltyPercent / 100
 	}
 	if o.Primary {
-		d += latency * PrimaryShare / 100
+		d += latency * PrimaryPenaltyPercent / 100
 	}
 	return d + o.CatchUp
 }
 
-// Quickest returns the option with the shortest expected response time. The
+// FastestTarget returns the option with the shortest expected response time. The
 // second result is false if there are no options.
 //
 // A target executes few statements concurrently and is shared by all proxies.
 // Sending every read to the nearest replica would let statements queue there
 // while other replicas are idle. The recent statement latency includes the queue
 // that other proxies cause.
-func Quickest(options []Option) (Option, bool) {
+func FastestTarget(options []ReadTarget) (ReadTarget, bool) {
 	if len(options) == 0 {
-		return Option{}, false
+		return ReadTarget{}, false
 	}
 	best := options[0]
 	for _, o := range options[1:] {
--- a/internal/core/cwroute/balance_load_test.go
+++ b/internal/core/cwroute/balance_load_test.go
@@ -42,15 +42,15 @@
 }
 
 // option returns the member as an option at time now.
-func (s *memberStats) option(m *member, now time.Duration) Option {
+func (s *memberStats) option(m *member, now time.Duration) ReadTarget {
 	s.endTimes = slices.DeleteFunc(s.endTimes, func(end time.Duration) bool { return end <= now })
-	return Option{Member: m.id, Primary: m.primary, Latency: s.latency, Busy: len(s.endTimes), Slots: len(m.slotFreeAt)}
+	return ReadTarget{Member: m.id, Primary: m.primary, Latency: s.latency, InFlight: len(s.endTimes), Slots: len(m.slotFreeAt)}
 }
 
 // simulateLoad simulates eight proxies for one minute that send writes to the
 // primary and reads to the member that choose returns. It returns the shares of
 // writes and reads that ended within aim.
-func simulateLoad(aim time.Duration, choose func([]Option) Option) (writes, reads float64) {
+func simulateLoad(aim time.Duration, choose func([]ReadTarget) ReadTarget) (writes, reads float64) {
 	r := rand.New(rand.NewPCG(1, 2))
 	members := []*member{
 		{id: "a", primary: true, slotFreeAt: make([]time.Duration, 3)},
@@ -65,7 +65,7 @@
 		kind, to := 0, 0
 		if r.Float64() < 0.65 {
 			kind = 1
-			var options []Option
+			var options []ReadTarget
 			for i, m := range members {
 				options = append(options, proxy[i].option(m, now))
 			}
@@ -87,15 +87,15 @@
 // get 380 statements of 18 ms per second, 35% of them writes, which only the
 // primary executes.
 //
-// The share of writes within 60 ms is 0.87 without PrimaryShare and 0.91 with
+// The share of writes within 60 ms is 0.87 without PrimaryPenaltyPercent and 0.91 with
 // it; that of reads is 0.99 in both cases.
 func TestReadsLeavePrimaryCapacityForWrites(t *testing.T) {
 	const aim = 60 * time.Millisecond
-	fastest := func(options []Option) Option {
-		o, _ := Quickest(options)
+	fastest := func(options []ReadTarget) ReadTarget {
+		o, _ := FastestTarget(options)
 		return o
 	}
-	withoutPrimaryPenalty := func(options []Option) Option {
+	withoutPrimaryPenalty := func(options []ReadTarget) ReadTarget {
 		for i := range options {
 			options[i].Primary = false
 		}
--- a/internal/core/cwroute/balance_test.go
+++ b/internal/core/cwroute/balance_test.go
@@ -12,30 +12,30 @@
 // has a queue, and to no replica that lags far behind.
 func TestFastestTarget(t *testing.T) {
 	const ms = time.Millisecond
-	near := Option{Member: "near", Latency: 20 * ms, Slots: 3}
-	far := Option{Member: "far", Latency: 20 * ms, Slots: 3, Away: true}
-	primary := Option{Member: "primary", Latency: 30 * ms, Slots: 3, Away: true}
+	near := ReadTarget{Member: "near", Latency: 20 * ms, Slots: 3}
+	far := ReadTarget{Member: "far", Latency: 20 * ms, Slots: 3, Remote: true}
+	primary := ReadTarget{Member: "primary", Latency: 30 * ms, Slots: 3, Remote: true}
 	for _, tc := range []struct {
 		name    string
-		options []Option
+		options []ReadTarget
 		want    string
 	}{
-		{"local replica idle", []Option{far, near}, "near"},
-		{"local replica slightly slower", []Option{far, {Member: "near", Latency: 30 * ms, Slots: 3}}, "near"},
-		{"local replica with high latency", []Option{far, {Member: "near", Latency: 90 * ms, Slots: 3}}, "far"},
-		{"callers waiting for connections to the local replica", []Option{far, {Member: "near", Latency: 20 * ms, Slots: 3, Wait: 40 * ms}}, "far"},
-		{"replica far behind the primary", []Option{primary, {Member: "near", Latency: 20 * ms, Slots: 3, CatchUp: time.Second}}, "primary"},
-		{"replica almost caught up, primary with high latency", []Option{
+		{"local replica idle", []ReadTarget{far, near}, "near"},
+		{"local replica slightly slower", []ReadTarget{far, {Member: "near", Latency: 30 * ms, Slots: 3}}, "near"},
+		{"local replica with high latency", []ReadTarget{far, {Member: "near", Latency: 90 * ms, Slots: 3}}, "far"},
+		{"callers waiting for connections to the local replica", []ReadTarget{far, {Member: "near", Latency: 20 * ms, Slots: 3, Wait: 40 * ms}}, "far"},
+		{"replica far behind the primary", []ReadTarget{primary, {Member: "near", Latency: 20 * ms, Slots: 3, CatchUp: time.Second}}, "primary"},
+		{"replica almost caught up, primary with high latency", []ReadTarget{
 			{Member: "primary", Latency: 200 * ms, Slots: 3}, {Member: "near", Latency: 20 * ms, Slots: 3, CatchUp: 5 * ms},
 		}, "near"},
-		{"member of unknown latency", []Option{near, {Member: "new", Slots: 3}}, "new"},
+		{"member of unknown latency", []ReadTarget{near, {Member: "new", Slots: 3}}, "new"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			o, ok := Quickest(tc.options)
+			o, ok := FastestTarget(tc.options)
 			qt.Assert(t, ok, qt.IsTrue)
 			qt.Assert(t, string(o.Member), qt.Equals, tc.want)
 		})
 	}
-	_, ok := Quickest(nil)
+	_, ok := FastestTarget(nil)
 	qt.Assert(t, ok, qt.IsFalse)
 }
--- a/internal/core/cwroute/quorum_test.go
+++ b/internal/core/cwroute/quorum_test.go
@@ -43,12 +43,12 @@
 			for _, r := range tc.reports {
 				v = v.WithLatest(r)
 			}
-			m, ok := ReadQuorum(v, since, func(cwgroup.MemberID) bool { return tc.eligible })
+			m, ok := QuorumReadMark(v, since, func(cwgroup.MemberID) bool { return tc.eligible })
 			qt.Assert(t, ok, qt.Equals, tc.want > 0)
 			qt.Assert(t, m.Position, qt.Equals, tc.want)
 		})
 	}
 	alone := cwgroup.NewView("g", []cwgroup.MemberID{"a"})
-	_, ok := ReadQuorum(alone, since, func(cwgroup.MemberID) bool { return true })
+	_, ok := QuorumReadMark(alone, since, func(cwgroup.MemberID) bool { return true })
 	qt.Assert(t, ok, qt.IsFalse)
 }
--- a/internal/core/cwroute/route.go
+++ b/internal/core/cwroute/route.go
@@ -10,7 +10,7 @@
 // Among the replicas that qualify, Router prefers the nearest data centre, then
 // the least loaded member. If no replica qualifies, a Policy chooses between
 // the primary and waiting for a replica to catch up. Quickest balances reads by
-// expected response time instead. History and LagMeter estimate the age of
+// expected response time instead. History and LagTracker estimate the age of
 // replica data and the replication lag from observed log positions.
 //
 // The package does no I/O: it takes a cwgroup.View, the load and the current
@@ -24,13 +24,13 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwsession"
 )
 
-// Kind is the action that a Decision prescribes for a read.
-type Kind uint8
+// Action is the action that a Decision prescribes for a read.
+type Action uint8
 
 // The actions of a Decision.
 const (
 	// Serve runs the read at Decision.Member.
-	Serve Kind = iota
+	Serve Action = iota
 	// Wait waits for the next status report, for at most Decision.Wait, and then
 	// decides again.
 	Wait
@@ -44,7 +44,7 @@
 
 // Decision is the routing decision for one read.
 type Decision struct {
-	Kind Kind
+	Action Action
 	// Member is the member that serves the read. It is set for Serve only.
 	Member cwgroup.MemberID
 	// Replica is true if Member is not the primary.
@@ -65,9 +65,9 @@
 	// Load is the number of statements that this proxy has in progress at the
 	// member, divided by the member's limit.
 	Load float64
-	// Leaving is true if the member is draining for a planned stop and accepts no
+	// Draining is true if the member is draining for a planned stop and accepts no
 	// new work.
-	Leaving bool
+	Draining bool
 	// Age is an upper bound of the age of the member's data, by this proxy's
 	// clock. It is valid only if AgeKnown is true.
 	Age      time.Duration
@@ -84,14 +84,14 @@
 	MaxAge time.Duration
 	// Waited is how long the read has already been waiting for a replica.
 	Waited time.Duration
-	// Confirmed is true if a majority has confirmed the primary since the read
+	// PrimaryConfirmed is true if a majority has confirmed the primary since the read
 	// arrived. The primary's data then counts as current.
-	Confirmed bool
+	PrimaryConfirmed bool
 }
 
-// Fresh is how long a status report stays valid. A member whose last report is
+// MaxReportAge is how long a status report stays valid. A member whose last report is
 // older serves no reads.
-const Fresh = 2 * time.Second
+const MaxReportAge = 2 * time.Second
 
 // RetryAfter is the time after which a caller may retry a refused read.
 const RetryAfter = 250 * time.Millisecond
@@ -99,25 +99,27 @@
 // Policy decides what happens to a read for which no replica qualifies while a
 // primary is available.
 type Policy interface {
-	// Behind returns true and the longest time to wait if the read is to wait for
+	// WaitForReplica returns true and the longest time to wait if the read is to wait for
 	// a replica, and false if it is to go to the primary. catchUp is the shortest
 	// expected time until a replica has applied the floor; waited is how long the
 	// read has been waiting already.
-	Behind(catchUp, waited time.Duration) (time.Duration, bool)
+	WaitForReplica(catchUp, waited time.Duration) (time.Duration, bool)
 }
 
-// ToPrimary sends every read that no replica can serve to the primary.
-type ToPrimary struct{}
+// PrimaryFallback sends every read that no replica can serve to the primary.
+type PrimaryFallback struct{}
 
-// Behind implements Policy.
-func (ToPrimary) Behind(time.Duration, time.Duration) (time.Duration, bool) { return 0, false }
+// WaitForReplica implements Policy.
+func (PrimaryFallback) WaitForReplica(time.Duration, time.Duration) (time.Duration, bool) {
+	return 0, false
+}
 
-// WaitUpTo lets a read wait for a replica while its total wait is expected to
+// BoundedWait lets a read wait for a replica while its total wait is expected to
 // stay within Bound, and sends it to the primary otherwise.
-type WaitUpTo struct{ Bound time.Duration }
+type BoundedWait struct{ Bound time.Duration }
 
-// Behind implements Policy.
-func (p WaitUpTo) Behind(catchUp, waited time.Duration) (time.Duration, bool) {
+// WaitForReplica implements Policy.
+func (p BoundedWait) WaitForReplica(catchUp, waited time.Duration) (time.Duration, bool) {
 	left := p.Bound - waited
 	if left <= 0 || catchUp > left {
 		return 0, false
@@ -130,36 +132,36 @@
 	Policy P
 }
 
-// Place returns the routing decision for a read, given a candidate for each
+// Route returns the routing decision for a read, given a candidate for each
 // member of the group.
-func (r Router[P]) Place(v cwgroup.View, cands []Candidate, rd Read, now time.Time) Decision {
+func (r Router[P]) Route(v cwgroup.View, cands []Candidate, rd Read, now time.Time) Decision {
 	primary, primaryOK := availablePrimary(v, now)
 	if !rd.Floor.Known && rd.MaxAge == 0 {
 		if !primaryOK {
-			return Decision{Kind: Refuse, RetryAfter: RetryAfter}
+			return Decision{Action: Refuse, RetryAfter: RetryAfter}
 		}
-		return Decision{Kind: AskPrimary}
+		return Decision{Action: AskPrimary}
 	}
 	best, catchUp := selectReplica(v, cands, rd, now)
 	if best != nil {
-		return Decision{Kind: Serve, Member: best.Member, Replica: true}
+		return Decision{Action: Serve, Member: best.Member, Replica: true}
 	}
 	// A proxy on the minority side of a partition still sees a primary that has
 	// been replaced, and a session that wrote to the new primary may move to
 	// this proxy. The term of the session's floor reveals that: a primary of an
 	// earlier term lacks the session's writes.
 	if !primaryOK || rd.Floor.Known && primary.Adopted < rd.Floor.Mark.Term {
-		return Decision{Kind: Refuse, RetryAfter: RetryAfter}
+		return Decision{Action: Refuse, RetryAfter: RetryAfter}
 	}
-	if rd.MaxAge > 0 && !rd.Confirmed && !confirmedWithin(cands, primary.Member, rd.MaxAge) {
-		return Decision{Kind: AskPrimary}
+	if rd.MaxAge > 0 && !rd.PrimaryConfirmed && !confirmedWithin(cands, primary.Member, rd.MaxAge) {
+		return Decision{Action: AskPrimary}
 	}
 	if catchUp >= 0 {
-		if wait, ok := r.Policy.Behind(catchUp, rd.Waited); ok {
-			return Decision{Kind: Wait, Wait: wait}
+		if wait, ok := r.Policy.WaitForReplica(catchUp, rd.Waited); ok {
+			return Decision{Action: Wait, Wait: wait}
 		}
 	}
-	return Decision{Kind: Serve, Member: primary.Member}
+	return Decision{Action: Serve, Member: primary.Member}
 }
 
 // selectReplica returns the preferred replica among those that qualify for the
@@ -172,7 +174,7 @@
 	for i := range cands {
 		c := &cands[i]
 		rep, ok := v.Report(c.Member)
-		if !ok || c.Leaving || !replicaInCurrentTerm(v, rep) || now.Sub(rep.At) > Fresh || !rep.Reachable {
+		if !ok || c.Draining || !replicaInCurrentTerm(v, rep) || now.Sub(rep.At) > MaxReportAge || !rep.Reachable {
 			continue
 		}
 		if !meetsRequirements(rep, c, rd) {
@@ -238,26 +240,26 @@
 // Fresh, or known to be replaced.
 func availablePrimary(v cwgroup.View, now time.Time) (cwgroup.Report, bool) {
 	p, ok := v.Primary()
-	if !ok || !p.Reachable || now.Sub(p.At) > Fresh || v.Superseded(p.Adopted) {
+	if !ok || !p.Reachable || now.Sub(p.At) > MaxReportAge || v.Superseded(p.Adopted) {
 		return cwgroup.Report{}, false
 	}
 	return p, true
 }
 
-// WritePrimary returns the report of the primary that takes writes. The second
+// WritablePrimary returns the report of the primary that takes writes. The second
 // result is false if a write cannot be acknowledged at present.
 //
 // Unless a majority of the members has adopted the primary's term, a write is
 // refused before it runs: an isolated primary would execute it, it could never
 // be acknowledged, and its outcome would stay unknown.
-func WritePrimary(v cwgroup.View, now time.Time) (cwgroup.Report, bool) {
+func WritablePrimary(v cwgroup.View, now time.Time) (cwgroup.Report, bool) {
 	p, ok := availablePrimary(v, now)
 	if !ok {
 		return cwgroup.Report{}, false
 	}
 	n := 0
 	for _, r := range v.Reports() {
-		if r.Adopted == p.Adopted && now.Sub(r.At) <= Fresh && r.Reachable {
+		if r.Adopted == p.Adopted && now.Sub(r.At) <= MaxReportAge && r.Reachable {
 			n++
 		}
 	}
--- a/internal/core/cwroute/route_test.go
+++ b/internal/core/cwroute/route_test.go
@@ -50,8 +50,8 @@
 }
 
 func TestRoute(t *testing.T) {
-	primary := Decision{Kind: Serve, Member: "a"}
-	at := func(id cwgroup.MemberID) Decision { return Decision{Kind: Serve, Member: id, Replica: true} }
+	primary := Decision{Action: Serve, Member: "a"}
+	at := func(id cwgroup.MemberID) Decision { return Decision{Action: Serve, Member: id, Replica: true} }
 	for _, tc := range []struct {
 		name string
 		v    cwgroup.View
@@ -61,18 +61,18 @@
 		{"nearest replica has the floor", testGroup(), Read{Floor: floor(1, 7)}, at("c")},
 		{"only the farther replica has the floor", testGroup(), Read{Floor: floor(1, 9)}, at("b")},
 		{"no replica has the floor", testGroup(), Read{Floor: floor(1, 11)}, primary},
-		{"floor of a later term than the primary's", testGroup(), Read{Floor: floor(2, 3)}, Decision{Kind: Refuse, RetryAfter: RetryAfter}},
-		{"floor unknown", testGroup(), Read{}, Decision{Kind: AskPrimary}},
+		{"floor of a later term than the primary's", testGroup(), Read{Floor: floor(2, 3)}, Decision{Action: Refuse, RetryAfter: RetryAfter}},
+		{"floor unknown", testGroup(), Read{}, Decision{Action: AskPrimary}},
 		{"one replica within the maximum age", testGroup(), Read{MaxAge: 100 * time.Millisecond}, at("b")},
-		{"no replica within the maximum age", testGroup(), Read{MaxAge: 10 * time.Millisecond}, Decision{Kind: AskPrimary}},
-		{"no replica within the maximum age, primary confirmed", testGroup(), Read{MaxAge: 10 * time.Millisecond, Confirmed: true}, primary},
+		{"no replica within the maximum age", testGroup(), Read{MaxAge: 10 * time.Millisecond}, Decision{Action: AskPrimary}},
+		{"no replica within the maximum age, primary confirmed", testGroup(), Read{MaxAge: 10 * time.Millisecond, PrimaryConfirmed: true}, primary},
 		{"maximum age and floor", testGroup(), Read{Floor: floor(1, 9), MaxAge: time.Second}, at("b")},
-		{"no member known", view(), Read{Floor: floor(1, 1)}, Decision{Kind: Refuse, RetryAfter: RetryAfter}},
-		{"no primary, floor unknown", view(report("b", cwgroup.RoleReplica, 1, cwgroup.Mark{Term: 1, Position: 10})), Read{}, Decision{Kind: Refuse, RetryAfter: RetryAfter}},
+		{"no member known", view(), Read{Floor: floor(1, 1)}, Decision{Action: Refuse, RetryAfter: RetryAfter}},
+		{"no primary, floor unknown", view(report("b", cwgroup.RoleReplica, 1, cwgroup.Mark{Term: 1, Position: 10})), Read{}, Decision{Action: Refuse, RetryAfter: RetryAfter}},
 		{"no primary, floor known", view(report("b", cwgroup.RoleReplica, 1, cwgroup.Mark{Term: 1, Position: 10})), Read{Floor: floor(1, 9)}, at("b")},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			qt.Assert(t, Router[ToPrimary]{}.Place(tc.v, testCandidates(), tc.rd, now), qt.Equals, tc.want)
+			qt.Assert(t, Router[PrimaryFallback]{}.Route(tc.v, testCandidates(), tc.rd, now), qt.Equals, tc.want)
 		})
 	}
 }
@@ -81,55 +81,55 @@
 // about if a read goes to a replaced primary, or to a replica whose log still
 // ends in records of a diverged branch. Neither may serve reads, whatever its
 // position.
-func TestDeadBranchIsNotRead(t *testing.T) {
+func TestReplacedAndDivergedMembersServeNoReads(t *testing.T) {
 	replaced := report("a", cwgroup.RolePrimary, 1, cwgroup.Mark{Term: 1, Position: 50})
 	promoted := report("b", cwgroup.RolePrimary, 2, cwgroup.Mark{Term: 2, Position: 12})
 	diverged := report("c", cwgroup.RoleReplica, 2, cwgroup.Mark{Term: 1, Position: 40})
-	d := Router[ToPrimary]{}.Place(view(replaced, promoted, diverged), testCandidates(), Read{Floor: floor(1, 10)}, now)
-	qt.Assert(t, d, qt.Equals, Decision{Kind: Serve, Member: "b"})
+	d := Router[PrimaryFallback]{}.Route(view(replaced, promoted, diverged), testCandidates(), Read{Floor: floor(1, 10)}, now)
+	qt.Assert(t, d, qt.Equals, Decision{Action: Serve, Member: "b"})
 	fenced := report("c", cwgroup.RoleFenced, 2, cwgroup.Mark{Term: 2, Position: 40})
-	d = Router[ToPrimary]{}.Place(view(promoted, fenced), testCandidates(), Read{Floor: floor(1, 10)}, now)
-	qt.Assert(t, d, qt.Equals, Decision{Kind: Serve, Member: "b"})
+	d = Router[PrimaryFallback]{}.Route(view(promoted, fenced), testCandidates(), Read{Floor: floor(1, 10)}, now)
+	qt.Assert(t, d, qt.Equals, Decision{Action: Serve, Member: "b"})
 }
 
 func TestBoundedWait(t *testing.T) {
-	r := Router[WaitUpTo]{Policy: WaitUpTo{Bound: 50 * time.Millisecond}}
+	r := Router[BoundedWait]{Policy: BoundedWait{Bound: 50 * time.Millisecond}}
 	v := view(
 		report("a", cwgroup.RolePrimary, 1, cwgroup.Mark{Term: 1, Position: 10}),
 		report("c", cwgroup.RoleReplica, 1, cwgroup.Mark{Term: 1, Position: 7}))
-	d := r.Place(v, testCandidates(), Read{Floor: floor(1, 9)}, now)
-	qt.Assert(t, d, qt.Equals, Decision{Kind: Wait, Wait: 50 * time.Millisecond})
-	d = r.Place(v, testCandidates(), Read{Floor: floor(1, 9), Waited: 30 * time.Millisecond}, now)
-	qt.Assert(t, d, qt.Equals, Decision{Kind: Serve, Member: "a"})
+	d := r.Route(v, testCandidates(), Read{Floor: floor(1, 9)}, now)
+	qt.Assert(t, d, qt.Equals, Decision{Action: Wait, Wait: 50 * time.Millisecond})
+	d = r.Route(v, testCandidates(), Read{Floor: floor(1, 9), Waited: 30 * time.Millisecond}, now)
+	qt.Assert(t, d, qt.Equals, Decision{Action: Serve, Member: "a"})
 }
 
 func TestDrainingAndUnreachableMembersServeNoReads(t *testing.T) {
 	cs := testCandidates()
-	cs[1].Leaving = true
-	d := Router[ToPrimary]{}.Place(testGroup(), cs, Read{Floor: floor(1, 9)}, now)
+	cs[1].Draining = true
+	d := Router[PrimaryFallback]{}.Route(testGroup(), cs, Read{Floor: floor(1, 9)}, now)
 	qt.Assert(t, d.Member, qt.Equals, cwgroup.MemberID("a"))
-	d = Router[ToPrimary]{}.Place(testGroup(), testCandidates(), Read{Floor: floor(1, 9)}, now.Add(Fresh+1))
-	qt.Assert(t, d.Kind, qt.Equals, Refuse)
-	d = Router[ToPrimary]{}.Place(testGroup().WithUnreachable("b"), testCandidates(), Read{Floor: floor(1, 9)}, now)
+	d = Router[PrimaryFallback]{}.Route(testGroup(), testCandidates(), Read{Floor: floor(1, 9)}, now.Add(MaxReportAge+1))
+	qt.Assert(t, d.Action, qt.Equals, Refuse)
+	d = Router[PrimaryFallback]{}.Route(testGroup().WithUnreachable("b"), testCandidates(), Read{Floor: floor(1, 9)}, now)
 	qt.Assert(t, d.Member, qt.Equals, cwgroup.MemberID("a"))
 }
 
 // Guards against a write that runs at a primary that is cut off from its
 // replicas, where it can never be acknowledged. It must be refused before it
 // runs.
-func TestWritePrimaryNeedsAMajority(t *testing.T) {
-	p, ok := WritePrimary(testGroup(), now)
+func TestWritablePrimaryNeedsAMajority(t *testing.T) {
+	p, ok := WritablePrimary(testGroup(), now)
 	qt.Assert(t, ok, qt.IsTrue)
 	qt.Assert(t, p.Member, qt.Equals, cwgroup.MemberID("a"))
-	_, ok = WritePrimary(testGroup().WithUnreachable("b").WithUnreachable("c"), now)
+	_, ok = WritablePrimary(testGroup().WithUnreachable("b").WithUnreachable("c"), now)
 	qt.Assert(t, ok, qt.IsFalse)
 	moved := report("b", cwgroup.RoleFenced, 2, cwgroup.Mark{Term: 1, Position: 10})
-	_, ok = WritePrimary(testGroup().WithReport(moved).WithUnreachable("c"), now)
+	_, ok = WritablePrimary(testGroup().WithReport(moved).WithUnreachable("c"), now)
 	qt.Assert(t, ok, qt.IsFalse)
 }
 
 func TestAge(t *testing.T) {
-	var h History
+	var h PositionHistory
 	at := func(ms int) time.Time { return now.Add(time.Duration(ms) * time.Millisecond) }
 	_, known := h.Age(cwgroup.Mark{Term: 1, Position: 5}, now)
 	qt.Assert(t, known, qt.IsFalse)
@@ -156,27 +156,27 @@
 // replaced primary. It happens if a data centre is cut off together with that
 // primary, which keeps answering: a caller that accepts data five seconds old
 // would get ever older data.
-func TestSampledNeedsAMajority(t *testing.T) {
+func TestConfirmedAtNeedsAMajority(t *testing.T) {
 	v := testGroup()
 	p, _ := v.Primary()
-	at, ok := Sampled(v, p, now.Add(-time.Second))
+	at, ok := ConfirmedAt(v, p, now.Add(-time.Second))
 	qt.Assert(t, ok, qt.IsTrue)
 	qt.Assert(t, at, qt.Equals, now.Add(-time.Second))
 	// The other members last reported at now, so a later request confirms no
 	// later time.
-	at, ok = Sampled(v, p, now.Add(time.Hour))
+	at, ok = ConfirmedAt(v, p, now.Add(time.Hour))
 	qt.Assert(t, ok, qt.IsTrue)
 	qt.Assert(t, at, qt.Equals, now)
-	_, ok = Sampled(view(p), p, now)
+	_, ok = ConfirmedAt(view(p), p, now)
 	qt.Assert(t, ok, qt.IsFalse)
 }
 
 func TestLagTracker(t *testing.T) {
-	var l LagMeter
+	var l LagTracker
 	for i := range 20 {
 		m := cwgroup.Mark{Term: 1, Position: cwgroup.Position(i + 1)}
-		l.Primary(m, now.Add(time.Duration(i)*10*time.Millisecond))
-		l.Replica("b", m, now.Add(time.Duration(i)*10*time.Millisecond+40*time.Millisecond))
+		l.ObservePrimary(m, now.Add(time.Duration(i)*10*time.Millisecond))
+		l.ObserveReplica("b", m, now.Add(time.Duration(i)*10*time.Millisecond+40*time.Millisecond))
 	}
 	qt.Assert(t, l.Lag("b"), qt.Equals, 40*time.Millisecond)
 	last := now.Add(190 * time.Millisecond)
@@ -188,7 +188,7 @@
 // in which the primary's log ended below that record.
 func TestCommittedAfter(t *testing.T) {
 	at := func(ms int) time.Time { return time.Unix(100, 0).Add(time.Duration(ms) * time.Millisecond) }
-	h := History{Spacing: 10 * time.Millisecond}
+	h := PositionHistory{Spacing: 10 * time.Millisecond}
 	for i, p := range []cwgroup.Position{5, 7, 9} {
 		h.Observe(cwgroup.Mark{Term: 1, Position: p}, at(100*i))
 	}
--- a/internal/core/cwroute/staleness.go
+++ b/internal/core/cwroute/staleness.go
@@ -21,11 +21,11 @@
 	mark cwgroup.Mark
 }
 
-// History records the primary's log position over time, so that the age of a
+// PositionHistory records the primary's log position over time, so that the age of a
 // replica's data follows from the replica's mark alone. All times are by this
-// proxy's clock; a target's clock is never used. The zero History is empty and
+// proxy's clock; a target's clock is never used. The zero PositionHistory is empty and
 // ready to use.
-type History struct {
+type PositionHistory struct {
 	// Spacing is the minimum time between two samples that are kept. Zero means
 	// 250 ms.
 	Spacing time.Duration
@@ -34,7 +34,7 @@
 }
 
 // spacing returns Spacing or its default.
-func (h *History) spacing() time.Duration {
+func (h *PositionHistory) spacing() time.Duration {
 	if h.Spacing == 0 {
 		return sampleSpacing
 	}
@@ -45,7 +45,7 @@
 // at. Pass the time at which the status request was sent, not the time at which
 // the response arrived, so that ages are never underestimated. Observations that
 // go back in time or in mark are ignored.
-func (h *History) Observe(m cwgroup.Mark, at time.Time) {
+func (h *PositionHistory) Observe(m cwgroup.Mark, at time.Time) {
 	n := len(h.samples)
 	if n > 0 && (!m.AtLeast(h.samples[n-1].mark) || at.Sub(h.samples[n-1].at) < 0) {
 		return
@@ -67,7 +67,7 @@
 // While the primary is unreachable no samples are added, so ages keep growing: a
 // data centre that is cut off serves reads with a maximum age until that age is
 // exceeded, and no longer.
-func (h *History) Age(m cwgroup.Mark, now time.Time) (time.Duration, bool) {
+func (h *PositionHistory) Age(m cwgroup.Mark, now time.Time) (time.Duration, bool) {
 	for i := len(h.samples) - 1; i >= 0; i-- {
 		if m.AtLeast(h.samples[i].mark) {
 			return max(0, now.Sub(h.samples[i].at)), true
@@ -76,10 +76,10 @@
 	return 0, false
 }
 
-// Since returns the mark and the time of the first sample taken at or after t.
+// FirstSince returns the mark and the time of the first sample taken at or after t.
 // Everything acknowledged before t is at or below that mark. The last result is
 // false if there is no sample since t.
-func (h *History) Since(t time.Time) (cwgroup.Mark, time.Time, bool) {
+func (h *PositionHistory) FirstSince(t time.Time) (cwgroup.Mark, time.Time, bool) {
 	i := sort.Search(len(h.samples), func(i int) bool { return !h.samples[i].at.Before(t) })
 	if i == len(h.samples) {
 		return cwgroup.Mark{}, time.Time{}, false
@@ -91,7 +91,7 @@
 // log ended below m. The record at m was committed after that time, and a
 // replica that has the record received it from the primary after that time. The
 // second result is false if no sample is old enough.
-func (h *History) CommittedAfter(m cwgroup.Mark) (time.Time, bool) {
+func (h *PositionHistory) CommittedAfter(m cwgroup.Mark) (time.Time, bool) {
 	i := sort.Search(len(h.samples), func(i int) bool { return h.samples[i].mark.AtLeast(m) })
 	if i == 0 {
 		return time.Time{}, false
@@ -99,7 +99,7 @@
 	return h.samples[i-1].at, true
 }
 
-// Sampled returns the time at which the primary's log position, requested at
+// ConfirmedAt returns the time at which the primary's log position, requested at
 // asked, was certainly the newest of the group. That is the time at which a
 // majority of the members, the primary included, was last known to be in the
 // primary's term, and never later than asked. The second result is false if
@@ -108,7 +108,7 @@
 // Without the majority, a replaced primary that is cut off from the other
 // members together with this proxy would keep answering promptly while its data
 // gets older, and would serve reads with a maximum age indefinitely.
-func Sampled(v cwgroup.View, primary cwgroup.Report, asked time.Time) (time.Time, bool) {
+func ConfirmedAt(v cwgroup.View, primary cwgroup.Report, asked time.Time) (time.Time, bool) {
 	need := cwgroup.Majority(v.Size()) - 1
 	var heard []time.Time
 	for _, r := range v.Reports() {
@@ -133,10 +133,10 @@
 // newest value has a weight of 1/lagSmoothingDivisor.
 const lagSmoothingDivisor = 4
 
-// LagMeter measures the replication lag of each replica: how long it takes to
-// apply the records of the primary, by this proxy's clock. The zero LagMeter is
+// LagTracker measures the replication lag of each replica: how long it takes to
+// apply the records of the primary, by this proxy's clock. The zero LagTracker is
 // ready to use.
-type LagMeter struct {
+type LagTracker struct {
 	// primarySamples holds the latest marks of the primary in ascending order,
 	// each with the time at which it was first observed.
 	primarySamples []sample
@@ -146,8 +146,8 @@
 	lastApplied map[cwgroup.MemberID]cwgroup.Mark
 }
 
-// Primary records that the primary's log was observed to end at m.
-func (l *LagMeter) Primary(m cwgroup.Mark, now time.Time) {
+// ObservePrimary records that the primary's log was observed to end at m.
+func (l *LagTracker) ObservePrimary(m cwgroup.Mark, now time.Time) {
 	if n := len(l.primarySamples); n > 0 && l.primarySamples[n-1].mark.AtLeast(m) {
 		return
 	}
@@ -161,7 +161,7 @@
 // firstObserved returns when the primary's log was first observed at or past m.
 // The second result is false if m is at or below the oldest sample, or if the
 // log was not observed that far yet.
-func (l *LagMeter) firstObserved(m cwgroup.Mark) (time.Time, bool) {
+func (l *LagTracker) firstObserved(m cwgroup.Mark) (time.Time, bool) {
 	if len(l.primarySamples) == 0 || l.primarySamples[0].mark.AtLeast(m) {
 		return time.Time{}, false
 	}
@@ -173,8 +173,8 @@
 	return time.Time{}, false
 }
 
-// Replica records that the member has applied the log up to m.
-func (l *LagMeter) Replica(id cwgroup.MemberID, m cwgroup.Mark, now time.Time) {
+// ObserveReplica records that the member has applied the log up to m.
+func (l *LagTracker) ObserveReplica(id cwgroup.MemberID, m cwgroup.Mark, now time.Time) {
 	if l.averageLag == nil {
 		l.averageLag = make(map[cwgroup.MemberID]time.Duration)
 		l.lastApplied = make(map[cwgroup.MemberID]cwgroup.Mark)
@@ -196,14 +196,14 @@
 }
 
 // Forget discards the mark that a member has applied. Its average lag is kept.
-func (l *LagMeter) Forget(id cwgroup.MemberID) { delete(l.lastApplied, id) }
+func (l *LagTracker) Forget(id cwgroup.MemberID) { delete(l.lastApplied, id) }
 
 // Lag returns the member's average lag, or zero if none was measured.
-func (l *LagMeter) Lag(id cwgroup.MemberID) time.Duration { return l.averageLag[id] }
+func (l *LagTracker) Lag(id cwgroup.MemberID) time.Duration { return l.averageLag[id] }
 
 // CatchUp returns the expected time until the member has applied m: its average
 // lag, less the time since the primary was first observed at or past m.
-func (l *LagMeter) CatchUp(id cwgroup.MemberID, m cwgroup.Mark, now time.Time) time.Duration {
+func (l *LagTracker) CatchUp(id cwgroup.MemberID, m cwgroup.Mark, now time.Time) time.Duration {
 	lag := l.averageLag[id]
 	if at, ok := l.firstObserved(m); ok {
 		return max(0, lag-now.Sub(at))
--- a/internal/proxy/cwfront/run.go
+++ b/internal/proxy/cwfront/run.go
@@ -260,7 +260,7 @@
 	for {
 		rd.Floor = s.floor()
 		d, err := s.group.PlaceRead(ctx, rd, deadline)
-		if err != nil || d.Kind != cwroute.AskPrimary {
+		if err != nil || d.Action != cwroute.AskPrimary {
 			return d, err
 		}
 		mark, err := s.group.Tip(ctx)
@@ -271,7 +271,7 @@
 			s.tips = make(map[string]cwgroup.Mark)
 		}
 		s.tips[s.group.Name()] = mark
-		rd.Confirmed = true
+		rd.PrimaryConfirmed = true
 	}
 }
 
--- a/internal/proxy/cwlead/group.go
+++ b/internal/proxy/cwlead/group.go
@@ -117,8 +117,8 @@
 	size int
 	// history samples the log position of the primary. Samples up to confirmedAt are of
 	// the group's primary; later ones may be of a primary that has been replaced.
-	history     cwroute.History
-	lag         cwroute.LagMeter
+	history     cwroute.PositionHistory
+	lag         cwroute.LagTracker
 	tracker     cwack.Tracker
 	logProgress map[cwgroup.MemberID]*logProgress
 	// readLog holds the last log entry of reads, by member and basis.
--- a/internal/proxy/cwlead/observe.go
+++ b/internal/proxy/cwlead/observe.go
@@ -49,7 +49,7 @@
 		return
 	}
 	if !g.observePrimary(id, m, sentAt) {
-		g.lag.Replica(id, m, g.cfg.Clock.Now())
+		g.lag.ObserveReplica(id, m, g.cfg.Clock.Now())
 	}
 	g.observeReplicaLog(rep, m)
 }
@@ -65,7 +65,7 @@
 		return false
 	}
 	g.history.Observe(m, sentAt)
-	g.lag.Primary(m, g.cfg.Clock.Now())
+	g.lag.ObservePrimary(m, g.cfg.Clock.Now())
 	return true
 }
 
@@ -124,7 +124,7 @@
 	}
 	if role == cwgroup.RolePrimary {
 		applied = h.Received
-		g.lag.Primary(applied, now)
+		g.lag.ObservePrimary(applied, now)
 		if h.Term == g.term {
 			g.history.Observe(applied, sentAt)
 		}
@@ -172,7 +172,7 @@
 			g.primarySilentSince = time.Time{}
 		}
 		g.observeNewPrimary(p, now)
-		if at, ok := cwroute.Sampled(v, p, p.At); ok && p.Reachable {
+		if at, ok := cwroute.ConfirmedAt(v, p, p.At); ok && p.Reachable {
 			if at.After(g.confirmedAt) {
 				g.confirmedAt = at
 			}
@@ -192,7 +192,7 @@
 		// Confirmations of an earlier term don't apply to this one.
 		g.confirmedAt = time.Time{}
 	}
-	g.history = cwroute.History{Spacing: historySpacing}
+	g.history = cwroute.PositionHistory{Spacing: historySpacing}
 	g.history.Observe(p.Last, p.At)
 	// The members were fenced before the change was recorded in the row, so the time at
 	// which the row was read can serve as termLearntAt. The row of an earlier change
--- a/internal/proxy/cwlead/place.go
+++ b/internal/proxy/cwlead/place.go
@@ -229,7 +229,7 @@
 // hold again. Everything of that term that was kept lies below termStart, so such a
 // mark is replaced by termStart.
 func (g *Group) readFloor(rd Read) (cwgroup.Mark, Evidence, bool) {
-	aged, at, ok := g.history.Since(rd.Came.Add(-rd.MaxAge))
+	aged, at, ok := g.history.FirstSince(rd.Came.Add(-rd.MaxAge))
 	if !ok || at.After(g.confirmedAt) {
 		return cwgroup.Mark{}, Evidence{}, false
 	}
@@ -256,19 +256,19 @@
 func (g *Group) chooseMember(rd Read, floor cwgroup.Mark, now time.Time) (Place, bool) {
 	v := g.sup.View()
 	primary, _ := v.Primary()
-	var options []cwroute.Option
+	var options []cwroute.ReadTarget
 	for id, m := range g.members {
 		rep, known := v.Report(id)
 		if m.Leaving && id != primary.Member || known && !rep.Reachable || slices.Contains(rd.Tried, id) {
 			continue
 		}
 		load := m.Pool.Load()
-		options = append(options, cwroute.Option{
-			Member: id, Away: m.DataCentre != g.cfg.DataCentre, Primary: id == primary.Member, CatchUp: g.catchUp(rep, id == primary.Member, floor, now),
-			Wait: load.Expect, Latency: load.Latency, Busy: load.Busy + load.Waiting, Slots: m.Slots,
+		options = append(options, cwroute.ReadTarget{
+			Member: id, Remote: m.DataCentre != g.cfg.DataCentre, Primary: id == primary.Member, CatchUp: g.catchUp(rep, id == primary.Member, floor, now),
+			Wait: load.Expect, Latency: load.Latency, InFlight: load.Busy + load.Waiting, Slots: m.Slots,
 		})
 	}
-	o, ok := cwroute.Quickest(options)
+	o, ok := cwroute.FastestTarget(options)
 	if !ok {
 		return Place{}, false
 	}
--- a/internal/proxy/cwlead/quorum.go
+++ b/internal/proxy/cwlead/quorum.go
@@ -21,7 +21,7 @@
 // if none of them led a later term by then, nothing had been acknowledged in a later
 // term.
 func (g *Group) quorumFloor(rd Read) (cwgroup.Mark, bool) {
-	m, ok := cwroute.ReadQuorum(g.sup.View(), rd.freshAsOf(), func(id cwgroup.MemberID) bool {
+	m, ok := cwroute.QuorumReadMark(g.sup.View(), rd.freshAsOf(), func(id cwgroup.MemberID) bool {
 		_, restarted := g.restarts[id]
 		return !restarted
 	})
--- a/internal/proxy/cwnode/status.go
+++ b/internal/proxy/cwnode/status.go
@@ -119,7 +119,7 @@
 	r, _ := v.Report(id)
 	b := TargetBody{
 		Target: string(id), Group: v.Name(), Role: r.Role.String(),
-		Reachable: r.Reachable && n.cfg.Clock.Since(r.At) <= cwroute.Fresh,
+		Reachable: r.Reachable && n.cfg.Clock.Since(r.At) <= cwroute.MaxReportAge,
 		Stopping:  n.catalogue.Stopping(id),
 		Mark:      r.Last.String(), Applied: r.Applied.String(),
 	}
@@ -137,7 +137,7 @@
 	var away, stopping []string
 	for _, id := range v.Members() {
 		r, ok := v.Report(id)
-		if !ok || !r.Reachable || now.Sub(r.At) > cwroute.Fresh {
+		if !ok || !r.Reachable || now.Sub(r.At) > cwroute.MaxReportAge {
 			away = append(away, string(id))
 		}
 		if n.catalogue.Stopping(id) {
@@ -145,7 +145,7 @@
 		}
 	}
 	slices.Sort(away)
-	_, writes := cwroute.WritePrimary(v, now)
+	_, writes := cwroute.WritablePrimary(v, now)
 	majority := len(v.Members())-len(away) >= cwgroup.Majority(len(v.Members()))
 	switch {
 	case !writes && majority:
--- a/internal/proxy/cwwatch/group.go
+++ b/internal/proxy/cwwatch/group.go
@@ -83,8 +83,8 @@
 	mu       sync.Mutex
 	contract cwcatalogue.Contract
 	sup      *cwfailover.Supervisor
-	history  cwroute.History
-	lag      cwroute.LagMeter
+	history  cwroute.PositionHistory
+	lag      cwroute.LagTracker
 	tracker  cwack.Tracker
 	// changed is closed and replaced whenever the view or the stopping members change.
 	changed chan struct{}
@@ -205,12 +205,12 @@
 	g.mu.Lock()
 	voteChanged := g.sup.Report(cwgroup.Report{Status: r.Status, At: now, Reachable: true}, r.Following, now)
 	if p, ok := g.sup.View().Primary(); ok && p.Member == r.Member && r.Role == cwgroup.RolePrimary {
-		if at, ok := cwroute.Sampled(g.sup.View(), p, sentAt); ok && !sentAt.IsZero() {
+		if at, ok := cwroute.ConfirmedAt(g.sup.View(), p, sentAt); ok && !sentAt.IsZero() {
 			g.history.Observe(r.Last, at)
 		}
-		g.lag.Primary(r.Last, now)
+		g.lag.ObservePrimary(r.Last, now)
 	} else {
-		g.lag.Replica(r.Member, r.Applied, now)
+		g.lag.ObserveReplica(r.Member, r.Applied, now)
 	}
 	g.tracker.Observe(g.sup.View(), now)
 	g.notify()
@@ -290,7 +290,7 @@
 
 // measureGap records how long no write could be placed. The caller holds mu.
 func (g *Group) measureGap(now time.Time) {
-	p, ok := cwroute.WritePrimary(g.sup.View(), now)
+	p, ok := cwroute.WritablePrimary(g.sup.View(), now)
 	switch {
 	case !ok && g.writesBlockedSince.IsZero() && g.sup.View().Term() > 0:
 		g.writesBlockedSince = now
--- a/internal/proxy/cwwatch/place.go
+++ b/internal/proxy/cwwatch/place.go
@@ -116,7 +116,7 @@
 			Member:   t.ID,
 			Distance: g.cfg.Distance(t.DataCentre),
 			Load:     g.cfg.Pools.Load(t.ID),
-			Leaving:  g.sup.Stopping(t.ID),
+			Draining: g.sup.Stopping(t.ID),
 		}
 		if rep, ok := g.sup.View().Report(t.ID); ok {
 			c.Age, c.AgeKnown = g.history.Age(rep.Applied, now)
@@ -133,10 +133,10 @@
 func (g *Group) decideRead(rd cwroute.Read, now time.Time) cwroute.Decision {
 	cands := g.candidates(rd, now)
 	if g.contract.Class == cwcatalogue.ClassReads && g.contract.ReadWait > 0 {
-		r := cwroute.Router[cwroute.WaitUpTo]{Policy: cwroute.WaitUpTo{Bound: g.contract.ReadWait}}
-		return r.Place(g.sup.View(), cands, rd, now)
+		r := cwroute.Router[cwroute.BoundedWait]{Policy: cwroute.BoundedWait{Bound: g.contract.ReadWait}}
+		return r.Route(g.sup.View(), cands, rd, now)
 	}
-	return cwroute.Router[cwroute.ToPrimary]{}.Place(g.sup.View(), cands, rd, now)
+	return cwroute.Router[cwroute.PrimaryFallback]{}.Route(g.sup.View(), cands, rd, now)
 }
 
 // PlaceRead returns where to serve a read. It waits if the entry's policy says so or if
@@ -154,7 +154,7 @@
 		primaryExpected := g.primaryExpected(now)
 		g.mu.Unlock()
 		wait := d.Wait
-		switch d.Kind {
+		switch d.Action {
 		case cwroute.Refuse:
 			if !primaryExpected || rd.Waited >= failoverWait {
 				return d, cwrefusal.NotRun(cwrefusal.CannotConnectNow, d.RetryAfter, "no database can serve this read at the moment")
@@ -192,7 +192,7 @@
 func (g *Group) primaryExpected(now time.Time) bool {
 	n := 0
 	for _, r := range g.sup.View().Reports() {
-		if r.Reachable && now.Sub(r.At) <= cwroute.Fresh {
+		if r.Reachable && now.Sub(r.At) <= cwroute.MaxReportAge {
 			n++
 		}
 	}
@@ -206,7 +206,7 @@
 	for {
 		now := g.cfg.Clock.Now()
 		g.mu.Lock()
-		p, ok := cwroute.WritePrimary(g.sup.View(), now)
+		p, ok := cwroute.WritablePrimary(g.sup.View(), now)
 		ok = ok && !g.sup.Stopping(p.Member)
 		changed, primaryExpected := g.changed, g.primaryExpected(now)
 		g.mu.Unlock()
@@ -271,7 +271,7 @@
 	}
 	p.Last, p.Applied, p.At = m, m, now
 	g.sup.Report(p, "", now)
-	g.lag.Primary(m, now)
+	g.lag.ObservePrimary(m, now)
 }
 
 // StillLeads reports whether the primary of the term may still lead. A caller that
@@ -288,10 +288,10 @@
 }
 
 // Reachable reports whether the member can be reached and its last report is no older
-// than cwroute.Fresh.
+// than cwroute.MaxReportAge.
 func (g *Group) Reachable(id cwgroup.MemberID) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	r, ok := g.sup.View().Report(id)
-	return ok && r.Reachable && g.cfg.Clock.Since(r.At) <= cwroute.Fresh
+	return ok && r.Reachable && g.cfg.Clock.Since(r.At) <= cwroute.MaxReportAge
 }
