--- a/cicadawalk.go
+++ b/cicadawalk.go
@@ -130,15 +130,15 @@
 // Limits.
 type (
 	// Shares is what the limit of a target leaves each of its holders.
-	Shares = cwlimit.Shares
+	Shares = cwlimit.ConnectionShares
 	// Held is the share of one target that a proxy acts on.
-	Held = cwlimit.Held
+	Held = cwlimit.DelayedShare
 	// Gate admits statements to one target.
-	Gate = cwlimit.Gate
+	Gate = cwlimit.AdmissionQueue
 	// Ticket is one statement's place at a gate.
 	Ticket = cwlimit.Ticket
 	// Budget bounds retries.
-	Budget = cwlimit.Budget
+	Budget = cwlimit.RetryBudget
 	// Refusal is the final answer to a request that was given up on.
 	Refusal = cwrefusal.Refusal
 )
--- a/internal/core/cwlimit/admission.go
+++ b/internal/core/cwlimit/admission.go
@@ -16,21 +16,21 @@
 	// Due orders waiting statements of the same priority; earlier times are
 	// admitted first. The zero time means Deadline.
 	Due time.Time
-	// Ready is called with nil once the statement may start, or with a refusal.
+	// OnDecision is called with nil once the statement may start, or with a refusal.
 	// It is called while the gate's owner holds its lock, and must not block.
-	Ready func(*cwrefusal.Refusal)
+	OnDecision func(*cwrefusal.Refusal)
 
 	elem *list.Element
 }
 
-// Gate admits statements to one target. At most Limit statements are in progress
+// AdmissionQueue admits statements to one target. At most Limit statements are in progress
 // concurrently and at most QueueLimit wait, ordered by priority, then by due
 // time, then by arrival. A statement that is not expected to start by its
 // deadline is refused at once, with the time after which to retry, instead of
 // being queued until it is too late.
 //
-// A Gate is not safe for concurrent use; its owner's lock guards it.
-type Gate struct {
+// A AdmissionQueue is not safe for concurrent use; its owner's lock guards it.
+type AdmissionQueue struct {
 	// Limit is the number of statements that may be in progress concurrently.
 	Limit int
 	// QueueLimit is the number of statements that may wait.
@@ -51,23 +51,23 @@
 // minRetryAfter is the shortest retry delay that a refusal states.
 const minRetryAfter = 10 * time.Millisecond
 
-// Busy returns the number of statements in progress.
-func (g *Gate) Busy() int { return g.inFlight }
+// InFlight returns the number of statements in progress.
+func (g *AdmissionQueue) InFlight() int { return g.inFlight }
 
 // Queued returns the number of waiting statements.
-func (g *Gate) Queued() int { return g.queue.Len() }
+func (g *AdmissionQueue) Queued() int { return g.queue.Len() }
 
 // waitBehind returns the expected wait of a statement with ahead statements
 // before it in the queue.
-func (g *Gate) waitBehind(ahead int) time.Duration {
+func (g *AdmissionQueue) waitBehind(ahead int) time.Duration {
 	if g.Limit <= 0 {
 		return 0
 	}
 	return g.averageServiceTime * time.Duration(ahead+1) / time.Duration(g.Limit)
 }
 
-// Expect returns the expected wait of a statement that is queued last.
-func (g *Gate) Expect() time.Duration {
+// ExpectedWait returns the expected wait of a statement that is queued last.
+func (g *AdmissionQueue) ExpectedWait() time.Duration {
 	if g.inFlight < g.Limit && g.queue.Len() == 0 {
 		return 0
 	}
@@ -92,7 +92,7 @@
 
 // queuePosition returns the queue element after which t belongs, or nil if t
 // belongs at the front, and the number of tickets ahead of t.
-func (g *Gate) queuePosition(t *Ticket) (after *list.Element, ahead int) {
+func (g *AdmissionQueue) queuePosition(t *Ticket) (after *list.Element, ahead int) {
 	ahead = g.queue.Len()
 	for e := g.queue.Back(); e != nil; e = e.Prev() {
 		if !t.before(e.Value.(*Ticket)) {
@@ -103,46 +103,46 @@
 	return nil, 0
 }
 
-// Enter requests admission. It calls Ready at once if the statement may start or
+// Submit requests admission. It calls Ready at once if the statement may start or
 // is refused. Otherwise the ticket is queued and Ready is called later.
-func (g *Gate) Enter(t *Ticket, now time.Time) {
+func (g *AdmissionQueue) Submit(t *Ticket, now time.Time) {
 	if g.inFlight < g.Limit && g.queue.Len() == 0 {
 		g.inFlight++
-		t.Ready(nil)
+		t.OnDecision(nil)
 		return
 	}
 	after, ahead := g.queuePosition(t)
 	wait := g.waitBehind(ahead)
 	switch {
 	case g.queue.Len() >= g.QueueLimit:
-		t.Ready(cwrefusal.NotRun(cwrefusal.TooManyConnections, max(wait, minRetryAfter), "the queue for this database is full"))
+		t.OnDecision(cwrefusal.NotRun(cwrefusal.TooManyConnections, max(wait, minRetryAfter), "the queue for this database is full"))
 	case now.Add(wait).After(t.Deadline):
-		t.Ready(cwrefusal.NotRun(cwrefusal.TooManyConnections, max(wait, minRetryAfter), "the database is too busy to start this in time"))
+		t.OnDecision(cwrefusal.NotRun(cwrefusal.TooManyConnections, max(wait, minRetryAfter), "the database is too busy to start this in time"))
 	default:
 		t.elem = g.insert(t, after)
 	}
 }
 
 // insert queues t after the given element, or at the front if that is nil.
-func (g *Gate) insert(t *Ticket, after *list.Element) *list.Element {
+func (g *AdmissionQueue) insert(t *Ticket, after *list.Element) *list.Element {
 	if after == nil {
 		return g.queue.PushFront(t)
 	}
 	return g.queue.InsertAfter(t, after)
 }
 
-// Abandon removes a ticket from the queue if it is still waiting. Ready is not
+// Cancel removes a ticket from the queue if it is still waiting. Ready is not
 // called.
-func (g *Gate) Abandon(t *Ticket) {
+func (g *AdmissionQueue) Cancel(t *Ticket) {
 	if t.elem != nil {
 		g.queue.Remove(t.elem)
 		t.elem = nil
 	}
 }
 
-// Leave ends an admitted statement that was in progress for the time took, and
+// Release ends an admitted statement that was in progress for the time took, and
 // admits waiting ones.
-func (g *Gate) Leave(took time.Duration, now time.Time) {
+func (g *AdmissionQueue) Release(took time.Duration, now time.Time) {
 	g.inFlight--
 	if g.averageServiceTime == 0 {
 		g.averageServiceTime = took
@@ -152,39 +152,39 @@
 }
 
 // SetLimit changes Limit and admits waiting statements that it allows.
-func (g *Gate) SetLimit(n int, now time.Time) {
+func (g *AdmissionQueue) SetLimit(n int, now time.Time) {
 	g.Limit = n
 	g.admitWaiting(now)
 }
 
 // Expire refuses waiting statements whose deadline has passed.
-func (g *Gate) Expire(now time.Time) {
+func (g *AdmissionQueue) Expire(now time.Time) {
 	for e := g.queue.Front(); e != nil; {
 		next := e.Next()
 		if t := e.Value.(*Ticket); now.After(t.Deadline) {
 			g.queue.Remove(e)
 			t.elem = nil
-			t.Ready(cwrefusal.NotRun(cwrefusal.TooManyConnections, max(g.waitBehind(g.queue.Len()), minRetryAfter), "the database stayed too busy to start this in time"))
+			t.OnDecision(cwrefusal.NotRun(cwrefusal.TooManyConnections, max(g.waitBehind(g.queue.Len()), minRetryAfter), "the database stayed too busy to start this in time"))
 		}
 		e = next
 	}
 }
 
 // admitWaiting refuses expired statements and admits waiting ones up to Limit.
-func (g *Gate) admitWaiting(now time.Time) {
+func (g *AdmissionQueue) admitWaiting(now time.Time) {
 	g.Expire(now)
 	for g.inFlight < g.Limit && g.queue.Len() > 0 {
 		t := g.queue.Remove(g.queue.Front()).(*Ticket)
 		t.elem = nil
 		g.inFlight++
-		t.Ready(nil)
+		t.OnDecision(nil)
 	}
 }
 
-// Budget limits retries to a share of the requests, so that retries don't
+// RetryBudget limits retries to a share of the requests, so that retries don't
 // multiply the load during an outage. Each request adds a fraction of a token
 // and each retry takes one token. The budget starts full.
-type Budget struct {
+type RetryBudget struct {
 	// Ratio is the number of tokens that a request adds.
 	Ratio float64
 	// Max is the greatest number of tokens that accumulate.
@@ -195,7 +195,7 @@
 }
 
 // Earn adds the tokens of one request.
-func (b *Budget) Earn() {
+func (b *RetryBudget) Earn() {
 	if !b.started {
 		b.tokens, b.started = b.Max, true
 	}
@@ -203,7 +203,7 @@
 }
 
 // Spend takes a token for one retry. It returns false if there is none.
-func (b *Budget) Spend() bool {
+func (b *RetryBudget) Spend() bool {
 	if b.tokens < 1 {
 		return false
 	}
@@ -211,14 +211,14 @@
 	return true
 }
 
-// Adaptive finds the concurrency limit of a target, the number of statements
+// AdaptiveLimit finds the concurrency limit of a target, the number of statements
 // that it executes concurrently without queueing them. The limit starts at Seed,
 // the slots of the catalogue entry, and changes by additive increase and
 // multiplicative decrease: it grows while the latency stays near the lowest one
 // observed and shrinks once the latency is a multiple of that.
-type Adaptive struct {
-	// Seed is the initial limit, and Max its upper bound.
-	Seed, Max int
+type AdaptiveLimit struct {
+	// Initial is the initial limit, and Max its upper bound.
+	Initial, Max int
 
 	limit       float64
 	bestLatency time.Duration
@@ -229,16 +229,16 @@
 const latencyTolerance = 3
 
 // Limit returns the current limit. It is at least 1.
-func (a *Adaptive) Limit() int {
+func (a *AdaptiveLimit) Limit() int {
 	if a.limit == 0 {
-		a.limit = float64(a.Seed)
+		a.limit = float64(a.Initial)
 	}
 	return max(1, min(a.Max, int(a.limit)))
 }
 
 // Observe records the latency of a statement that ended while busy statements
 // were in progress.
-func (a *Adaptive) Observe(latency time.Duration, busy int) {
+func (a *AdaptiveLimit) Observe(latency time.Duration, busy int) {
 	limit := a.Limit()
 	if a.bestLatency == 0 || latency < a.bestLatency {
 		a.bestLatency = latency
--- a/internal/core/cwlimit/concurrency.go
+++ b/internal/core/cwlimit/concurrency.go
@@ -27,12 +27,12 @@
 	decreasePercent = 96
 )
 
-// Pace finds how many statements a proxy may have in progress at a target that
+// ConcurrencyLimit finds how many statements a proxy may have in progress at a target that
 // it shares with other proxies.
 //
 // If all proxies together send more statements than the target executes
 // concurrently, the target queues them in order of arrival, each waits for all
-// others, and most are late. With a Pace they queue in the proxy's Gate instead,
+// others, and most are late. With a ConcurrencyLimit they queue in the proxy's Gate instead,
 // where the most urgent statements go first and those that cannot start in time
 // are refused at once.
 //
@@ -40,9 +40,9 @@
 // on the moving average of a statement's time compared with the lowest average
 // observed. The increase grows with the number of waiting statements, so that a
 // proxy with more callers gets a larger share.
-type Pace struct {
-	// Start is the initial limit, and Max its upper bound.
-	Start, Max int
+type ConcurrencyLimit struct {
+	// Initial is the initial limit, and Max its upper bound.
+	Initial, Max int
 
 	limit float64
 	// averageTime is the moving average of a statement's time at the target.
@@ -53,19 +53,19 @@
 }
 
 // Limit returns the current limit. It is at least 1.
-func (p *Pace) Limit() int {
+func (p *ConcurrencyLimit) Limit() int {
 	if p.limit == 0 {
-		p.limit = float64(max(1, p.Start))
+		p.limit = float64(max(1, p.Initial))
 	}
 	return max(1, min(p.Max, int(p.limit)))
 }
 
 // Latency returns the moving average of a statement's time at the target.
-func (p *Pace) Latency() time.Duration { return p.averageTime }
+func (p *ConcurrencyLimit) Latency() time.Duration { return p.averageTime }
 
 // Observe records a statement's time at the target, and the number of statements
 // that wait in this proxy.
-func (p *Pace) Observe(took time.Duration, waiting int) {
+func (p *ConcurrencyLimit) Observe(took time.Duration, waiting int) {
 	limit := float64(p.Limit())
 	p.recordTime(took)
 	if p.averageTime*100 > p.unloadedTime*congestionPercent+time.Duration(congestionSlack)*100 {
@@ -82,7 +82,7 @@
 const congestionSlack = 3 * time.Millisecond
 
 // recordTime updates the moving average and the unloaded time.
-func (p *Pace) recordTime(took time.Duration) {
+func (p *ConcurrencyLimit) recordTime(took time.Duration) {
 	if p.observations == 0 {
 		p.averageTime, p.unloadedTime = took, took
 	}
--- a/internal/core/cwlimit/concurrency_test.go
+++ b/internal/core/cwlimit/concurrency_test.go
@@ -42,7 +42,7 @@
 	)
 	r := rand.New(rand.NewSource(1))
 	target := &sharedTarget{slots: 3, slotFreeAt: make([]time.Duration, 3)}
-	limits := make([]Pace, proxies)
+	limits := make([]ConcurrencyLimit, proxies)
 	waiting := make([]int, proxies)
 	type statement struct {
 		proxy      int
@@ -51,7 +51,7 @@
 	var running []statement
 	busy := make([]int, proxies)
 	for i := range limits {
-		limits[i] = Pace{Start: 3, Max: 20}
+		limits[i] = ConcurrencyLimit{Initial: 3, Max: 20}
 		for range 2 * averageDivisor {
 			limits[i].Observe(work, 0)
 		}
@@ -96,7 +96,7 @@
 
 // Guards against a limit that holds a proxy back at a target without a queue.
 func TestConcurrencyLimitGrowsWithoutQueue(t *testing.T) {
-	p := Pace{Start: 1, Max: 10}
+	p := ConcurrencyLimit{Initial: 1, Max: 10}
 	for range 200 {
 		p.Observe(10*time.Millisecond, 3)
 	}
--- a/internal/core/cwlimit/limit_test.go
+++ b/internal/core/cwlimit/limit_test.go
@@ -23,13 +23,13 @@
 
 func TestSharesSumToLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := Shares{Limit: rapid.IntRange(0, 60).Draw(t, "limit"), Control: rapid.IntRange(0, 20).Draw(t, "control")}
+		s := ConnectionShares{Limit: rapid.IntRange(0, 60).Draw(t, "limit"), Reserved: rapid.IntRange(0, 20).Draw(t, "control")}
 		holders := instanceNames(rapid.IntRange(1, 40).Draw(t, "holders"))
 		sum := 0
 		for _, h := range holders {
-			sum += s.Of(h, "db-1", holders)
+			sum += s.ShareOf(h, "db-1", holders)
 		}
-		if want := max(0, s.Limit-s.Control); sum != want {
+		if want := max(0, s.Limit-s.Reserved); sum != want {
 			t.Fatalf("shares sum to %d, want %d", sum, want)
 		}
 	})
@@ -40,19 +40,19 @@
 // the list of instances is out of date: a new proxy uses its share while the
 // others still use their larger ones. The sum must stay within the limit in
 // whatever order proxies start, stop and learn of each other.
-func TestHeldSharesNeverExceedTheLimit(t *testing.T) {
+func TestSharesInUseNeverExceedLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const tick, lagTicks = 100 * time.Millisecond, 10
-		s := Shares{Limit: 25, Control: 5}
+		s := ConnectionShares{Limit: 25, Reserved: 5}
 		all := instanceNames(6)
-		held := make([]Held, len(all))
+		held := make([]DelayedShare, len(all))
 		running := make([]bool, len(all))
 		var listHistory [][]string
 		for n := range 80 {
 			i := rapid.IntRange(0, 40).Draw(t, "flip")
 			if i < len(all) {
 				running[i] = !running[i]
-				held[i] = Held{Lag: lagTicks * tick}
+				held[i] = DelayedShare{ListLag: lagTicks * tick}
 			}
 			var live []string
 			for i, h := range all {
@@ -68,9 +68,9 @@
 				}
 				// Each proxy sees a list of up to lagTicks-1 ticks ago.
 				old := max(0, n-rapid.IntRange(0, lagTicks-1).Draw(t, "old"))
-				sum += held[i].Update(s.Of(h, "db", listHistory[old]), now.Add(time.Duration(n)*tick))
+				sum += held[i].Update(s.ShareOf(h, "db", listHistory[old]), now.Add(time.Duration(n)*tick))
 			}
-			if sum > s.Limit-s.Control {
+			if sum > s.Limit-s.Reserved {
 				t.Fatalf("shares sum to %d connections at tick %d", sum, n)
 			}
 		}
@@ -88,68 +88,68 @@
 func newWaiter(deadline time.Duration) *waiter {
 	w := &waiter{}
 	w.Deadline = now.Add(deadline)
-	w.Ready = func(r *cwrefusal.Refusal) { w.started, w.refused = r == nil, r }
+	w.OnDecision = func(r *cwrefusal.Refusal) { w.started, w.refused = r == nil, r }
 	return w
 }
 
 func TestAdmissionQueue(t *testing.T) {
-	g := Gate{Limit: 1, QueueLimit: 2}
+	g := AdmissionQueue{Limit: 1, QueueLimit: 2}
 	first, second, third, fourth := newWaiter(time.Second), newWaiter(time.Second), newWaiter(time.Second), newWaiter(time.Second)
 	for _, w := range []*waiter{first, second, third, fourth} {
-		g.Enter(&w.Ticket, now)
+		g.Submit(&w.Ticket, now)
 	}
 	qt.Assert(t, first.started, qt.IsTrue)
 	qt.Assert(t, second.started || second.refused != nil, qt.IsFalse)
 	qt.Assert(t, fourth.refused.NotRun, qt.IsTrue)
 	qt.Assert(t, fourth.refused.RetryAfter > 0, qt.IsTrue)
-	g.Leave(10*time.Millisecond, now)
+	g.Release(10*time.Millisecond, now)
 	qt.Assert(t, second.started, qt.IsTrue)
-	g.Abandon(&third.Ticket)
-	g.Leave(10*time.Millisecond, now)
+	g.Cancel(&third.Ticket)
+	g.Release(10*time.Millisecond, now)
 	qt.Assert(t, third.started, qt.IsFalse)
-	qt.Assert(t, g.Busy(), qt.Equals, 0)
+	qt.Assert(t, g.InFlight(), qt.Equals, 0)
 
 	t.Run("statement that cannot start in time is refused at once", func(t *testing.T) {
-		g := Gate{Limit: 1, QueueLimit: 100}
-		g.Enter(&newWaiter(time.Hour).Ticket, now)
-		g.Leave(time.Second, now)
-		g.Enter(&newWaiter(time.Hour).Ticket, now)
+		g := AdmissionQueue{Limit: 1, QueueLimit: 100}
+		g.Submit(&newWaiter(time.Hour).Ticket, now)
+		g.Release(time.Second, now)
+		g.Submit(&newWaiter(time.Hour).Ticket, now)
 		late := newWaiter(500 * time.Millisecond)
-		g.Enter(&late.Ticket, now)
+		g.Submit(&late.Ticket, now)
 		qt.Assert(t, late.refused, qt.Not(qt.IsNil))
 		qt.Assert(t, late.refused.RetryAfter, qt.Equals, time.Second)
 	})
 	t.Run("earliest deadline is admitted first", func(t *testing.T) {
-		g := Gate{Limit: 1, QueueLimit: 100}
-		g.Enter(&newWaiter(time.Hour).Ticket, now)
+		g := AdmissionQueue{Limit: 1, QueueLimit: 100}
+		g.Submit(&newWaiter(time.Hour).Ticket, now)
 		relaxed, urgent, second := newWaiter(time.Hour), newWaiter(time.Second), newWaiter(time.Second)
 		for _, w := range []*waiter{relaxed, urgent, second} {
-			g.Enter(&w.Ticket, now)
+			g.Submit(&w.Ticket, now)
 		}
-		g.Leave(time.Millisecond, now)
+		g.Release(time.Millisecond, now)
 		qt.Assert(t, urgent.started && !second.started && !relaxed.started, qt.IsTrue)
-		g.Leave(time.Millisecond, now)
+		g.Release(time.Millisecond, now)
 		qt.Assert(t, second.started && !relaxed.started, qt.IsTrue)
 	})
 	t.Run("priority precedes due time", func(t *testing.T) {
-		g := Gate{Limit: 1, QueueLimit: 100}
-		g.Enter(&newWaiter(time.Hour).Ticket, now)
+		g := AdmissionQueue{Limit: 1, QueueLimit: 100}
+		g.Submit(&newWaiter(time.Hour).Ticket, now)
 		low, high, due := newWaiter(time.Second), newWaiter(time.Hour), newWaiter(time.Hour)
 		high.Priority, due.Priority = -1, -1
 		due.Due = now
 		for _, w := range []*waiter{low, high, due} {
-			g.Enter(&w.Ticket, now)
+			g.Submit(&w.Ticket, now)
 		}
-		g.Leave(time.Millisecond, now)
+		g.Release(time.Millisecond, now)
 		qt.Assert(t, due.started && !high.started, qt.IsTrue)
-		g.Leave(time.Millisecond, now)
+		g.Release(time.Millisecond, now)
 		qt.Assert(t, high.started && !low.started, qt.IsTrue)
 	})
 	t.Run("expired statement is refused", func(t *testing.T) {
-		g := Gate{Limit: 1, QueueLimit: 100}
-		g.Enter(&newWaiter(time.Hour).Ticket, now)
+		g := AdmissionQueue{Limit: 1, QueueLimit: 100}
+		g.Submit(&newWaiter(time.Hour).Ticket, now)
 		w := newWaiter(time.Second)
-		g.Enter(&w.Ticket, now)
+		g.Submit(&w.Ticket, now)
 		g.Expire(now.Add(2 * time.Second))
 		qt.Assert(t, w.refused.NotRun, qt.IsTrue)
 		qt.Assert(t, g.Queued(), qt.Equals, 0)
@@ -157,7 +157,7 @@
 }
 
 func TestRetryBudget(t *testing.T) {
-	b := Budget{Ratio: 0.1, Max: 5}
+	b := RetryBudget{Ratio: 0.1, Max: 5}
 	spent := 0
 	for range 1000 {
 		b.Earn()
@@ -171,7 +171,7 @@
 
 func TestAdaptiveLimitConverges(t *testing.T) {
 	// The target executes four statements concurrently and queues any more.
-	a := Adaptive{Seed: 3, Max: 50}
+	a := AdaptiveLimit{Initial: 3, Max: 50}
 	for range 3000 {
 		n := a.Limit()
 		a.Observe(time.Duration(max(1, n/4))*5*time.Millisecond, n)
--- a/internal/core/cwlimit/share.go
+++ b/internal/core/cwlimit/share.go
@@ -21,28 +21,28 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwplace"
 )
 
-// Shares divides the connection limit of a target among its holders, the
+// ConnectionShares divides the connection limit of a target among its holders, the
 // instances that may open connections to it.
-type Shares struct {
+type ConnectionShares struct {
 	// Limit is the number of connections that the target accepts.
 	Limit int
-	// Control is the number of connections reserved for control: a status feed
+	// Reserved is the number of connections reserved for control: a status feed
 	// for each holder and a few for probes over new connections.
-	Control int
+	Reserved int
 }
 
-// Of returns how many connections instance self may open for traffic. It is zero
+// ShareOf returns how many connections instance self may open for traffic. It is zero
 // if self is not among holders. The remainder of the division goes to the first
 // holders in the rendezvous order of the target, so that the additional
 // connections don't always go to the same instances. If there are more holders
 // than connections for traffic, the first Limit-Control holders get one each.
-func (s Shares) Of(self, target string, holders []string) int {
+func (s ConnectionShares) ShareOf(self, target string, holders []string) int {
 	rank := cwplace.Rank(self, target, holders)
 	if rank == len(holders) {
 		// The other instances don't count this one either.
 		return 0
 	}
-	available := max(0, s.Limit-s.Control)
+	available := max(0, s.Limit-s.Reserved)
 	share, remainder := available/len(holders), available%len(holders)
 	if rank < remainder {
 		share++
@@ -50,7 +50,7 @@
 	return share
 }
 
-// Held is the share of a target's connections that a proxy uses at present. It
+// DelayedShare is the share of a target's connections that a proxy uses at present. It
 // decreases at once and increases after a delay.
 //
 // The list of instances that a proxy sees can be out of date. A new instance
@@ -60,10 +60,10 @@
 // only after every list during the time Lag has given at least that share. A
 // smaller share applies at once. A proxy that has just started begins at zero
 // and waits as well.
-type Held struct {
-	// Lag is the greatest age of the list that a proxy acts on: the propagation
+type DelayedShare struct {
+	// ListLag is the greatest age of the list that a proxy acts on: the propagation
 	// delay of the list plus the interval between two reads of it.
-	Lag time.Duration
+	ListLag time.Duration
 
 	// current is the share in use.
 	current int
@@ -75,7 +75,7 @@
 
 // Update takes the share computed from the latest list and returns the share to
 // use.
-func (h *Held) Update(due int, now time.Time) int {
+func (h *DelayedShare) Update(due int, now time.Time) int {
 	switch {
 	case due <= h.current:
 		h.current, h.pending, h.pendingSince = due, due, now
@@ -85,7 +85,7 @@
 		// Still above the current share: go on waiting, for the smaller increase.
 		h.pending = due
 	}
-	if h.pending > h.current && now.Sub(h.pendingSince) >= h.Lag {
+	if h.pending > h.current && now.Sub(h.pendingSince) >= h.ListLag {
 		h.current = h.pending
 	}
 	if due > h.pending {
@@ -94,5 +94,5 @@
 	return h.current
 }
 
-// Now returns the share to use.
-func (h *Held) Now() int { return h.current }
+// Current returns the share to use.
+func (h *DelayedShare) Current() int { return h.current }
--- a/internal/proxy/cwfront/server.go
+++ b/internal/proxy/cwfront/server.go
@@ -114,7 +114,7 @@
 // multiplied.
 type budget struct {
 	mu sync.Mutex
-	b  cwlimit.Budget
+	b  cwlimit.RetryBudget
 }
 
 func (b *budget) earn() {
--- a/internal/proxy/cwnode/catalogue.go
+++ b/internal/proxy/cwnode/catalogue.go
@@ -300,9 +300,9 @@
 		if !ok {
 			continue
 		}
-		s := cwlimit.Shares{Limit: e.Contract.Connections, Control: len(holders) + spareControl}
-		p.held.Lag = n.cfg.ListLag + 2*n.listIntervalLocked()
-		share := p.held.Update(s.Of(n.cfg.Instance, string(id), holders), now)
+		s := cwlimit.ConnectionShares{Limit: e.Contract.Connections, Reserved: len(holders) + spareControl}
+		p.held.ListLag = n.cfg.ListLag + 2*n.listIntervalLocked()
+		share := p.held.Update(s.ShareOf(n.cfg.Instance, string(id), holders), now)
 		p.SetLimits(share, e.Contract.QueueLimit)
 	}
 }
--- a/internal/proxy/cwnode/node.go
+++ b/internal/proxy/cwnode/node.go
@@ -108,7 +108,7 @@
 type poolState struct {
 	*cwpool.Pool
 	service string
-	held    cwlimit.Held
+	held    cwlimit.DelayedShare
 	// drained is true once a stopping target had no work of this proxy left.
 	drained bool
 }
--- a/internal/proxy/cwpool/pool.go
+++ b/internal/proxy/cwpool/pool.go
@@ -91,8 +91,8 @@
 	Slots int
 
 	mu       sync.Mutex
-	gate     cwlimit.Gate
-	adaptive cwlimit.Adaptive
+	gate     cwlimit.AdmissionQueue
+	adaptive cwlimit.AdaptiveLimit
 	share    int
 	// idle is used as a stack, so that connections not needed stay idle.
 	idle []*Conn
@@ -107,7 +107,7 @@
 	p.mu.Lock()
 	p.share = share
 	p.gate.QueueLimit = queue
-	p.adaptive.Seed, p.adaptive.Max = max(p.Slots, 1), max(share, 1)
+	p.adaptive.Initial, p.adaptive.Max = max(p.Slots, 1), max(share, 1)
 	p.gate.SetLimit(p.limit(), p.Clock.Now())
 	drop := p.excessIdle()
 	p.mu.Unlock()
@@ -143,14 +143,14 @@
 func (p *Pool) Stats() Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return Stats{Share: p.share, Open: p.open, Busy: p.gate.Busy(), Queued: p.gate.Queued()}
+	return Stats{Share: p.share, Open: p.open, Busy: p.gate.InFlight(), Queued: p.gate.Queued()}
 }
 
 // Load returns the statements in progress and waiting, by the limit.
 func (p *Pool) Load() float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return float64(p.gate.Busy()+p.gate.Queued()) / float64(max(1, p.gate.Limit))
+	return float64(p.gate.InFlight()+p.gate.Queued()) / float64(max(1, p.gate.Limit))
 }
 
 // CullIdle closes the idle connections, and the others when they come back.
@@ -205,13 +205,13 @@
 
 func (p *Pool) enter(ctx context.Context, deadline time.Time) error {
 	ready := make(chan *cwrefusal.Refusal, 1)
-	ticket := &cwlimit.Ticket{Deadline: deadline, Ready: func(r *cwrefusal.Refusal) { ready <- r }}
+	ticket := &cwlimit.Ticket{Deadline: deadline, OnDecision: func(r *cwrefusal.Refusal) { ready <- r }}
 	p.mu.Lock()
 	if p.closed || p.share == 0 {
 		p.mu.Unlock()
 		return cwrefusal.NotRun(cwrefusal.TooManyConnections, dialRetryAfter, "this proxy has no connections for this database yet")
 	}
-	p.gate.Enter(ticket, p.Clock.Now())
+	p.gate.Submit(ticket, p.Clock.Now())
 	p.mu.Unlock()
 	select {
 	case r := <-ready:
@@ -229,7 +229,7 @@
 		p.mu.Unlock()
 	case <-ctx.Done():
 		p.mu.Lock()
-		p.gate.Abandon(ticket)
+		p.gate.Cancel(ticket)
 		p.mu.Unlock()
 	}
 	// Either the gate has answered by now or it never will let this one in.
@@ -257,10 +257,10 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if measure {
-		p.adaptive.Observe(d, p.gate.Busy())
+		p.adaptive.Observe(d, p.gate.InFlight())
 		p.gate.Limit = p.limit()
 	}
-	p.gate.Leave(d, now)
+	p.gate.Release(d, now)
 }
 
 // connection takes an idle connection that works, or opens one.
--- a/internal/proxy/cwtargets/pool.go
+++ b/internal/proxy/cwtargets/pool.go
@@ -96,8 +96,8 @@
 	busy   int
 	closed bool
 	// gate admits statements at pace.
-	gate cwlimit.Gate
-	pace cwlimit.Pace
+	gate cwlimit.AdmissionQueue
+	pace cwlimit.ConcurrencyLimit
 }
 
 // waiter is somebody who waits for a connection. Its channel takes one result.
@@ -142,7 +142,7 @@
 func (p *Pool) SetSlots(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.pace.Start = n
+	p.pace.Initial = n
 	p.gate.SetLimit(p.pace.Limit(), p.clock.Now())
 }
 
@@ -162,8 +162,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return Load{
-		Busy: p.gate.Busy(), Waiting: p.gate.Queued() + len(p.waiting), Open: p.open,
-		Latency: p.pace.Latency(), Expect: max(p.expect(), p.gate.Expect()),
+		Busy: p.gate.InFlight(), Waiting: p.gate.Queued() + len(p.waiting), Open: p.open,
+		Latency: p.pace.Latency(), Expect: max(p.expect(), p.gate.ExpectedWait()),
 	}
 }
 
--- a/internal/proxy/cwtargets/turn.go
+++ b/internal/proxy/cwtargets/turn.go
@@ -30,10 +30,10 @@
 	ready := make(chan *cwrefusal.Refusal, 1)
 	ticket := &cwlimit.Ticket{
 		Deadline: c.Deadline, Priority: c.Priority, Due: c.Due,
-		Ready: func(r *cwrefusal.Refusal) { ready <- r },
+		OnDecision: func(r *cwrefusal.Refusal) { ready <- r },
 	}
 	p.mu.Lock()
-	p.gate.Enter(ticket, p.clock.Now())
+	p.gate.Submit(ticket, p.clock.Now())
 	p.mu.Unlock()
 	select {
 	case r := <-ready:
@@ -48,7 +48,7 @@
 	case <-t.Chan():
 	}
 	p.mu.Lock()
-	p.gate.Abandon(ticket)
+	p.gate.Cancel(ticket)
 	p.mu.Unlock()
 	select {
 	case r := <-ready:
@@ -82,8 +82,8 @@
 	if measure {
 		p.pace.Observe(took, p.gate.Queued())
 		p.gate.Limit = p.pace.Limit()
-		p.gate.Leave(took, now)
+		p.gate.Release(took, now)
 		return
 	}
-	p.gate.Leave(p.pace.Latency(), now)
+	p.gate.Release(p.pace.Latency(), now)
 }
