--- a/internal/core/cwholder/choose.go
+++ b/internal/core/cwholder/choose.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// SpareAfter is how long a connection attempt may take before the next holder is
+// HedgeDelay is how long a connection attempt may take before the next holder is
 // connected as well (hedging).
-const SpareAfter = 50 * time.Millisecond
+const HedgeDelay = 50 * time.Millisecond
 
-// LinkState is the state of the connection to a holder.
-type LinkState struct {
+// ConnectionState is the state of the connection to a holder.
+type ConnectionState struct {
 	// Ready is true if there is a connection that accepts statements.
 	Ready bool
 	// Failed is true if the last connection attempt failed, or if the holder is
@@ -22,7 +22,7 @@
 }
 
 // Choice says what to do with a statement of a group while there are more than
-// ManyGroups groups.
+// ManyGroupsThreshold groups.
 type Choice struct {
 	// Use is the index of the holder that takes the statement; negative if none
 	// does at present.
@@ -33,25 +33,25 @@
 	// Wait is true if the statement is to wait for a connection. Spare is the
 	// time after which to choose again if no connection is ready by then; zero
 	// if there is no further holder to connect to.
-	Wait  bool
-	Spare time.Duration
+	Wait       bool
+	HedgeAfter time.Duration
 }
 
-// Choose chooses a holder for a statement while there are more than ManyGroups
+// ChooseHolder chooses a holder for a statement while there are more than ManyGroupsThreshold
 // groups. links are the states of the connections to the group's holders, in the
 // order in which statements are forwarded to them.
 //
 // A holder with a ready connection is preferred. Otherwise the first usable
 // holder in order is connected and waited for, and the next one only if that
-// takes longer than SpareAfter.
+// takes longer than HedgeDelay.
 //
 // With hundreds of instances and a thousand groups, an instance has a statement
 // for a given group only once in a while. Trying the holders in turn made an
 // instance connect to all holders in all data centres for a single statement,
 // which meanwhile ran locally: the instance set up the group itself, with new
 // connections to its targets and without any knowledge of their state.
-func Choose(links []LinkState) Choice {
-	c := Choice{Use: slices.IndexFunc(links, func(l LinkState) bool { return l.Ready }), Connect: -1}
+func ChooseHolder(links []ConnectionState) Choice {
+	c := Choice{Use: slices.IndexFunc(links, func(l ConnectionState) bool { return l.Ready }), Connect: -1}
 	if c.Use >= 0 {
 		return c
 	}
@@ -60,11 +60,11 @@
 		case l.Failed:
 			continue
 		case l.Connecting < 0:
-			c.Connect, c.Wait, c.Spare = i, true, SpareAfter
+			c.Connect, c.Wait, c.HedgeAfter = i, true, HedgeDelay
 			return c
 		}
-		c.Wait, c.Spare = true, max(0, SpareAfter-l.Connecting)
-		if c.Spare > 0 {
+		c.Wait, c.HedgeAfter = true, max(0, HedgeDelay-l.Connecting)
+		if c.HedgeAfter > 0 {
 			return c
 		}
 	}
--- a/internal/core/cwholder/holder.go
+++ b/internal/core/cwholder/holder.go
@@ -9,7 +9,7 @@
 // holders in each data centre keep their connections open and know the load of
 // the targets.
 //
-// With more than ManyGroups groups, an instance has callers for more groups than
+// With more than ManyGroupsThreshold groups, an instance has callers for more groups than
 // it could keep connections for, and each group gets few statements per second.
 // A group then has a few holders in the whole deployment, and all instances
 // forward its statements to the same holder first, whose knowledge of the group
@@ -36,14 +36,14 @@
 	Address string
 }
 
-// Demand describes the capacity of a group's targets, which determines the
+// TargetCapacity describes the capacity of a group's targets, which determines the
 // number of its holders.
-type Demand struct {
+type TargetCapacity struct {
 	// Connections is the connection limit of one target, and Slots the number of
 	// statements that it executes concurrently.
 	Connections, Slots int
-	// Many is true if there are more than ManyGroups groups.
-	Many bool
+	// ManyGroupsThreshold is true if there are more than ManyGroupsThreshold groups.
+	ManyGroups bool
 }
 
 // Numbers of holders, connections and groups.
@@ -57,14 +57,14 @@
 	// one restarts, the other one serves without forwarding to another data
 	// centre.
 	MinPerDataCentre = 2
-	// ManyGroups is the number of groups up to which an instance sets up every
+	// ManyGroupsThreshold is the number of groups up to which an instance sets up every
 	// group, and connects to its holders, in advance. With more groups, an
 	// instance uses only a few of them: it holds some and has callers for others,
 	// and it sets up the remaining ones on the first statement. Each group costs
 	// an instance its pools, its view of the members, and a goroutine.
-	ManyGroups = 128
+	ManyGroupsThreshold = 128
 	// holdersWithManyGroups is the number of holders of each group if there are
-	// more than ManyGroups groups, spread over as many data centres as possible.
+	// more than ManyGroupsThreshold groups, spread over as many data centres as possible.
 	// One is left if two data centres and one more instance are lost.
 	holdersWithManyGroups = 4
 )
@@ -72,8 +72,8 @@
 // holdersInDataCentre returns the number of holders of a group in one data
 // centre out of dataCentres. rank is the position of that data centre in the
 // group's rendezvous order.
-func (d Demand) holdersInDataCentre(rank, dataCentres int) int {
-	if !d.Many {
+func (d TargetCapacity) holdersInDataCentre(rank, dataCentres int) int {
+	if !d.ManyGroups {
 		return d.holdersPerDataCentre(dataCentres)
 	}
 	if rank >= holdersWithManyGroups {
@@ -83,15 +83,15 @@
 }
 
 // holdersPerDataCentre returns the number of holders of a group in each data
-// centre if there are at most ManyGroups groups.
-func (d Demand) holdersPerDataCentre(dataCentres int) int {
+// centre if there are at most ManyGroupsThreshold groups.
+func (d TargetCapacity) holdersPerDataCentre(dataCentres int) int {
 	wanted := max(1, d.Slots*connectionsPerSlot)
 	return max(MinPerDataCentre, d.Connections/wanted/max(1, dataCentres))
 }
 
 // Holders returns the holders of a group among all instances, in the order of
 // Placement.Holders.
-func Holders(group string, all []Instance, d Demand) []Instance {
+func Holders(group string, all []Instance, d TargetCapacity) []Instance {
 	var p Placement
 	for _, i := range all {
 		p.Set(i)
@@ -99,11 +99,11 @@
 	return p.Holders(group, d)
 }
 
-// Order returns the holders in the order in which self forwards statements to
+// ForwardingOrder returns the holders in the order in which self forwards statements to
 // them: self if it is a holder, then those in its own data centre, then the
 // others. The order differs between instances, so that the holders share the
 // load.
-func Order(self Instance, group string, holders []Instance) []Instance {
+func ForwardingOrder(self Instance, group string, holders []Instance) []Instance {
 	var mine, near, far []Instance
 	for _, h := range holders {
 		switch {
--- a/internal/core/cwholder/holder_test.go
+++ b/internal/core/cwholder/holder_test.go
@@ -31,7 +31,7 @@
 }
 
 func TestHolders(t *testing.T) {
-	scarce := Demand{Connections: 36, Slots: 3}
+	scarce := TargetCapacity{Connections: 36, Slots: 3}
 	t.Run("few instances", func(t *testing.T) {
 		all := instances(2, "a", "b", "c", "d")
 		qt.Assert(t, Holders("g", all, scarce), qt.HasLen, len(all))
@@ -44,11 +44,11 @@
 	})
 	t.Run("more connections", func(t *testing.T) {
 		all := instances(20, "a", "b", "c", "d")
-		holders := Holders("g", all, Demand{Connections: 216, Slots: 5})
+		holders := Holders("g", all, TargetCapacity{Connections: 216, Slots: 5})
 		qt.Assert(t, holders, qt.HasLen, 4*5)
 	})
 	t.Run("unknown capacity of the targets", func(t *testing.T) {
-		qt.Assert(t, Holders("g", instances(3, "a"), Demand{}), qt.HasLen, MinPerDataCentre)
+		qt.Assert(t, Holders("g", instances(3, "a"), TargetCapacity{}), qt.HasLen, MinPerDataCentre)
 	})
 }
 
@@ -56,7 +56,7 @@
 // instances that did not use the lost holder must keep their holder.
 func TestLossKeepsOtherHolders(t *testing.T) {
 	all := instances(20, "a", "b")
-	before := Holders("g", all, Demand{Connections: 36, Slots: 3})
+	before := Holders("g", all, TargetCapacity{Connections: 36, Slots: 3})
 	lost := before[0]
 	var rest []Instance
 	for _, i := range all {
@@ -64,9 +64,9 @@
 			rest = append(rest, i)
 		}
 	}
-	after := Holders("g", rest, Demand{Connections: 36, Slots: 3})
+	after := Holders("g", rest, TargetCapacity{Connections: 36, Slots: 3})
 	for _, self := range rest {
-		was, is := Order(self, "g", before)[0], Order(self, "g", after)[0]
+		was, is := ForwardingOrder(self, "g", before)[0], ForwardingOrder(self, "g", after)[0]
 		if was != lost && is != was && is != self {
 			// Only the new holder may attract further instances.
 			qt.Assert(t, before, qt.Not(qt.Contains), is)
@@ -76,10 +76,10 @@
 
 func TestForwardingOrder(t *testing.T) {
 	all := instances(20, "a", "b", "c")
-	holders := Holders("g", all, Demand{Connections: 36, Slots: 3})
+	holders := Holders("g", all, TargetCapacity{Connections: 36, Slots: 3})
 	count := map[string]int{}
 	for _, self := range all {
-		order := Order(self, "g", holders)
+		order := ForwardingOrder(self, "g", holders)
 		qt.Assert(t, order[0].DataCentre, qt.Equals, self.DataCentre)
 		qt.Assert(t, order, qt.HasLen, len(holders))
 		if order[0] == self {
@@ -95,7 +95,7 @@
 // Guards against spreading the few statements per second of a group over many
 // holders.
 func TestFewHoldersWithManyGroups(t *testing.T) {
-	many := Demand{Connections: 278, Slots: 3, Many: true}
+	many := TargetCapacity{Connections: 278, Slots: 3, ManyGroups: true}
 	centresOf := func(list []Instance) map[string]bool {
 		out := make(map[string]bool)
 		for _, i := range list {
@@ -115,7 +115,7 @@
 		all := instances(20, "a", "b", "c", "d", "e", "f")
 		holders := Holders("g", all, many)
 		for _, self := range all {
-			qt.Assert(t, placementOf(self, all).Route("g", many), qt.DeepEquals, holders)
+			qt.Assert(t, placementOf(self, all).ForwardingOrder("g", many), qt.DeepEquals, holders)
 		}
 	})
 	t.Run("groups are spread evenly", func(t *testing.T) {
--- a/internal/core/cwholder/placement.go
+++ b/internal/core/cwholder/placement.go
@@ -29,7 +29,7 @@
 
 // groupRoute is the cached result of Route for a group.
 type groupRoute struct {
-	demand Demand
+	demand TargetCapacity
 	// holders are the group's holders, and order the same in the order in which
 	// Self forwards statements to them.
 	holders, order []Instance
@@ -37,7 +37,7 @@
 
 // selfRank is the cached result of Place for a group.
 type selfRank struct {
-	demand Demand
+	demand TargetCapacity
 	// preceding is the number of instances in the data centre of Self that
 	// precede Self in the group's rendezvous order. localHolders is the number
 	// of holders that the group has in that data centre.
@@ -88,9 +88,9 @@
 // Instances returns all instances by ID. Callers must not change the map.
 func (p *Placement) Instances() map[string]Instance { return p.instances }
 
-// Centre returns the IDs of the instances in a data centre. Callers must not
+// InstanceIDs returns the IDs of the instances in a data centre. Callers must not
 // change the slice.
-func (p *Placement) Centre(dataCentre string) []string { return p.idsByCentre[dataCentre] }
+func (p *Placement) InstanceIDs(dataCentre string) []string { return p.idsByCentre[dataCentre] }
 
 // invalidate drops the cached results that an instance changes which was added
 // (by is 1) or removed (by is -1).
@@ -142,7 +142,7 @@
 }
 
 // holdersIn returns the number of holders of a group in a data centre.
-func (p *Placement) holdersIn(centre, group string, d Demand) int {
+func (p *Placement) holdersIn(centre, group string, d TargetCapacity) int {
 	rank := 0
 	for other := range p.idsByCentre {
 		if other != centre && cwplace.Before(other, centre, group) {
@@ -152,11 +152,11 @@
 	return d.holdersInDataCentre(rank, len(p.idsByCentre))
 }
 
-// Holders returns the group's holders. With more than ManyGroups groups, this is
+// Holders returns the group's holders. With more than ManyGroupsThreshold groups, this is
 // the order in which all instances forward statements to them. If a data centre
 // has no more instances than the group needs holders there, all of them are
 // holders and none of them has to forward.
-func (p *Placement) Holders(group string, d Demand) []Instance {
+func (p *Placement) Holders(group string, d TargetCapacity) []Instance {
 	centres := cwplace.Order(group, slices.Collect(maps.Keys(p.idsByCentre)))
 	var out, additional []Instance
 	for rank, c := range centres {
@@ -171,19 +171,21 @@
 	return append(out, additional...)
 }
 
-// Route returns the group's holders in the order in which Self forwards
+// ForwardingOrder returns the group's holders in the order in which Self forwards
 // statements to them. Callers must not change the slice.
-func (p *Placement) Route(group string, d Demand) []Instance { return p.cachedRoute(group, d).order }
+func (p *Placement) ForwardingOrder(group string, d TargetCapacity) []Instance {
+	return p.cachedRoute(group, d).order
+}
 
 // cachedRoute returns the route of a group and computes it if it is not cached.
-func (p *Placement) cachedRoute(group string, d Demand) groupRoute {
+func (p *Placement) cachedRoute(group string, d TargetCapacity) groupRoute {
 	if r, ok := p.routes[group]; ok && r.demand == d {
 		return r
 	}
 	holders := p.Holders(group, d)
 	r := groupRoute{demand: d, holders: holders, order: holders}
-	if !d.Many {
-		r.order = Order(p.Self, group, holders)
+	if !d.ManyGroups {
+		r.order = ForwardingOrder(p.Self, group, holders)
 	}
 	if p.routes == nil {
 		p.routes = make(map[string]groupRoute)
@@ -192,10 +194,10 @@
 	return r
 }
 
-// Place returns the index of Self in the list of the group's holders. The second
+// Rank returns the index of Self in the list of the group's holders. The second
 // result is false if Self is not a holder. The other holders are computed only
 // if Self is one.
-func (p *Placement) Place(group string, d Demand) (int, bool) {
+func (p *Placement) Rank(group string, d TargetCapacity) (int, bool) {
 	known, ok := p.ranks[group]
 	if !ok || known.demand != d {
 		known = p.computeRank(group, d)
@@ -208,7 +210,7 @@
 }
 
 // computeRank computes the result of Place for a group.
-func (p *Placement) computeRank(group string, d Demand) selfRank {
+func (p *Placement) computeRank(group string, d TargetCapacity) selfRank {
 	centre := p.idsByCentre[p.Self.DataCentre]
 	out := selfRank{demand: d, preceding: len(centre), localHolders: p.holdersIn(p.Self.DataCentre, group, d), rank: -1}
 	if p.instances[p.Self.ID] == p.Self {
--- a/internal/core/cwholder/placement_test.go
+++ b/internal/core/cwholder/placement_test.go
@@ -20,18 +20,18 @@
 }
 
 // demands are the demands that the tests of Placement use.
-var demands = []Demand{{}, {Connections: 36, Slots: 3}, {Connections: 216, Slots: 5}, {Connections: 900, Slots: 3}, {Connections: 278, Slots: 3, Many: true}}
+var demands = []TargetCapacity{{}, {Connections: 36, Slots: 3}, {Connections: 216, Slots: 5}, {Connections: 900, Slots: 3}, {Connections: 278, Slots: 3, ManyGroups: true}}
 
 // Guards against an instance that neither holds a group nor forwards its
 // statements, because Place and the list of holders disagree.
-func TestPlaceAgreesWithTheListOfHolders(t *testing.T) {
+func TestRankAgreesWithHolders(t *testing.T) {
 	all := instances(9, "a", "b", "c")
 	for _, d := range demands {
 		for g := range 40 {
 			group := string(rune('A' + g))
 			holders := Holders(group, all, d)
 			for _, self := range all {
-				rank, held := placementOf(self, all).Place(group, d)
+				rank, held := placementOf(self, all).Rank(group, d)
 				qt.Assert(t, rank, qt.Equals, slices.Index(holders, self))
 				qt.Assert(t, held, qt.Equals, rank >= 0)
 			}
@@ -60,8 +60,8 @@
 			for g := range 2 * len(demands) {
 				group := fmt.Sprint("group-", g)
 				d := demands[g/2]
-				rank, _ := p.Place(group, d)
-				want, _ := recomputed.Place(group, d)
+				rank, _ := p.Rank(group, d)
+				want, _ := recomputed.Rank(group, d)
 				if rank != want {
 					t.Fatalf("%s: rank %d, recomputed %d", group, rank, want)
 				}
@@ -69,7 +69,7 @@
 					// For most groups an instance caches its rank and no route.
 					continue
 				}
-				if got, want := p.Route(group, d), recomputed.Route(group, d); !slices.Equal(got, want) {
+				if got, want := p.ForwardingOrder(group, d), recomputed.ForwardingOrder(group, d); !slices.Equal(got, want) {
 					t.Fatalf("%s: route %v, recomputed %v", group, got, want)
 				}
 			}
@@ -81,13 +81,13 @@
 // group.
 func TestChangeInvalidatesAffectedGroupsOnly(t *testing.T) {
 	const groups = 1000
-	d := Demand{Connections: 278, Slots: 3, Many: true}
+	d := TargetCapacity{Connections: 278, Slots: 3, ManyGroups: true}
 	for _, n := range []int{5, 20, 50} {
 		all := instances(n, "a", "b", "c", "d", "e", "f")
 		p := placementOf(all[0], all[:len(all)-1])
 		for g := range groups {
-			p.Route(fmt.Sprint("group-", g), d)
-			p.Place(fmt.Sprint("group-", g), d)
+			p.ForwardingOrder(fmt.Sprint("group-", g), d)
+			p.Rank(fmt.Sprint("group-", g), d)
 		}
 		p.Set(all[len(all)-1])
 		invalidated := groups - len(p.routes)
@@ -109,7 +109,7 @@
 // one instance.
 func BenchmarkInstanceChange(b *testing.B) {
 	const groups = 1000
-	d := Demand{Connections: 278, Slots: 3, Many: true}
+	d := TargetCapacity{Connections: 278, Slots: 3, ManyGroups: true}
 	for _, n := range []int{50, 164, 330} {
 		b.Run(fmt.Sprintf("%d instances", 6*n), func(b *testing.B) {
 			all := instances(n, "a", "b", "c", "d", "e", "f")
@@ -117,7 +117,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				for g := range groups {
-					p.Place(fmt.Sprint("group-", g), d)
+					p.Rank(fmt.Sprint("group-", g), d)
 				}
 				p.Remove(all[1].ID)
 				p.Set(all[1])
--- a/internal/proxy/cwengine/fallback_test.go
+++ b/internal/proxy/cwengine/fallback_test.go
@@ -20,7 +20,7 @@
 	list []*testHolder
 }
 
-func (h *fallbackHolders) Holder(_ string, _ cwholder.Demand, tried []string) (cwport.Holder, bool) {
+func (h *fallbackHolders) Holder(_ string, _ cwholder.TargetCapacity, tried []string) (cwport.Holder, bool) {
 	if !slices.Contains(tried, h.self) {
 		return nil, false
 	}
@@ -32,9 +32,9 @@
 	return nil, false
 }
 
-func (h *fallbackHolders) Connect(string, cwholder.Demand) {}
+func (h *fallbackHolders) Connect(string, cwholder.TargetCapacity) {}
 
-func (h *fallbackHolders) Holds(string, cwholder.Demand) (int, bool) { return 0, true }
+func (h *fallbackHolders) Holds(string, cwholder.TargetCapacity) (int, bool) { return 0, true }
 
 // newFallbackSession returns a caller's session at an instance x that holds the group.
 // Another holder, y, is available to x as a fallback.
--- a/internal/proxy/cwengine/groups.go
+++ b/internal/proxy/cwengine/groups.go
@@ -21,7 +21,7 @@
 // not.
 type groupPlan struct {
 	contract cwcatalogue.Contract
-	demand   cwholder.Demand
+	demand   cwholder.TargetCapacity
 	// held is true if this instance holds the group, and rank is its position
 	// among the holders. Both follow from demand and are valid if placementKnown
 	// is true.
@@ -68,8 +68,8 @@
 
 // demandOf returns the load limits of the members of one group, out of groups in
 // total.
-func demandOf(c cwcatalogue.Contract, members []cwport.Listing, groups int) cwholder.Demand {
-	d := cwholder.Demand{Connections: c.Connections, Many: groups > cwholder.ManyGroups}
+func demandOf(c cwcatalogue.Contract, members []cwport.Listing, groups int) cwholder.TargetCapacity {
+	d := cwholder.TargetCapacity{Connections: c.Connections, ManyGroups: groups > cwholder.ManyGroupsThreshold}
 	for _, l := range members {
 		d.Slots = max(d.Slots, l.Slots)
 	}
@@ -80,7 +80,7 @@
 // if it does, or if there are few groups. It also passes the rank to the group and
 // prepares the connections to its holders. The caller holds mu.
 func (e *Engine) updateHolding(service string, p *groupPlan) {
-	few := !p.demand.Many
+	few := !p.demand.ManyGroups
 	e.updatePlacement(service, p)
 	if p.held || few {
 		e.startGroup(service, p)
@@ -102,7 +102,7 @@
 	switch {
 	case e.cfg.Holders == nil:
 		p.rank, p.held = 0, true
-	case p.demand.Many && p.demand.Slots == 0:
+	case p.demand.ManyGroups && p.demand.Slots == 0:
 		// The demand depends on the targets, which are not known yet, so the
 		// holders cannot be determined.
 		p.rank, p.held, p.placementKnown = -1, false, false
@@ -148,7 +148,7 @@
 // it, and over time would have started all of them.
 func (e *Engine) stopIdleGroups() {
 	for service, g := range e.groups {
-		if p := e.plans[service]; p != nil && p.demand.Many && !p.held && g.Idle(groupIdleTimeout) {
+		if p := e.plans[service]; p != nil && p.demand.ManyGroups && !p.held && g.Idle(groupIdleTimeout) {
 			e.stopGroup(service)
 		}
 	}
@@ -244,13 +244,13 @@
 
 // demand returns the load limits of a group's members; zero if the group is not
 // known.
-func (e *Engine) demand(group string) cwholder.Demand {
+func (e *Engine) demand(group string) cwholder.TargetCapacity {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
 	if p := e.plans[group]; p != nil {
 		return p.demand
 	}
-	return cwholder.Demand{}
+	return cwholder.TargetCapacity{}
 }
 
 // Place returns the rank of this instance among the holders of a group, counted from
--- a/internal/proxy/cwengine/groups_test.go
+++ b/internal/proxy/cwengine/groups_test.go
@@ -30,7 +30,7 @@
 	env := newTestEnv(t, cwcatalogue.ReadNewest)
 	front := env.engineWithHolders("front", &forwardingHolders{})
 	c := cwcatalogue.Catalogue{Revision: 2, Entries: []cwcatalogue.Entry{env.entry}}
-	for i := range 2 * cwholder.ManyGroups {
+	for i := range 2 * cwholder.ManyGroupsThreshold {
 		c.Entries = append(c.Entries, env.otherEntry(i))
 	}
 	front.SetCatalogue(c)
@@ -65,7 +65,7 @@
 	env.waitForPrimary(h.engine)
 	front := env.engineWithHolders("front", &forwardingHolders{list: []*testHolder{h}})
 	c := cwcatalogue.Catalogue{Revision: 2}
-	for i := range 2 * cwholder.ManyGroups {
+	for i := range 2 * cwholder.ManyGroupsThreshold {
 		c.Entries = append(c.Entries, env.otherEntry(i))
 	}
 	front.SetCatalogue(c)
@@ -87,7 +87,7 @@
 	h := &holdsAllGroups{}
 	front := env.engineWithHolders("front", h)
 	c := cwcatalogue.Catalogue{Revision: 2}
-	for i := range 2 * cwholder.ManyGroups {
+	for i := range 2 * cwholder.ManyGroupsThreshold {
 		c.Entries = append(c.Entries, env.otherEntry(i))
 	}
 	front.SetCatalogue(c)
@@ -103,7 +103,7 @@
 // holdsAllGroups makes its instance hold every group.
 type holdsAllGroups struct{ forwardingHolders }
 
-func (*holdsAllGroups) Holds(string, cwholder.Demand) (int, bool) { return 0, true }
+func (*holdsAllGroups) Holds(string, cwholder.TargetCapacity) (int, bool) { return 0, true }
 
 // countingHolders counts the calls of Holds.
 type countingHolders struct {
@@ -111,7 +111,7 @@
 	calls int
 }
 
-func (h *countingHolders) Holds(string, cwholder.Demand) (int, bool) {
+func (h *countingHolders) Holds(string, cwholder.TargetCapacity) (int, bool) {
 	h.calls++
 	return -1, false
 }
@@ -154,7 +154,7 @@
 	env := newTestEnv(t, cwcatalogue.ReadNewest)
 	front := env.engineWithHolders("front", &forwardingHolders{})
 	c := cwcatalogue.Catalogue{Revision: 2, Entries: []cwcatalogue.Entry{env.entry}}
-	for i := range cwholder.ManyGroups {
+	for i := range cwholder.ManyGroupsThreshold {
 		c.Entries = append(c.Entries, env.otherEntry(i))
 	}
 	front.SetCatalogue(c)
--- a/internal/proxy/cwengine/handover_test.go
+++ b/internal/proxy/cwengine/handover_test.go
@@ -19,7 +19,7 @@
 // first engine in list that was not tried. It implements cwport.Holders.
 type forwardingHolders struct{ list []*testHolder }
 
-func (h *forwardingHolders) Holder(_ string, _ cwholder.Demand, tried []string) (cwport.Holder, bool) {
+func (h *forwardingHolders) Holder(_ string, _ cwholder.TargetCapacity, tried []string) (cwport.Holder, bool) {
 	for _, to := range h.list {
 		if !slices.Contains(tried, to.Name()) {
 			return to, true
@@ -28,9 +28,9 @@
 	return nil, false
 }
 
-func (h *forwardingHolders) Connect(string, cwholder.Demand) {}
+func (h *forwardingHolders) Connect(string, cwholder.TargetCapacity) {}
 
-func (h *forwardingHolders) Holds(string, cwholder.Demand) (int, bool) { return -1, false }
+func (h *forwardingHolders) Holds(string, cwholder.TargetCapacity) (int, bool) { return -1, false }
 
 // testHolder is an engine behind a connection that can lose answers.
 type testHolder struct {
--- a/internal/proxy/cwinstance/fleet_test.go
+++ b/internal/proxy/cwinstance/fleet_test.go
@@ -206,7 +206,7 @@
 	for _, n := range []int{60, 240} {
 		t.Run(fmt.Sprintf("%d instances", n), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := newFleet(n, 2*cwholder.ManyGroups)
+				f := newFleet(n, 2*cwholder.ManyGroupsThreshold)
 				took := measure(f)
 				held := 0
 				all := make([]cwholder.Instance, 0, n)
@@ -214,7 +214,7 @@
 					all = append(all, cwholder.Instance{ID: instanceName(i), DataCentre: centreName(i)})
 				}
 				for g := range f.groups {
-					for _, h := range cwholder.Holders(groupName(g), all, cwholder.Demand{Connections: 278, Slots: 3, Many: true}) {
+					for _, h := range cwholder.Holders(groupName(g), all, cwholder.TargetCapacity{Connections: 278, Slots: 3, ManyGroups: true}) {
 						if h.ID == instanceName(0) {
 							held++
 						}
@@ -234,7 +234,7 @@
 				took := measure(newFleet(size.instances, size.groups))
 				t.Logf("%.1f MB live, %.0f kB of garbage a second, %d goroutines, %d groups made",
 					took.heap/1e6, took.garbage/1e3, took.goroutines, took.groups)
-				if size.groups > cwholder.ManyGroups {
+				if size.groups > cwholder.ManyGroupsThreshold {
 					perGroup := took.garbage / float64(max(1, took.groups))
 					qt.Assert(t, perGroup < garbageOfAGroup, qt.IsTrue, qt.Commentf("%.0f bytes a second for each group that is held", perGroup))
 				}
--- a/internal/proxy/cwpeers/choose.go
+++ b/internal/proxy/cwpeers/choose.go
@@ -15,7 +15,7 @@
 
 // Holder implements cwport.Holders. With many groups it waits up to maxConnectWait for
 // a connection.
-func (p *Peers) Holder(group string, d cwholder.Demand, tried []string) (cwport.Holder, bool) {
+func (p *Peers) Holder(group string, d cwholder.TargetCapacity, tried []string) (cwport.Holder, bool) {
 	end := p.Clock.Now().Add(maxConnectWait)
 	for {
 		c := p.choose(group, d, tried)
@@ -41,7 +41,7 @@
 
 // choose chooses the holder that runs a statement. A list of tried instances that
 // contains this one means that it cannot run the statement itself.
-func (p *Peers) choose(group string, d cwholder.Demand, tried []string) choice {
+func (p *Peers) choose(group string, d cwholder.TargetCapacity, tried []string) choice {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.Clock.Now()
@@ -52,7 +52,7 @@
 	if n := slices.Index(route, p.Self); n >= 0 {
 		route = route[:n]
 	}
-	if d.Many {
+	if d.ManyGroups {
 		return p.chooseOnDemand(route, tried, now)
 	}
 	for _, i := range route {
@@ -85,14 +85,14 @@
 // to connect one if necessary. The caller holds mu.
 func (p *Peers) chooseOnDemand(route []cwholder.Instance, tried []string, now time.Time) choice {
 	var untried []*link
-	var states []cwholder.LinkState
+	var states []cwholder.ConnectionState
 	for _, i := range route {
 		if !slices.Contains(tried, i.ID) {
 			l := p.link(i)
 			untried, states = append(untried, l), append(states, l.state(now))
 		}
 	}
-	c := cwholder.Choose(states)
+	c := cwholder.ChooseHolder(states)
 	if c.Use != 0 && len(untried) > 0 {
 		// Reconnect to the preferred holder while others run its statements.
 		untried[0].ensureConnected(now)
@@ -109,7 +109,7 @@
 	if p.anyDialEnded == nil {
 		p.anyDialEnded = make(chan struct{})
 	}
-	return choice{dialEnded: p.anyDialEnded, nextHolderAfter: c.Spare}
+	return choice{dialEnded: p.anyDialEnded, nextHolderAfter: c.HedgeAfter}
 }
 
 // awaitDial waits until it is time to choose again, and returns false if end has
--- a/internal/proxy/cwpeers/feeder.go
+++ b/internal/proxy/cwpeers/feeder.go
@@ -47,7 +47,7 @@
 // connected are left out until they can, and the next in order takes their place.
 func (p *Peers) parent(now time.Time) (cwholder.Instance, bool) {
 	var names []string
-	for _, name := range p.placement.Centre(p.Self.DataCentre) {
+	for _, name := range p.placement.InstanceIDs(p.Self.DataCentre) {
 		if l := p.links[name]; l != nil && l.unreachable() {
 			l.ensureUsable(now)
 			continue
--- a/internal/proxy/cwpeers/link.go
+++ b/internal/proxy/cwpeers/link.go
@@ -113,11 +113,11 @@
 }
 
 // state returns the state of the connection, without opening one.
-func (l *link) state(now time.Time) cwholder.LinkState {
+func (l *link) state(now time.Time) cwholder.ConnectionState {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	avoided := now.Before(l.avoidUntil)
-	out := cwholder.LinkState{Ready: l.conn != nil && !avoided, Failed: avoided || l.conn == nil && l.dialBackoff > 0, Connecting: -1}
+	out := cwholder.ConnectionState{Ready: l.conn != nil && !avoided, Failed: avoided || l.conn == nil && l.dialBackoff > 0, Connecting: -1}
 	if l.dialing {
 		out.Connecting = now.Sub(l.dialSince)
 	}
--- a/internal/proxy/cwpeers/ondemand_test.go
+++ b/internal/proxy/cwpeers/ondemand_test.go
@@ -20,7 +20,7 @@
 )
 
 // manyGroupsDemand is the demand of a group in a deployment with many groups.
-var manyGroupsDemand = cwholder.Demand{Connections: 278, Slots: 3, Many: true}
+var manyGroupsDemand = cwholder.TargetCapacity{Connections: 278, Slots: 3, ManyGroups: true}
 
 // manyGroupsTest has the Peers of an instance that does not hold group "g", one of 24 in
 // four data centres, on virtual time.
@@ -95,7 +95,7 @@
 			w.net.withLock(func() { w.net.refused[w.holders[0].ID] = true })
 			h, took := w.chooseHolder()
 			w.Assert(h.Name(), qt.Equals, w.holders[1].ID)
-			w.Assert(took < cwholder.SpareAfter, qt.IsTrue)
+			w.Assert(took < cwholder.HedgeDelay, qt.IsTrue)
 		})
 	})
 	t.Run("the first does not answer", func(t *testing.T) {
--- a/internal/proxy/cwpeers/peers.go
+++ b/internal/proxy/cwpeers/peers.go
@@ -5,7 +5,7 @@
 // address on which it serves other instances. Peers follows these rows, writes its
 // own, and keeps a connection to each holder that it uses.
 //
-// With few groups (see cwholder.ManyGroups) holders are connected in advance and a
+// With few groups (see cwholder.ManyGroupsThreshold) holders are connected in advance and a
 // statement never waits for a connection: while a holder is being connected in the
 // background, the next holder or this instance itself runs the statement. With many
 // groups a holder is connected when the first statement for it arrives, and that
@@ -143,7 +143,7 @@
 // instance runs its first statements itself because no holder is connected yet.
 // The targets' few connections are then used up by instances that stop needing them
 // a moment later.
-func (p *Peers) Connect(group string, d cwholder.Demand) {
+func (p *Peers) Connect(group string, d cwholder.TargetCapacity) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.Clock.Now()
@@ -161,22 +161,22 @@
 // Holds implements cwport.Holders. Until all rows were read the instance counts as a
 // holder of each group if there are few groups, and of none if there are many; its
 // place is then -1.
-func (p *Peers) Holds(group string, d cwholder.Demand) (int, bool) {
+func (p *Peers) Holds(group string, d cwholder.TargetCapacity) (int, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.allRowsRead {
-		return -1, !d.Many
+		return -1, !d.ManyGroups
 	}
-	return p.placement.Place(group, d)
+	return p.placement.Rank(group, d)
 }
 
 // route returns the holders of a group in the order in which statements are offered
 // to them; nil until all rows were read. The caller holds mu.
-func (p *Peers) route(group string, d cwholder.Demand) []cwholder.Instance {
+func (p *Peers) route(group string, d cwholder.TargetCapacity) []cwholder.Instance {
 	if !p.allRowsRead {
 		return nil
 	}
-	return p.placement.Route(group, d)
+	return p.placement.ForwardingOrder(group, d)
 }
 
 // link returns the link to an instance and creates it if necessary. The caller holds
--- a/internal/proxy/cwpeers/peers_test.go
+++ b/internal/proxy/cwpeers/peers_test.go
@@ -131,7 +131,7 @@
 }
 
 // scarceDemand is that of a group with connections for few holders.
-var scarceDemand = cwholder.Demand{Connections: 4, Slots: 2}
+var scarceDemand = cwholder.TargetCapacity{Connections: 4, Slots: 2}
 
 func instance(name, centre string) cwholder.Instance {
 	return cwholder.Instance{ID: name, DataCentre: centre, Address: "10.0.0.1:1"}
@@ -371,7 +371,7 @@
 // run.
 func TestHelpFromOthers(t *testing.T) {
 	c, p, n, clock := startNonHolder(t)
-	plenty := cwholder.Demand{Connections: 100, Slots: 2}
+	plenty := cwholder.TargetCapacity{Connections: 100, Slots: 2}
 	_, ok := p.Holder("g", plenty, nil)
 	c.Assert(ok, qt.IsFalse)
 	help := func() (cwport.Holder, bool) { return p.Holder("g", plenty, []string{p.Self.ID}) }
--- a/internal/proxy/cwpeers/quota.go
+++ b/internal/proxy/cwpeers/quota.go
@@ -52,7 +52,7 @@
 		return list
 	}
 	key := quotaHashPrefix + workspace
-	list := cwholder.Order(p.Self, key, p.placement.Holders(key, cwholder.Demand{}))
+	list := cwholder.ForwardingOrder(p.Self, key, p.placement.Holders(key, cwholder.TargetCapacity{}))
 	if p.issuers == nil {
 		p.issuers = make(map[string][]cwholder.Instance)
 	}
--- a/internal/proxy/cwpeers/start.go
+++ b/internal/proxy/cwpeers/start.go
@@ -97,7 +97,7 @@
 		p.setInstance(i)
 	}
 	p.centreRowsRead = true
-	p.Log.Info("placed", "dataCentre", p.Self.DataCentre, "instances", len(p.placement.Centre(p.Self.DataCentre)))
+	p.Log.Info("placed", "dataCentre", p.Self.DataCentre, "instances", len(p.placement.InstanceIDs(p.Self.DataCentre)))
 }
 
 func (p *Peers) hasPlacement() bool {
--- a/internal/proxy/cwport/handover.go
+++ b/internal/proxy/cwport/handover.go
@@ -64,12 +64,12 @@
 type Holders interface {
 	// Holder returns who runs a group's statements, except those tried; false
 	// if this instance does.
-	Holder(group string, d cwholder.Demand, tried []string) (Holder, bool)
+	Holder(group string, d cwholder.TargetCapacity, tried []string) (Holder, bool)
 	// Connect gets ready to hand over a group's statements.
-	Connect(group string, d cwholder.Demand)
+	Connect(group string, d cwholder.TargetCapacity)
 	// Holds reports whether this instance holds the group, and its place among
 	// the holders.
-	Holds(group string, d cwholder.Demand) (place int, ok bool)
+	Holds(group string, d cwholder.TargetCapacity) (place int, ok bool)
 }
 
 // LostError reports a statement that was handed over and got no answer. It may
