--- a/internal/core/cwfeed/chain_test.go
+++ b/internal/core/cwfeed/chain_test.go
@@ -15,7 +15,7 @@
 // change, for example the removal of a key. It comes about if queries and
 // responses are delayed, or instances are suspended, anywhere in the chain. The
 // time of confirmation must never be later than what the instance really knows.
-func TestConfirmationIsNeverYoungerThanTheTruth(t *testing.T) {
+func TestConfirmedTimeNeverExceedsKnowledge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		later := func(what string) {
@@ -31,7 +31,7 @@
 			if i == 0 {
 				queryStore(t, &chain[0], sent, arrived, now)
 			} else if from := chain[i-1]; !from.knownUntil.IsZero() {
-				a := FeederAnswer{Sent: sent, Held: now.Sub(arrived), Age: now.Sub(from.confirmed)}
+				a := FeederResponse{Sent: sent, Held: now.Sub(arrived), Age: now.Sub(from.confirmed)}
 				later("answer")
 				chain[i].apply(a.Confirmed(), from.knownUntil)
 			}
@@ -50,12 +50,12 @@
 // that is earlier, with all changes up to then.
 func queryStore(t *rapid.T, root *chainNode, sent, arrived, answered time.Time) {
 	wait := time.Duration(rapid.Int64Range(0, 3000).Draw(t, "wait")) * time.Millisecond
-	a := StoreAnswer{Sent: sent, Wait: wait, News: true}
+	a := StoreResponse{Sent: sent, Wait: wait, HasChanges: true}
 	if answered.Sub(arrived) >= wait {
 		// There were no changes until the end of the wait.
-		answered, a.News = arrived.Add(wait), false
+		answered, a.HasChanges = arrived.Add(wait), false
 	}
-	a.Answered = answered.Add(time.Duration(rapid.Int64Range(0, 3000).Draw(t, "answer")) * time.Millisecond)
+	a.Received = answered.Add(time.Duration(rapid.Int64Range(0, 3000).Draw(t, "answer")) * time.Millisecond)
 	root.apply(a.Confirmed(), answered)
 }
 
--- a/internal/core/cwfeed/feed_test.go
+++ b/internal/core/cwfeed/feed_test.go
@@ -20,7 +20,7 @@
 
 // treeDepth returns the number of instances between self and the store, self not
 // included.
-func treeDepth(t *testing.T, tree Tree, self string, all []string) int {
+func treeDepth(t *testing.T, tree DistributionTree, self string, all []string) int {
 	t.Helper()
 	for n := range len(all) {
 		parent, ok := tree.Parent(self, all)
@@ -42,12 +42,12 @@
 			children := make(map[string]int)
 			roots, depth := 0, 0
 			for _, self := range all {
-				parent, ok := Tree{}.Parent(self, all)
+				parent, ok := DistributionTree{}.Parent(self, all)
 				if !ok {
 					roots++
 				}
 				children[parent]++
-				depth = max(depth, treeDepth(t, Tree{}, self, all))
+				depth = max(depth, treeDepth(t, DistributionTree{}, self, all))
 			}
 			delete(children, "")
 			qt.Assert(t, roots, qt.Equals, tc.roots)
@@ -67,14 +67,14 @@
 	var below []string
 	lost := ""
 	for _, self := range all {
-		if parent, ok := (Tree{}).Parent(self, all); ok && (lost == "" || parent == lost) {
+		if parent, ok := (DistributionTree{}).Parent(self, all); ok && (lost == "" || parent == lost) {
 			lost, below = parent, append(below, self)
 		}
 	}
 	rest := slices.DeleteFunc(slices.Clone(all), func(n string) bool { return n == lost })
 	roots := 0
 	for _, self := range below {
-		if _, ok := (Tree{}).Parent(self, rest); !ok {
+		if _, ok := (DistributionTree{}).Parent(self, rest); !ok {
 			roots++
 		}
 	}
@@ -82,7 +82,7 @@
 	qt.Assert(t, roots, qt.Equals, 1)
 }
 
-func TestConfirmed(t *testing.T) {
+func TestConfirmedTime(t *testing.T) {
 	sent := time.Unix(1000, 0)
 	at := func(ms int) time.Time { return sent.Add(time.Duration(ms) * time.Millisecond) }
 	const wait = time.Second
@@ -91,12 +91,12 @@
 		confirmed time.Time
 		want      time.Time
 	}{
-		{"response with changes", StoreAnswer{Sent: sent, Answered: at(900), Wait: wait, News: true}.Confirmed(), sent},
-		{"response without changes at the end of the wait", StoreAnswer{Sent: sent, Answered: at(1010), Wait: wait}.Confirmed(), at(1000)},
-		{"delayed response", StoreAnswer{Sent: sent, Answered: at(9000), Wait: wait}.Confirmed(), at(1000)},
-		{"store that ends the wait early", StoreAnswer{Sent: sent, Answered: at(400), Wait: wait}.Confirmed(), sent},
-		{"age of a feeder counts from its response", FeederAnswer{Sent: sent, Held: at(700).Sub(sent), Age: at(200).Sub(sent)}.Confirmed(), at(500)},
-		{"feeder with old data", FeederAnswer{Sent: sent, Age: time.Minute}.Confirmed(), sent.Add(-time.Minute)},
+		{"response with changes", StoreResponse{Sent: sent, Received: at(900), Wait: wait, HasChanges: true}.Confirmed(), sent},
+		{"response without changes at the end of the wait", StoreResponse{Sent: sent, Received: at(1010), Wait: wait}.Confirmed(), at(1000)},
+		{"delayed response", StoreResponse{Sent: sent, Received: at(9000), Wait: wait}.Confirmed(), at(1000)},
+		{"store that ends the wait early", StoreResponse{Sent: sent, Received: at(400), Wait: wait}.Confirmed(), sent},
+		{"age of a feeder counts from its response", FeederResponse{Sent: sent, Held: at(700).Sub(sent), Age: at(200).Sub(sent)}.Confirmed(), at(500)},
+		{"feeder with old data", FeederResponse{Sent: sent, Age: time.Minute}.Confirmed(), sent.Add(-time.Minute)},
 	} {
 		t.Run(tc.name, func(t *testing.T) { qt.Assert(t, tc.confirmed, qt.Equals, tc.want) })
 	}
@@ -106,13 +106,13 @@
 // comes about if an instance receives changes from several feeders, each of
 // which knows a different part of the history. In the end the instance must have
 // the rows of the store.
-func TestHistoryTellsEverything(t *testing.T) {
+func TestChangeLogConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var store History[Entry[int]]
+		var store ChangeLog[Entry[int]]
 		store.Replace(1, nil)
-		feeders := make([]History[Entry[int]], 3)
+		feeders := make([]ChangeLog[Entry[int]], 3)
 		seen := make([]Version, len(feeders))
-		var reader History[Entry[int]]
+		var reader ChangeLog[Entry[int]]
 		version := Version(1)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 2).Draw(t, "step") {
@@ -123,7 +123,7 @@
 					Removed: rapid.Bool().Draw(t, "removed"),
 				}
 				e.Row = int(version)
-				store.Add(version, []Entry[Entry[int]]{wrapEntry(e)})
+				store.Apply(version, []Entry[Entry[int]]{wrapEntry(e)})
 			case 1:
 				i := rapid.IntRange(0, len(feeders)-1).Draw(t, "feeder")
 				fresh := rapid.Bool().Draw(t, "snapshot")
@@ -138,8 +138,8 @@
 		}
 		v, _ := reader.Version()
 		update(&store, &reader, &v, false)
-		rows, _ := reader.Since(0)
-		want, _ := store.Since(0)
+		rows, _ := reader.ChangesSince(0)
+		want, _ := store.ChangesSince(0)
 		if got, want := presentRows(rows), presentRows(want); !slices.Equal(got, want) {
 			t.Fatalf("got %v, want %v", got, want)
 		}
@@ -154,13 +154,13 @@
 
 // update applies the changes of from to the history to, which knows them up to
 // after. If snapshot is true, it replaces all rows.
-func update(from, to *History[Entry[int]], after *Version, snapshot bool) {
+func update(from, to *ChangeLog[Entry[int]], after *Version, snapshot bool) {
 	ask := *after
 	if snapshot {
 		ask = 0
 	}
 	version, _ := from.Version()
-	rows, whole := from.Since(ask)
+	rows, whole := from.ChangesSince(ask)
 	if snapshot {
 		// A snapshot has no tombstones.
 		rows = slices.DeleteFunc(rows, func(e Entry[int]) bool { return e.Removed })
@@ -173,7 +173,7 @@
 	if _, known := to.Version(); whole || !known {
 		to.Replace(version, entries)
 	} else {
-		to.Add(version, entries)
+		to.Apply(version, entries)
 	}
 	*after = max(*after, version)
 }
@@ -191,12 +191,12 @@
 }
 
 func TestTombstonesAreBounded(t *testing.T) {
-	var h History[int]
+	var h ChangeLog[int]
 	h.Replace(1, nil)
 	for v := Version(2); v < 10*maxTombstones; v++ {
-		h.Add(v, []Entry[int]{{Key: fmt.Sprint(v), Version: v, Removed: true}})
+		h.Apply(v, []Entry[int]{{Key: fmt.Sprint(v), Version: v, Removed: true}})
 	}
 	qt.Assert(t, len(h.entries) <= maxTombstones, qt.IsTrue)
-	_, whole := h.Since(2)
+	_, whole := h.ChangesSince(2)
 	qt.Assert(t, whole, qt.IsTrue, qt.Commentf("changes before the compaction cannot be listed"))
 }
--- a/internal/core/cwfeed/history.go
+++ b/internal/core/cwfeed/history.go
@@ -20,11 +20,11 @@
 	Row     R
 }
 
-// History holds the rows of one topic and returns the changes since a version.
+// ChangeLog holds the rows of one topic and returns the changes since a version.
 // It keeps only the latest state of each row and a bounded number of tombstones,
 // so its size depends on the number of rows and not on the number of changes.
-// The zero History is empty and knows no version.
-type History[R any] struct {
+// The zero ChangeLog is empty and knows no version.
+type ChangeLog[R any] struct {
 	entries map[string]Entry[R]
 	// version is the version up to which all changes are known. compacted is the
 	// version up to which changes can no longer be listed one by one. It never
@@ -40,11 +40,11 @@
 
 // Version returns the version up to which all changes are known. The second
 // result is false if no version is known.
-func (h *History[R]) Version() (Version, bool) { return h.version, h.known }
+func (h *ChangeLog[R]) Version() (Version, bool) { return h.version, h.known }
 
 // Replace sets all rows as of a version. It is ignored if the version is lower
 // than the known one.
-func (h *History[R]) Replace(version Version, rows []Entry[R]) {
+func (h *ChangeLog[R]) Replace(version Version, rows []Entry[R]) {
 	if h.known && version < h.version {
 		return
 	}
@@ -57,10 +57,10 @@
 	h.version, h.compacted, h.known, h.tombstones = version, version, true, 0
 }
 
-// Add applies the changes up to a version. It is ignored before the first
+// Apply applies the changes up to a version. It is ignored before the first
 // Replace. A change that is not newer than the known state of its row is
 // skipped.
-func (h *History[R]) Add(version Version, rows []Entry[R]) {
+func (h *ChangeLog[R]) Apply(version Version, rows []Entry[R]) {
 	if !h.known {
 		return
 	}
@@ -79,7 +79,7 @@
 
 // countTombstones updates the number of tombstones for an entry that was
 // (before) or is (after) one.
-func (h *History[R]) countTombstones(before, after bool) {
+func (h *ChangeLog[R]) countTombstones(before, after bool) {
 	if before {
 		h.tombstones--
 	}
@@ -91,7 +91,7 @@
 // compact discards the oldest tombstones, down to half of maxTombstones, once
 // there are more than maxTombstones. A reader that asks for changes since an
 // earlier version then gets all rows.
-func (h *History[R]) compact() {
+func (h *ChangeLog[R]) compact() {
 	if h.tombstones <= maxTombstones {
 		return
 	}
@@ -109,14 +109,16 @@
 	}
 }
 
-// HasSince reports whether there are changes after a version, or whether they
+// HasChangesSince reports whether there are changes after a version, or whether they
 // can no longer be listed.
-func (h *History[R]) HasSince(after Version) bool { return after < h.lastChange || after < h.compacted }
+func (h *ChangeLog[R]) HasChangesSince(after Version) bool {
+	return after < h.lastChange || after < h.compacted
+}
 
-// Since returns the rows that changed after a version, removed ones included, in
+// ChangesSince returns the rows that changed after a version, removed ones included, in
 // the order of their versions. If the changes can no longer be listed, it returns
 // all present rows instead, and whole is true.
-func (h *History[R]) Since(after Version) (rows []R, whole bool) {
+func (h *ChangeLog[R]) ChangesSince(after Version) (rows []R, whole bool) {
 	whole = after < h.compacted
 	var changed []Entry[R]
 	for _, e := range h.entries {
--- a/internal/core/cwfeed/restore_test.go
+++ b/internal/core/cwfeed/restore_test.go
@@ -10,7 +10,7 @@
 // restorableStore simulates a store that can be restored from backups.
 type restorableStore struct {
 	era, number uint64
-	history     History[Entry[int]]
+	history     ChangeLog[Entry[int]]
 	backups     []storeBackup
 }
 
@@ -28,7 +28,7 @@
 
 // version returns the version of a number in the current era.
 func (s *restorableStore) version(t *rapid.T, number uint64) Version {
-	v, err := At(s.era, number)
+	v, err := NewVersion(s.era, number)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,12 +39,12 @@
 func (s *restorableStore) put(t *rapid.T, key string, row int, removed bool) {
 	s.number++
 	v := s.version(t, s.number)
-	s.history.Add(v, []Entry[Entry[int]]{wrapEntry(Entry[int]{Key: key, Version: v, Removed: removed, Row: row})})
+	s.history.Apply(v, []Entry[Entry[int]]{wrapEntry(Entry[int]{Key: key, Version: v, Removed: removed, Row: row})})
 }
 
 // backup adds a backup of the current rows.
 func (s *restorableStore) backup() {
-	rows, _ := s.history.Since(0)
+	rows, _ := s.history.ChangesSince(0)
 	rows = slices.DeleteFunc(rows, func(e Entry[int]) bool { return e.Removed })
 	s.backups = append(s.backups, storeBackup{number: s.number, rows: rows})
 }
@@ -58,18 +58,18 @@
 		r.Version = s.version(t, r.Version.Number())
 		entries = append(entries, wrapEntry(r))
 	}
-	s.history = History[Entry[int]]{}
+	s.history = ChangeLog[Entry[int]]{}
 	s.history.Replace(s.version(t, s.number), entries)
 }
 
 // Guards against a reader that ends up with a mixture of rows from before and
 // after a restore of the store.
-func TestHistoryTellsEverythingAcrossRestores(t *testing.T) {
+func TestChangeLogConvergesAcrossRestores(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := newRestorableStore(t)
-		feeders := make([]History[Entry[int]], 3)
+		feeders := make([]ChangeLog[Entry[int]], 3)
 		seen := make([]Version, len(feeders))
-		var reader History[Entry[int]]
+		var reader ChangeLog[Entry[int]]
 		for row := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0:
@@ -94,8 +94,8 @@
 		}
 		v, _ := reader.Version()
 		update(&store.history, &reader, &v, false)
-		rows, _ := reader.Since(0)
-		want, _ := store.history.Since(0)
+		rows, _ := reader.ChangesSince(0)
+		want, _ := store.history.ChangesSince(0)
 		if got, want := presentRows(rows), presentRows(want); !slices.Equal(got, want) {
 			t.Fatalf("got %v, want %v", got, want)
 		}
--- a/internal/core/cwfeed/staleness.go
+++ b/internal/core/cwfeed/staleness.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Ages holds the staleness bound of an instance's data of one topic.
-type Ages struct {
-	// Stale is the age of the store's last confirmation from which on an instance
+// Staleness holds the staleness bound of an instance's data of one topic.
+type Staleness struct {
+	// MaxAge is the age of the store's last confirmation from which on an instance
 	// queries the store itself.
-	Stale time.Duration
+	MaxAge time.Duration
 }
 
 // Waits of queries, in percent of Stale.
@@ -21,24 +21,24 @@
 	feederWaitPercent = 50
 )
 
-// AskWait returns how long the store may hold a root's query.
-func (a Ages) AskWait() time.Duration { return a.Stale * storeWaitPercent / 100 }
+// StoreWait returns how long the store may hold a root's query.
+func (a Staleness) StoreWait() time.Duration { return a.MaxAge * storeWaitPercent / 100 }
 
-// FollowWait returns how long a feeder may hold a query.
-func (a Ages) FollowWait() time.Duration { return a.Stale * feederWaitPercent / 100 }
+// FeederWait returns how long a feeder may hold a query.
+func (a Staleness) FeederWait() time.Duration { return a.MaxAge * feederWaitPercent / 100 }
 
 // IsStale reports whether data that was last confirmed at confirmed is too old,
 // so that the instance must query the store.
-func (a Ages) IsStale(confirmed, now time.Time) bool { return now.Sub(confirmed) >= a.Stale }
+func (a Staleness) IsStale(confirmed, now time.Time) bool { return now.Sub(confirmed) >= a.MaxAge }
 
-// StoreAnswer holds the times of a query to the store and of its response, by
+// StoreResponse holds the times of a query to the store and of its response, by
 // the clock of the instance that sent the query.
-type StoreAnswer struct {
-	Sent, Answered time.Time
+type StoreResponse struct {
+	Sent, Received time.Time
 	// Wait is how long the store was allowed to hold the query.
 	Wait time.Duration
-	// News is true if the response contains changes.
-	News bool
+	// HasChanges is true if the response contains changes.
+	HasChanges bool
 }
 
 // Confirmed returns a time at which the response was certainly complete: it
@@ -48,20 +48,20 @@
 // nothing about the age of its contents. The time at which the query was sent
 // is a safe bound. A response without changes was sent at the end of the wait,
 // unless it arrived before that.
-func (a StoreAnswer) Confirmed() time.Time {
-	if a.News {
+func (a StoreResponse) Confirmed() time.Time {
+	if a.HasChanges {
 		return a.Sent
 	}
 	end := a.Sent.Add(a.Wait)
-	if a.Answered.Before(end) {
+	if a.Received.Before(end) {
 		return a.Sent
 	}
 	return end
 }
 
-// FeederAnswer holds the time at which a query to a feeder was sent, and the
+// FeederResponse holds the time at which a query to a feeder was sent, and the
 // durations that the feeder's response states.
-type FeederAnswer struct {
+type FeederResponse struct {
 	Sent time.Time
 	// Held is how long the feeder held the query. Age is how long before its
 	// response the store had confirmed its data.
@@ -74,4 +74,4 @@
 // The network can delay the response, and the feeder can be suspended between
 // creating and sending it. Only the time at which the query was sent is by this
 // instance's own clock. The feeder responded no earlier than Held after that.
-func (a FeederAnswer) Confirmed() time.Time { return a.Sent.Add(a.Held - a.Age) }
+func (a FeederResponse) Confirmed() time.Time { return a.Sent.Add(a.Held - a.Age) }
--- a/internal/core/cwfeed/tree.go
+++ b/internal/core/cwfeed/tree.go
@@ -32,28 +32,28 @@
 	// sixteen children every one or two seconds takes about 0.1% of a core, and
 	// 425 instances of a data centre are reached in two steps.
 	DefaultFanout = 16
-	// DefaultLeast is the number of instances in a data centre below which all of
+	// DefaultMinInstances is the number of instances in a data centre below which all of
 	// them query the store. A root queries the store two to three times as often
 	// as an instance does for itself alone, so two roots save nothing with fewer
 	// than six instances.
-	DefaultLeast = 8
+	DefaultMinInstances = 8
 )
 
-// Tree arranges the instances of a data centre in distribution trees. The zero
-// Tree uses the default parameters.
-type Tree struct {
-	// Roots, Fanout and Least replace DefaultRoots, DefaultFanout and
-	// DefaultLeast if they are not zero.
-	Roots, Fanout, Least int
+// DistributionTree arranges the instances of a data centre in distribution trees. The zero
+// DistributionTree uses the default parameters.
+type DistributionTree struct {
+	// Roots, Fanout and MinInstances replace DefaultRoots, DefaultFanout and
+	// DefaultMinInstances if they are not zero.
+	Roots, Fanout, MinInstances int
 }
 
 // Parent returns the feeder of self. The second result is false if self queries
 // the store. instances are those of one data centre, self included, without
 // those that self knows to be unreachable: the next instance in the rendezvous
 // order replaces a lost root.
-func (t Tree) Parent(self string, instances []string) (string, bool) {
+func (t DistributionTree) Parent(self string, instances []string) (string, bool) {
 	roots, fanout := orDefault(t.Roots, DefaultRoots), orDefault(t.Fanout, DefaultFanout)
-	if len(instances) < orDefault(t.Least, DefaultLeast) {
+	if len(instances) < orDefault(t.MinInstances, DefaultMinInstances) {
 		return "", false
 	}
 	rank := cwplace.Rank(self, treeKey, instances)
--- a/internal/core/cwfeed/version.go
+++ b/internal/core/cwfeed/version.go
@@ -35,9 +35,9 @@
 	return "version out of range: era " + strconv.FormatUint(e.Era, 10) + ", number " + strconv.FormatUint(e.Number, 10)
 }
 
-// At returns the version of the change with the given number in an era. It
+// NewVersion returns the version of the change with the given number in an era. It
 // returns a *RangeError if either is too large.
-func At(era, number uint64) (Version, error) {
+func NewVersion(era, number uint64) (Version, error) {
 	if era > maxEra || number > maxNumber {
 		return 0, &RangeError{Era: era, Number: number}
 	}
--- a/internal/core/cwfeed/version_test.go
+++ b/internal/core/cwfeed/version_test.go
@@ -14,11 +14,11 @@
 		era := rapid.Uint64Range(0, maxEra-1).Draw(t, "era")
 		before := rapid.Uint64Range(0, maxNumber).Draw(t, "before")
 		after := rapid.Uint64Range(0, maxNumber).Draw(t, "after")
-		old, err := At(era, before)
+		old, err := NewVersion(era, before)
 		if err != nil || old.Era() != era || old.Number() != before {
 			t.Fatalf("%v is not %d.%d (%v)", old, era, before, err)
 		}
-		if next, err := At(era+1, after); err != nil || next <= old {
+		if next, err := NewVersion(era+1, after); err != nil || next <= old {
 			t.Fatalf("%v does not come after %v (%v)", next, old, err)
 		}
 	})
@@ -30,11 +30,11 @@
 		era, number uint64
 	}{{"era", maxEra + 1, 0}, {"number", 0, maxNumber + 1}, {"both", math.MaxUint64, math.MaxUint64}} {
 		t.Run(tc.name, func(t *testing.T) {
-			_, err := At(tc.era, tc.number)
+			_, err := NewVersion(tc.era, tc.number)
 			qt.Assert(t, err, qt.ErrorAs, new(*RangeError))
 		})
 	}
-	v, err := At(2, 27)
+	v, err := NewVersion(2, 27)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, v.String(), qt.Equals, "2.27")
 }
--- a/internal/proxy/cwdirectory/ask.go
+++ b/internal/proxy/cwdirectory/ask.go
@@ -128,7 +128,7 @@
 	if d.endPoll(t, after) && err != nil {
 		err = &cwport.HistoryError{After: after}
 	}
-	answer := cwfeed.StoreAnswer{Sent: sent, Answered: d.Clock.Now(), Wait: wait, News: b.Changed()}
+	answer := cwfeed.StoreResponse{Sent: sent, Received: d.Clock.Now(), Wait: wait, HasChanges: b.Changed()}
 	return b, answer.Confirmed(), err
 }
 
@@ -159,10 +159,10 @@
 	case t == cwport.Targets && len(d.missingSince) > 0:
 		// An answer after MinGoneAfter is needed to decide whether the entry is back.
 		return min(configured, MinGoneAfter)
-	case d.Clock.Since(d.lastAskedAt) < 2*d.Stale.ages(cwport.Desired).FollowWait():
+	case d.Clock.Since(d.lastAskedAt) < 2*d.Stale.ages(cwport.Desired).FeederWait():
 		// Other instances follow this one. The store's next confirmation must reach them
 		// before their data is stale.
-		return min(configured, d.Stale.ages(t).AskWait())
+		return min(configured, d.Stale.ages(t).StoreWait())
 	}
 	return configured
 }
--- a/internal/proxy/cwdirectory/directory.go
+++ b/internal/proxy/cwdirectory/directory.go
@@ -202,7 +202,7 @@
 	// known. It never decreases.
 	confirmed time.Time
 	// history holds the rows and changes for other instances.
-	history cwfeed.History[cwport.Row]
+	history cwfeed.ChangeLog[cwport.Row]
 }
 
 // rowID identifies a row of a topic.
@@ -312,7 +312,7 @@
 		s.loaded = true
 		s.history.Replace(b.Version, entries)
 	} else {
-		s.history.Add(b.Version, entries)
+		s.history.Apply(b.Version, entries)
 	}
 	s.version = max(s.version, b.Version)
 	if confirmed.After(s.confirmed) {
--- a/internal/proxy/cwdirectory/fleet_test.go
+++ b/internal/proxy/cwdirectory/fleet_test.go
@@ -35,7 +35,7 @@
 type fakeStore struct {
 	mu      sync.Mutex
 	version cwfeed.Version
-	history [cwport.TopicCount]cwfeed.History[cwport.Row]
+	history [cwport.TopicCount]cwfeed.ChangeLog[cwport.Row]
 	changed chan struct{}
 	// calls counts all requests, snapshots those for snapshots.
 	calls, snapshots int
@@ -56,7 +56,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.version++
-	s.history[t].Add(s.version, (&Directory{Clock: clockwork.NewRealClock()}).historyEntries([]cwport.Row{{Key: key, Version: s.version, Removed: removed}}))
+	s.history[t].Apply(s.version, (&Directory{Clock: clockwork.NewRealClock()}).historyEntries([]cwport.Row{{Key: key, Version: s.version, Removed: removed}}))
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -65,11 +65,11 @@
 func (s *fakeStore) restore(c *qt.C) {
 	c.Helper()
 	s.mu.Lock()
-	version, err := cwfeed.At(s.version.Era()+1, 1)
+	version, err := cwfeed.NewVersion(s.version.Era()+1, 1)
 	c.Assert(err, qt.IsNil)
 	s.version = version
 	for i := range s.history {
-		s.history[i] = cwfeed.History[cwport.Row]{}
+		s.history[i] = cwfeed.ChangeLog[cwport.Row]{}
 		s.history[i].Replace(version, nil)
 	}
 	s.mu.Unlock()
@@ -106,7 +106,7 @@
 	end := time.After(wait)
 	for {
 		s.mu.Lock()
-		changed, news, unavailable := s.changed, s.history[t].HasSince(after), s.unavailable(s.name)
+		changed, news, unavailable := s.changed, s.history[t].HasChangesSince(after), s.unavailable(s.name)
 		s.mu.Unlock()
 		if news || unavailable {
 			return s.answer(ctx, t, after, false)
@@ -139,7 +139,7 @@
 	if !whole && s.version.Era() > after.Era() {
 		return cwport.Batch{}, &cwport.HistoryError{After: after}
 	}
-	rows, _ := s.history[t].Since(after)
+	rows, _ := s.history[t].ChangesSince(after)
 	return decoder{}.Decode(t, s.version, rows), nil
 }
 
@@ -195,7 +195,7 @@
 	if m.frozen[m.name] {
 		return nil, false
 	}
-	parent, ok := cwfeed.Tree{}.Parent(m.name, running)
+	parent, ok := cwfeed.DistributionTree{}.Parent(m.name, running)
 	if !ok {
 		return nil, true
 	}
--- a/internal/proxy/cwdirectory/follow.go
+++ b/internal/proxy/cwdirectory/follow.go
@@ -42,8 +42,8 @@
 // age counts from the store's last confirmation.
 type Stale struct{ Desired, Targets time.Duration }
 
-func (s Stale) ages(t cwport.Topic) cwfeed.Ages {
-	return cwfeed.Ages{Stale: [cwport.TopicCount]time.Duration{cwport.Desired: s.Desired, cwport.Targets: s.Targets, cwport.Own: ownStaleAfter}[t]}
+func (s Stale) ages(t cwport.Topic) cwfeed.Staleness {
+	return cwfeed.Staleness{MaxAge: [cwport.TopicCount]time.Duration{cwport.Desired: s.Desired, cwport.Targets: s.Targets, cwport.Own: ownStaleAfter}[t]}
 }
 
 // newsSource is where an instance receives changes from.
@@ -135,7 +135,7 @@
 	changed, missing := false, false
 	for _, t := range applyOrder {
 		topicNews := n.Topics[t]
-		answer := cwfeed.FeederAnswer{Sent: sent, Held: n.Held, Age: topicNews.Age}
+		answer := cwfeed.FeederResponse{Sent: sent, Held: n.Held, Age: topicNews.Age}
 		if !d.isLoaded(t) && !d.acceptsFirst(t, n, answer) {
 			missing = true
 			continue
@@ -163,7 +163,7 @@
 //
 // This bounds the load on the store when hundreds of instances start at once, which would
 // otherwise each read the whole list of targets and all own rows from it, some megabytes.
-func (d *Directory) acceptsFirst(t cwport.Topic, n cwport.News, a cwfeed.FeederAnswer) bool {
+func (d *Directory) acceptsFirst(t cwport.Topic, n cwport.News, a cwfeed.FeederResponse) bool {
 	if t == cwport.Targets && !d.isLoaded(cwport.Own) {
 		return false
 	}
@@ -195,7 +195,7 @@
 	defer d.mu.Unlock()
 	q := cwport.NewsQuestion{}
 	if d.source == fromFeeder {
-		q.Wait = d.Stale.ages(cwport.Desired).FollowWait()
+		q.Wait = d.Stale.ages(cwport.Desired).FeederWait()
 	}
 	for _, t := range cwport.Topics {
 		q.After[t] = d.topics[t].version
@@ -234,7 +234,7 @@
 func (d *Directory) untilPollDue(t cwport.Topic) (time.Duration, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	stale := d.Stale.ages(t).Stale
+	stale := d.Stale.ages(t).MaxAge
 	s := &d.topics[t]
 	switch {
 	case d.source == fromStore || !s.loaded && !s.feederUnsettledAt.IsZero():
--- a/internal/proxy/cwdirectory/restore_test.go
+++ b/internal/proxy/cwdirectory/restore_test.go
@@ -66,7 +66,7 @@
 	if !s.restored.Load() {
 		return 40
 	}
-	v, err := cwfeed.At(1, 3)
+	v, err := cwfeed.NewVersion(1, 3)
 	if err != nil {
 		panic(err)
 	}
--- a/internal/proxy/cwdirectory/start_test.go
+++ b/internal/proxy/cwdirectory/start_test.go
@@ -39,7 +39,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	c.Assert(d.missingSince["a"].IsZero(), qt.IsFalse)
-	rows, _ := d.topics[cwport.Targets].history.Since(0)
+	rows, _ := d.topics[cwport.Targets].history.ChangesSince(0)
 	c.Assert(rows, qt.HasLen, 0, qt.Commentf("b was removed by version 9, and is not passed on"))
 }
 
@@ -262,20 +262,20 @@
 	}
 	for _, tc := range []struct {
 		name   string
-		change func(d *Directory, n *cwport.News, a *cwfeed.FeederAnswer)
+		change func(d *Directory, n *cwport.News, a *cwfeed.FeederResponse)
 		want   bool
 	}{
-		{"a recent and complete answer", func(*Directory, *cwport.News, *cwfeed.FeederAnswer) {}, true},
-		{"the feeder uses targets without entries", func(_ *Directory, n *cwport.News, _ *cwfeed.FeederAnswer) { n.TargetsUnsettled = true }, false},
-		{"own rows with the members of groups are not loaded", func(d *Directory, _ *cwport.News, _ *cwfeed.FeederAnswer) { d.topics[cwport.Own].loaded = false }, false},
-		{"changes alone", func(_ *Directory, n *cwport.News, _ *cwfeed.FeederAnswer) { n.Topics[cwport.Targets].Whole = false }, false},
-		{"a stale answer", func(_ *Directory, _ *cwport.News, a *cwfeed.FeederAnswer) { a.Age = fleetStale.Targets }, false},
+		{"a recent and complete answer", func(*Directory, *cwport.News, *cwfeed.FeederResponse) {}, true},
+		{"the feeder uses targets without entries", func(_ *Directory, n *cwport.News, _ *cwfeed.FeederResponse) { n.TargetsUnsettled = true }, false},
+		{"own rows with the members of groups are not loaded", func(d *Directory, _ *cwport.News, _ *cwfeed.FeederResponse) { d.topics[cwport.Own].loaded = false }, false},
+		{"changes alone", func(_ *Directory, n *cwport.News, _ *cwfeed.FeederResponse) { n.Topics[cwport.Targets].Whole = false }, false},
+		{"a stale answer", func(_ *Directory, _ *cwport.News, a *cwfeed.FeederResponse) { a.Age = fleetStale.Targets }, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			d := &Directory{Clock: clockwork.NewRealClock(), Stale: fleetStale}
 			d.initState()
 			d.topics[cwport.Own].loaded = true
-			n, a := whole(), cwfeed.FeederAnswer{Sent: time.Now()}
+			n, a := whole(), cwfeed.FeederResponse{Sent: time.Now()}
 			tc.change(d, &n, &a)
 			qt.Assert(t, d.acceptsFirst(cwport.Targets, n, a), qt.Equals, tc.want)
 		})
--- a/internal/proxy/cwdirectory/tell.go
+++ b/internal/proxy/cwdirectory/tell.go
@@ -70,7 +70,7 @@
 	defer d.mu.Unlock()
 	news = d.topics[cwport.Desired].confirmed.After(lastConfirmed)
 	for i := range d.topics {
-		news = news || d.topics[i].history.HasSince(q.After[i])
+		news = news || d.topics[i].history.HasChangesSince(q.After[i])
 	}
 	if !news {
 		return n, false, d.newsAvailable
@@ -79,7 +79,7 @@
 	n.TargetsAway, n.TargetsUnsettled = d.unavailable, !d.listComplete(now)
 	for i := range d.topics {
 		s := &d.topics[i]
-		rows, whole := s.history.Since(q.After[i])
+		rows, whole := s.history.ChangesSince(q.After[i])
 		version, _ := s.history.Version()
 		n.Topics[i] = cwport.TopicNews{Version: version, Whole: whole, Rows: rows, Age: now.Sub(s.confirmed)}
 	}
--- a/internal/proxy/cwpeers/feeder_test.go
+++ b/internal/proxy/cwpeers/feeder_test.go
@@ -27,7 +27,7 @@
 	}
 	var self cwholder.Instance
 	for _, name := range names {
-		if _, ok := (cwfeed.Tree{}).Parent(name, names); ok {
+		if _, ok := (cwfeed.DistributionTree{}).Parent(name, names); ok {
 			self = instance(name, "z")
 		}
 	}
--- a/internal/proxy/cwpeers/peers.go
+++ b/internal/proxy/cwpeers/peers.go
@@ -72,7 +72,7 @@
 	Log   *log.Logger
 	// Tree decides from which instance each instance of a data centre receives the
 	// changes of the store.
-	Tree cwfeed.Tree
+	Tree cwfeed.DistributionTree
 	// Changed is called after the holders of groups may have changed; it may be nil.
 	Changed func()
 	// FirstStart is true if the deployment starts for the first time, so that no
