--- a/internal/core/cwquota/quota.go
+++ b/internal/core/cwquota/quota.go
@@ -22,8 +22,8 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwcatalogue"
 )
 
-// Shape holds the parameters of one shard's token bucket.
-type Shape struct {
+// BucketParams holds the parameters of one shard's token bucket.
+type BucketParams struct {
 	// Rate is the number of tokens that are added per second. Depth is the
 	// greatest number of tokens that accumulate.
 	Rate, Depth float64
@@ -39,12 +39,12 @@
 // partition, and tokens in shards that no caller uses are lost.
 const replacementSlackShare = 0.25
 
-// ShapeOf returns the bucket parameters of each shard of a quota. Even if every
+// BucketParamsFor returns the bucket parameters of each shard of a quota. Even if every
 // issuer is replaced once per window of the rule, all shards together issue at
 // most what the rule allows.
-func ShapeOf(q cwcatalogue.Quota, r cwcatalogue.QuotaRule, shards int) Shape {
+func BucketParamsFor(q cwcatalogue.Quota, r cwcatalogue.QuotaRule, shards int) BucketParams {
 	n := float64(max(1, shards))
-	return Shape{
+	return BucketParams{
 		Rate:    (1 + r.Overage) * q.Rate / n,
 		Depth:   ((1+r.Overage)*q.Burst + (1-replacementSlackShare)*r.Slack) / n,
 		Initial: replacementSlackShare * r.Slack / n,
@@ -54,7 +54,7 @@
 // Shard is the token bucket of one shard at its issuer. It is created by
 // NewShard and is not safe for concurrent use.
 type Shard struct {
-	params Shape
+	params BucketParams
 	// level is the number of tokens at updatedAt; 0 <= level <= params.Depth.
 	level     float64
 	updatedAt time.Time
@@ -63,7 +63,7 @@
 // NewShard returns the shard of an issuer that has issued no tokens since the
 // given time. first is true if the shard had no issuer before; the bucket is then
 // full.
-func NewShard(s Shape, since time.Time, first bool) *Shard {
+func NewShard(s BucketParams, since time.Time, first bool) *Shard {
 	level := s.Initial
 	if first {
 		level = s.Depth
@@ -71,9 +71,9 @@
 	return &Shard{params: s, level: min(level, s.Depth), updatedAt: since}
 }
 
-// Reshape changes the parameters of the bucket after a change of the quota.
+// SetParams changes the parameters of the bucket after a change of the quota.
 // Tokens above the new depth are lost.
-func (s *Shard) Reshape(params Shape, now time.Time) {
+func (s *Shard) SetParams(params BucketParams, now time.Time) {
 	if s.params == params {
 		return
 	}
--- a/internal/core/cwquota/quota_test.go
+++ b/internal/core/cwquota/quota_test.go
@@ -37,14 +37,14 @@
 // seconds. It comes about if the workspace sends many times its usual load while
 // its issuers are killed and restarted, each at most once per window, and callers
 // take tokens from any shard that they reach.
-func TestSumOfShardsKeepsTheQuota(t *testing.T) {
+func TestShardsStayWithinQuota(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := cwcatalogue.Quota{
 			Rate:  rapid.Float64Range(0, 300).Draw(t, "rate"),
 			Burst: rapid.Float64Range(0, 300).Draw(t, "burst"),
 		}
 		shards := rapid.IntRange(1, 12).Draw(t, "shards")
-		shape := ShapeOf(q, rule, shards)
+		shape := BucketParamsFor(q, rule, shards)
 		now := start
 		issuers := make([]*Shard, shards)
 		replaced := make([]time.Time, shards)
@@ -72,7 +72,7 @@
 
 func TestShard(t *testing.T) {
 	q := cwcatalogue.Quota{Rate: 10, Burst: 10}
-	shape := ShapeOf(q, rule, 1)
+	shape := BucketParamsFor(q, rule, 1)
 	drain := func(s *Shard, now time.Time) int {
 		for n := 0; ; n++ {
 			if ok, _ := s.Take(now); !ok {
@@ -100,12 +100,12 @@
 	t.Run("lower quota discards accumulated tokens", func(t *testing.T) {
 		s := NewShard(shape, start, true)
 		lower := cwcatalogue.Quota{Rate: 1, Burst: 1}
-		s.Reshape(ShapeOf(lower, rule, 1), start)
+		s.SetParams(BucketParamsFor(lower, rule, 1), start)
 		n := drain(s, start) + drain(s, start.Add(rule.Window))
 		qt.Assert(t, float64(n) <= allowed(lower), qt.IsTrue, qt.Commentf("%d", n))
 	})
 	t.Run("quota with a rate of zero", func(t *testing.T) {
-		s := NewShard(ShapeOf(cwcatalogue.Quota{Burst: 1}, cwcatalogue.QuotaRule{Window: time.Second}, 1), start, true)
+		s := NewShard(BucketParamsFor(cwcatalogue.Quota{Burst: 1}, cwcatalogue.QuotaRule{Window: time.Second}, 1), start, true)
 		qt.Assert(t, drain(s, start), qt.Equals, 1)
 		_, wait := s.Take(start.Add(time.Hour))
 		qt.Assert(t, wait, qt.Equals, zeroRateWait)
--- a/internal/proxy/cwmeter/meter.go
+++ b/internal/proxy/cwmeter/meter.go
@@ -169,7 +169,7 @@
 	if !ok {
 		return cwport.Verdict{Unknown: true, RetryAfter: unknownRetry}
 	}
-	shape := cwquota.ShapeOf(q, m.Rule, max(1, m.DataCentres)*cwholder.MinPerDataCentre)
+	shape := cwquota.BucketParamsFor(q, m.Rule, max(1, m.DataCentres)*cwholder.MinPerDataCentre)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.Clock.Now()
@@ -181,7 +181,7 @@
 		}
 		m.shards[workspace] = s
 	}
-	s.Reshape(shape, now)
+	s.SetParams(shape, now)
 	allowed, wait := s.Take(now)
 	return cwport.Verdict{Allowed: allowed, RetryAfter: wait}
 }
