--- a/internal/core/cwholder/placement.go
+++ b/internal/core/cwholder/placement.go
@@ -115,7 +115,7 @@
 			delete(p.ranks, group)
 			continue
 		}
-		if !cwplace.Before(i.ID, p.Self.ID, group) {
+		if !cwplace.Precedes(i.ID, p.Self.ID, group) {
 			continue
 		}
 		known.preceding += by
@@ -145,7 +145,7 @@
 func (p *Placement) holdersIn(centre, group string, d TargetCapacity) int {
 	rank := 0
 	for other := range p.idsByCentre {
-		if other != centre && cwplace.Before(other, centre, group) {
+		if other != centre && cwplace.Precedes(other, centre, group) {
 			rank++
 		}
 	}
--- a/internal/core/cwplace/place.go
+++ b/internal/core/cwplace/place.go
@@ -53,8 +53,8 @@
 	return out
 }
 
-// Before reports whether node precedes other in the order of the key.
-func Before(node, other, key string) bool {
+// Precedes reports whether node precedes other in the order of the key.
+func Precedes(node, other, key string) bool {
 	return precedes(weight(node, key), node, weight(other, key), other)
 }
 
--- a/internal/core/cwplace/place_test.go
+++ b/internal/core/cwplace/place_test.go
@@ -49,7 +49,7 @@
 		for n := range len(nodes) + 2 {
 			qt.Assert(t, First(fmt.Sprint(key), nodes, n), qt.DeepEquals, order[:min(n, len(order))])
 		}
-		qt.Assert(t, Before(order[0], order[1], fmt.Sprint(key)), qt.IsTrue)
-		qt.Assert(t, Before(order[1], order[0], fmt.Sprint(key)), qt.IsFalse)
+		qt.Assert(t, Precedes(order[0], order[1], fmt.Sprint(key)), qt.IsTrue)
+		qt.Assert(t, Precedes(order[1], order[0], fmt.Sprint(key)), qt.IsFalse)
 	}
 }
