--- a/internal/core/cwsession/session.go
+++ b/internal/core/cwsession/session.go
@@ -40,12 +40,12 @@
 
 // The reasons for which a token is rejected.
 const (
-	FaultTooLong   TokenFault = "longer than the bound"
-	FaultMalformed TokenFault = "malformed"
-	FaultChecksum  TokenFault = "damaged"
-	FaultGroups    TokenFault = "names too many groups"
-	FaultForeign   TokenFault = "belongs to another service"
-	FaultFuture    TokenFault = "is ahead of everything the group has written"
+	FaultTooLong      TokenFault = "longer than the bound"
+	FaultMalformed    TokenFault = "malformed"
+	FaultChecksum     TokenFault = "damaged"
+	FaultGroups       TokenFault = "names too many groups"
+	FaultOtherService TokenFault = "belongs to another service"
+	FaultAheadOfGroup TokenFault = "is ahead of everything the group has written"
 )
 
 // TokenError reports a rejected token.
@@ -83,10 +83,10 @@
 	return Token{marks: marks}
 }
 
-// Only returns a token with the marks of the listed groups only. If the token is
-// not empty and has none of these groups, it belongs to another service, and Only
-// returns a *TokenError with FaultForeign.
-func (t Token) Only(groups []string) (Token, error) {
+// ForGroups returns a token with the marks of the listed groups only. If the token is
+// not empty and has none of these groups, it belongs to another service, and ForGroups
+// returns a *TokenError with FaultOtherService.
+func (t Token) ForGroups(groups []string) (Token, error) {
 	out := Token{}
 	for _, g := range groups {
 		if m, ok := t.marks[g]; ok {
@@ -94,7 +94,7 @@
 		}
 	}
 	if out.Empty() && !t.Empty() {
-		return Token{}, &TokenError{Fault: FaultForeign}
+		return Token{}, &TokenError{Fault: FaultOtherService}
 	}
 	return out, nil
 }
@@ -189,13 +189,13 @@
 	return Floor{Mark: m, Known: ok}
 }
 
-// CheckTip compares a floor with tip, the mark at which the primary's log ended
+// CheckPrimary compares a floor with tip, the mark at which the primary's log ended
 // when it was asked after the token arrived. A floor beyond tip cannot come from
 // this group. It is rejected with a *TokenError instead of waited for, because no
 // member would ever reach it.
-func (f Floor) CheckTip(tip cwgroup.Mark) error {
+func (f Floor) CheckPrimary(tip cwgroup.Mark) error {
 	if f.Known && !tip.AtLeast(f.Mark) {
-		return &TokenError{Fault: FaultFuture}
+		return &TokenError{Fault: FaultAheadOfGroup}
 	}
 	return nil
 }
--- a/internal/core/cwsession/session_test.go
+++ b/internal/core/cwsession/session_test.go
@@ -52,16 +52,16 @@
 	}
 	tok, err := ParseToken(good)
 	qt.Assert(t, err, qt.IsNil)
-	_, err = tok.Only([]string{"other"})
-	assertFault(t, err, FaultForeign)
+	_, err = tok.ForGroups([]string{"other"})
+	assertFault(t, err, FaultOtherService)
 }
 
 func TestFloorBeyondPrimary(t *testing.T) {
 	f := FloorOf(Token{}.WithMark("g", newMark(2, 5)), "g")
-	qt.Assert(t, f.CheckTip(newMark(2, 5)), qt.IsNil)
-	qt.Assert(t, f.CheckTip(newMark(3, 1)), qt.IsNil)
-	assertFault(t, f.CheckTip(newMark(2, 4)), FaultFuture)
-	qt.Assert(t, FloorOf(Token{}, "g").CheckTip(newMark(1, 1)), qt.IsNil)
+	qt.Assert(t, f.CheckPrimary(newMark(2, 5)), qt.IsNil)
+	qt.Assert(t, f.CheckPrimary(newMark(3, 1)), qt.IsNil)
+	assertFault(t, f.CheckPrimary(newMark(2, 4)), FaultAheadOfGroup)
+	qt.Assert(t, FloorOf(Token{}, "g").CheckPrimary(newMark(1, 1)), qt.IsNil)
 }
 
 func FuzzParseToken(f *testing.F) {
--- a/internal/proxy/cwfront/run.go
+++ b/internal/proxy/cwfront/run.go
@@ -301,7 +301,7 @@
 			// bounds the wait.
 			return nil
 		}
-		if err := f.CheckTip(tip); err != nil {
+		if err := f.CheckPrimary(tip); err != nil {
 			return badSetting(tokenParameter, "", err.Error())
 		}
 	}
--- a/internal/proxy/cwfront/session.go
+++ b/internal/proxy/cwfront/session.go
@@ -103,7 +103,7 @@
 func (s *session) takeToken(text string) error {
 	t, err := cwsession.ParseToken(text)
 	if err == nil {
-		t, err = t.Only(s.entry.GroupNames())
+		t, err = t.ForGroups(s.entry.GroupNames())
 	}
 	if err != nil {
 		return badSetting(tokenParameter, "", "a token of this service; "+err.Error())
