--- a/cicadawalk.go
+++ b/cicadawalk.go
@@ -113,11 +113,11 @@
 	// Supervisor decides when a primary is replaced.
 	Supervisor = cwfailover.Supervisor
 	// Conditions are what a supervisor needs to know of the world.
-	Conditions = cwfailover.Conditions
+	Conditions = cwfailover.TickInputs
 	// Order is something to be sent for a supervisor.
-	Order = cwfailover.Order
+	Order = cwfailover.Command
 	// Event is the answer to an order.
-	Event = cwfailover.Event
+	Event = cwfailover.Response
 	// Vote is what one watcher says about a primary.
 	Vote = cwfailover.Vote
 	// Result is how a change of primary ended.
--- a/example_test.go
+++ b/example_test.go
@@ -22,9 +22,9 @@
 		}
 	}
 	sup := cicadawalk.NewSupervisor("proxy-1", "seed", "g", members)
-	sup.Report(report("a", cicadawalk.Primary, 7), "", now)
-	sup.Report(report("b", cicadawalk.Replica, 7), "a", now)
-	sup.Report(report("c", cicadawalk.Replica, 5), "a", now)
+	sup.AddReport(report("a", cicadawalk.Primary, 7), "", now)
+	sup.AddReport(report("b", cicadawalk.Replica, 7), "a", now)
+	sup.AddReport(report("c", cicadawalk.Replica, 5), "a", now)
 
 	wrote := cicadawalk.Mark{Term: 1, Position: 7}
 	var tracker cicadawalk.Tracker
@@ -40,11 +40,11 @@
 	fmt.Println("read at:", d.Member)
 
 	now = now.Add(time.Second)
-	sup.Unreachable("a", now)
+	sup.SetUnreachable("a", now)
 	now = now.Add(100 * time.Millisecond)
-	sup.Report(report("b", cicadawalk.Replica, 7), "a", now)
-	sup.Report(report("c", cicadawalk.Replica, 5), "a", now)
-	for _, o := range sup.Tick(now, cicadawalk.Conditions{Listed: 1, ChecksTerm: true}) {
+	sup.AddReport(report("b", cicadawalk.Replica, 7), "a", now)
+	sup.AddReport(report("c", cicadawalk.Replica, 5), "a", now)
+	for _, o := range sup.Tick(now, cicadawalk.Conditions{ListedProxies: 1, MembersCheckTerm: true}) {
 		fmt.Println("order:", o.Kind, "for term", o.Term)
 	}
 	// Output:
--- a/internal/core/cwfailover/attempt.go
+++ b/internal/core/cwfailover/attempt.go
@@ -9,19 +9,19 @@
 
 // Timing of one change of primary.
 const (
-	// ClaimLife is how long an attempt may act on its claim, by the monotonic clock
+	// ClaimTTL is how long an attempt may act on its claim, by the monotonic clock
 	// of the proxy that made it, and how long other proxies must not replace the
 	// claim, by their own clocks.
-	ClaimLife = 2 * time.Second
-	// TablePatience is how long an attempt waits for the table to confirm its claim
+	ClaimTTL = 2 * time.Second
+	// TableTimeout is how long an attempt waits for the table to confirm its claim
 	// before it continues without, if the group's configuration allows that.
-	TablePatience = 300 * time.Millisecond
-	// FencePatience is how long an attempt waits for more members after a majority
+	TableTimeout = 300 * time.Millisecond
+	// FenceGracePeriod is how long an attempt waits for more members after a majority
 	// has adopted the term, in case a more advanced one is about to answer.
-	FencePatience = 50 * time.Millisecond
-	// RecheckLife is how long after reading the claim back a command may be sent to
+	FenceGracePeriod = 50 * time.Millisecond
+	// ReadBackTTL is how long after reading the claim back a command may be sent to
 	// a member that does not check terms.
-	RecheckLife = 200 * time.Millisecond
+	ReadBackTTL = 200 * time.Millisecond
 )
 
 // Phase is the progress of an attempt.
@@ -29,19 +29,19 @@
 
 // The phases of an attempt, in order. Done and Abandoned are final.
 const (
-	// Claiming waits for the table to confirm the claim.
-	Claiming Phase = iota
-	// Fencing waits for a majority of the members to adopt the term.
-	Fencing
-	// Promoting waits for the selected member to become the primary.
-	Promoting
-	// Settling waits for the other members to follow the new primary and for the
+	// PhaseClaiming waits for the table to confirm the claim.
+	PhaseClaiming Phase = iota
+	// PhaseFencing waits for a majority of the members to adopt the term.
+	PhaseFencing
+	// PhasePromoting waits for the selected member to become the primary.
+	PhasePromoting
+	// PhaseFinishing waits for the other members to follow the new primary and for the
 	// table to record it.
-	Settling
-	// Done means that the group has a new primary.
-	Done
-	// Abandoned means that the attempt was given up for its Reason.
-	Abandoned
+	PhaseFinishing
+	// PhaseDone means that the group has a new primary.
+	PhaseDone
+	// PhaseAbandoned means that the attempt was given up for its Reason.
+	PhaseAbandoned
 )
 
 // String returns the phase's name in logs.
@@ -54,27 +54,27 @@
 
 // The reasons for abandoning an attempt.
 const (
-	ReasonNone       Reason = ""
-	ReasonClaimed    Reason = "another proxy holds the claim"
-	ReasonTable      Reason = "the table is away and this entry does not allow a change without it"
-	ReasonHigherTerm Reason = "a member has adopted a later term"
-	ReasonMajority   Reason = "no majority of the members answered"
-	ReasonExpired    Reason = "the claim ran out, perhaps while this proxy was paused"
-	ReasonPromote    Reason = "the member to be promoted did not answer"
-	ReasonRestarted  Reason = "a member has started again since it was fenced"
+	ReasonNone             Reason = ""
+	ReasonClaimConflict    Reason = "another proxy holds the claim"
+	ReasonTableUnavailable Reason = "the table is away and this entry does not allow a change without it"
+	ReasonHigherTerm       Reason = "a member has adopted a later term"
+	ReasonNoMajority       Reason = "no majority of the members answered"
+	ReasonClaimExpired     Reason = "the claim ran out, perhaps while this proxy was paused"
+	ReasonPromotionFailed  Reason = "the member to be promoted did not answer"
+	ReasonMemberRestarted  Reason = "a member has started again since it was fenced"
 )
 
 // NextTerm returns the term that the next change of primary would move to.
 func NextTerm(v cwgroup.View) cwgroup.Term { return v.Highest() + 1 }
 
-// Keeper carries out one attempt to change the primary, according to a Plan. Create
-// one with NewKeeper. It is not safe for concurrent use.
-type Keeper struct {
+// Attempt carries out one attempt to change the primary, according to a Plan. Create
+// one with NewAttempt. It is not safe for concurrent use.
+type Attempt struct {
 	plan   Plan
 	phase  Phase
 	reason Reason
 	// startedAt is when Start was called; nothing is sent after
-	// startedAt+ClaimLife.
+	// startedAt+ClaimTTL.
 	startedAt time.Time
 	// fenced holds the status of each member that adopted the term.
 	fenced map[cwgroup.MemberID]cwgroup.Status
@@ -90,20 +90,20 @@
 	claimConfirmed bool
 	// heldCommands holds commands to send once the claim has been read back or the
 	// replaced term has been recorded; announcePending is true for the latter.
-	heldCommands    []Order
+	heldCommands    []Command
 	announcePending bool
 	// deferredAdopts holds the Adopt commands that wait for the leaving primary's
 	// response.
-	deferredAdopts []Order
-	// recordAnswered is true once RecordRow was answered, with any outcome.
+	deferredAdopts []Command
+	// recordAnswered is true once RecordPrimary was answered, with any outcome.
 	recordAnswered bool
 	// pendingFollows is the number of Follow commands without a response.
 	pendingFollows int
 }
 
-// NewKeeper returns a Keeper that has not been started.
-func NewKeeper(p Plan) *Keeper {
-	return &Keeper{
+// NewAttempt returns a Keeper that has not been started.
+func NewAttempt(p Plan) *Attempt {
+	return &Attempt{
 		plan:        p,
 		fenced:      make(map[cwgroup.MemberID]cwgroup.Status),
 		fenceFailed: make(map[cwgroup.MemberID]bool),
@@ -111,38 +111,38 @@
 }
 
 // Phase returns the current phase.
-func (k *Keeper) Phase() Phase { return k.phase }
+func (k *Attempt) Phase() Phase { return k.phase }
 
 // Reason returns why the attempt was abandoned, or ReasonNone.
-func (k *Keeper) Reason() Reason { return k.reason }
+func (k *Attempt) Reason() Reason { return k.reason }
 
-// Primary returns the member selected as the new primary; it is empty before the
+// NewPrimary returns the member selected as the new primary; it is empty before the
 // selection.
-func (k *Keeper) Primary() cwgroup.MemberID { return k.newPrimary }
+func (k *Attempt) NewPrimary() cwgroup.MemberID { return k.newPrimary }
 
 // Plan returns the plan.
-func (k *Keeper) Plan() Plan { return k.plan }
+func (k *Attempt) Plan() Plan { return k.plan }
 
 // Ended reports whether the attempt is in a final phase.
-func (k *Keeper) Ended() bool { return k.phase == Done || k.phase == Abandoned }
+func (k *Attempt) Ended() bool { return k.phase == PhaseDone || k.phase == PhaseAbandoned }
 
 // Start begins the attempt and returns the command that writes the claim.
-func (k *Keeper) Start(now time.Time) []Order {
+func (k *Attempt) Start(now time.Time) []Command {
 	k.startedAt = now
-	return []Order{k.newCommand(ClaimRow, "")}
+	return []Command{k.newCommand(WriteClaim, "")}
 }
 
 // Tick ends waits that have timed out by now and returns the next commands.
-func (k *Keeper) Tick(now time.Time) []Order {
+func (k *Attempt) Tick(now time.Time) []Command {
 	if k.endIfExpired(now) {
 		return nil
 	}
 	switch k.phase {
-	case Claiming:
-		if now.Sub(k.startedAt) >= TablePatience && k.canProceedWithoutTable() {
+	case PhaseClaiming:
+		if now.Sub(k.startedAt) >= TableTimeout && k.canProceedWithoutTable() {
 			return k.startFencing()
 		}
-	case Fencing:
+	case PhaseFencing:
 		if k.fencingComplete(now) {
 			return k.startPromotion()
 		}
@@ -151,27 +151,27 @@
 }
 
 // Handle processes the response to a command and returns the next commands.
-func (k *Keeper) Handle(ev Event, now time.Time) []Order {
+func (k *Attempt) Handle(ev Response, now time.Time) []Command {
 	if k.endIfExpired(now) {
 		return nil
 	}
 	switch ev.Kind {
-	case ClaimRow:
-		return k.handleClaim(ev.Row)
-	case ReadRow:
+	case WriteClaim:
+		return k.handleClaim(ev.RowOutcome)
+	case ReadClaim:
 		if k.announcePending {
 			return nil
 		}
-		return k.handleReadBack(ev.Row, now)
-	case AnnounceRow:
-		return k.handleAnnounce(ev.Row, now)
-	case Adopt:
+		return k.handleReadBack(ev.RowOutcome, now)
+	case RecordReplacedTerm:
+		return k.handleAnnounce(ev.RowOutcome, now)
+	case AdoptTerm:
 		return k.handleAdopt(ev, now)
 	case Promote:
 		return k.handlePromote(ev)
 	case Follow:
 		return k.handleFollow()
-	case RecordRow:
+	case RecordPrimary:
 		k.recordAnswered = true
 		k.finishIfComplete()
 	}
@@ -186,37 +186,37 @@
 // a second change of primary or, with members that do not check terms, two
 // primaries. The monotonic clock advances during the pause, so the claim is found
 // expired before anything is sent.
-func (k *Keeper) endIfExpired(now time.Time) bool {
+func (k *Attempt) endIfExpired(now time.Time) bool {
 	if k.Ended() {
 		return true
 	}
-	if now.Sub(k.startedAt) < ClaimLife {
+	if now.Sub(k.startedAt) < ClaimTTL {
 		return false
 	}
-	if k.phase == Settling {
+	if k.phase == PhaseFinishing {
 		// The new primary has been promoted. The supervisor repairs members that do
 		// not follow it yet.
-		k.phase = Done
+		k.phase = PhaseDone
 		return true
 	}
-	k.abandon(ReasonExpired)
+	k.abandon(ReasonClaimExpired)
 	return true
 }
 
-func (k *Keeper) abandon(reason Reason) {
-	k.phase, k.reason = Abandoned, reason
+func (k *Attempt) abandon(reason Reason) {
+	k.phase, k.reason = PhaseAbandoned, reason
 }
 
-func (k *Keeper) newCommand(kind OrderKind, m cwgroup.MemberID) Order {
-	return Order{
-		Kind:     kind,
-		Member:   m,
-		Term:     k.plan.Term,
-		Claim:    k.plan.Claim,
-		Primary:  k.newPrimary,
-		Replaced: max(k.highestPriorTerm, k.plan.Replaces),
-		Members:  k.plan.Settled,
-		NotAfter: k.startedAt.Add(ClaimLife),
+func (k *Attempt) newCommand(kind CommandKind, m cwgroup.MemberID) Command {
+	return Command{
+		Kind:         kind,
+		Member:       m,
+		Term:         k.plan.Term,
+		Claim:        k.plan.Claim,
+		Primary:      k.newPrimary,
+		ReplacedTerm: max(k.highestPriorTerm, k.plan.ReplacedTerm),
+		GroupSize:    k.plan.StableSize,
+		NotAfter:     k.startedAt.Add(ClaimTTL),
 	}
 }
 
@@ -224,58 +224,58 @@
 // Each member adopts a term for one claim only, so two claims for the same term
 // cannot both get a majority. Terms and positions are counted by the group's
 // databases and do not depend on the table.
-func (k *Keeper) canProceedWithoutTable() bool {
-	return k.plan.ChecksTerm && k.plan.WithoutTable
+func (k *Attempt) canProceedWithoutTable() bool {
+	return k.plan.MembersCheckTerm && k.plan.WithoutTable
 }
 
-func (k *Keeper) handleClaim(o RowOutcome) []Order {
-	if k.phase != Claiming {
-		k.claimConfirmed = k.claimConfirmed || o == RowDone
+func (k *Attempt) handleClaim(o RowOutcome) []Command {
+	if k.phase != PhaseClaiming {
+		k.claimConfirmed = k.claimConfirmed || o == RowConfirmed
 		return nil
 	}
 	switch o {
-	case RowDone:
+	case RowConfirmed:
 		k.claimConfirmed = true
 		return k.startFencing()
 	case RowConflict:
-		k.abandon(ReasonClaimed)
+		k.abandon(ReasonClaimConflict)
 	case RowUnknown:
 		// The write may have taken effect, so it must not simply be repeated; read
 		// the row back instead.
-		return []Order{k.newCommand(ReadRow, "")}
+		return []Command{k.newCommand(ReadClaim, "")}
 	case RowUnavailable:
 		if k.canProceedWithoutTable() {
 			return k.startFencing()
 		}
-		k.abandon(ReasonTable)
+		k.abandon(ReasonTableUnavailable)
 	}
 	return nil
 }
 
-func (k *Keeper) handleReadBack(o RowOutcome, now time.Time) []Order {
+func (k *Attempt) handleReadBack(o RowOutcome, now time.Time) []Command {
 	if o == RowConflict {
-		k.abandon(ReasonClaimed)
+		k.abandon(ReasonClaimConflict)
 		return nil
 	}
-	if k.phase == Claiming {
-		if o == RowDone {
+	if k.phase == PhaseClaiming {
+		if o == RowConfirmed {
 			k.claimConfirmed = true
 			return k.startFencing()
 		}
 		if k.canProceedWithoutTable() {
 			return k.startFencing()
 		}
-		k.abandon(ReasonTable)
+		k.abandon(ReasonTableUnavailable)
 		return nil
 	}
-	if o != RowDone {
-		k.abandon(ReasonTable)
+	if o != RowConfirmed {
+		k.abandon(ReasonTableUnavailable)
 		return nil
 	}
 	out := k.heldCommands
 	k.heldCommands = nil
 	for i := range out {
-		if deadline := now.Add(RecheckLife); deadline.Before(out[i].NotAfter) {
+		if deadline := now.Add(ReadBackTTL); deadline.Before(out[i].NotAfter) {
 			out[i].NotAfter = deadline
 		}
 	}
@@ -293,22 +293,22 @@
 // trusts no primary of the recorded terms. The successful write also serves as the
 // last check that the claim is still valid. If the members check terms, neither the
 // record nor this check is needed.
-func (k *Keeper) announceReplacedTerm(commands []Order) []Order {
-	if k.plan.ChecksTerm {
+func (k *Attempt) announceReplacedTerm(commands []Command) []Command {
+	if k.plan.MembersCheckTerm {
 		return commands
 	}
 	k.heldCommands, k.announcePending = commands, true
-	return []Order{k.newCommand(AnnounceRow, "")}
+	return []Command{k.newCommand(RecordReplacedTerm, "")}
 }
 
-func (k *Keeper) handleAnnounce(o RowOutcome, now time.Time) []Order {
+func (k *Attempt) handleAnnounce(o RowOutcome, now time.Time) []Command {
 	if !k.announcePending {
 		return nil
 	}
 	if o == RowUnknown {
 		// Repeating this write is safe: the table accepts it only in the row that
 		// holds this claim.
-		return []Order{k.newCommand(AnnounceRow, "")}
+		return []Command{k.newCommand(RecordReplacedTerm, "")}
 	}
 	k.announcePending = false
 	return k.handleReadBack(o, now)
@@ -316,18 +316,18 @@
 
 // afterReadBack returns the commands unchanged if the members check terms.
 // Otherwise it holds them back and first reads the claim back; the commands must
-// then be sent within RecheckLife. A member that does not check terms would obey an
+// then be sent within ReadBackTTL. A member that does not check terms would obey an
 // attempt that has long been superseded.
-func (k *Keeper) afterReadBack(commands []Order) []Order {
-	if k.plan.ChecksTerm {
+func (k *Attempt) afterReadBack(commands []Command) []Command {
+	if k.plan.MembersCheckTerm {
 		return commands
 	}
 	k.heldCommands = append(k.heldCommands, commands...)
-	return []Order{k.newCommand(ReadRow, "")}
+	return []Command{k.newCommand(ReadClaim, "")}
 }
 
-func (k *Keeper) handlePromote(ev Event) []Order {
-	if k.phase != Promoting {
+func (k *Attempt) handlePromote(ev Response) []Command {
+	if k.phase != PhasePromoting {
 		return nil
 	}
 	if ev.Status.Adopted > k.plan.Term {
@@ -337,33 +337,33 @@
 	if ev.Failed {
 		// The member may have been promoted nevertheless. Abandoning is safe
 		// because the next term fences it.
-		k.abandon(ReasonPromote)
+		k.abandon(ReasonPromotionFailed)
 		return nil
 	}
-	k.phase = Settling
-	var commands []Order
+	k.phase = PhaseFinishing
+	var commands []Command
 	for _, m := range k.plan.Members {
 		if m != k.newPrimary {
 			commands = append(commands, k.newCommand(Follow, m))
 		}
 	}
 	k.pendingFollows = len(commands)
-	return append(k.afterReadBack(commands), k.newCommand(RecordRow, ""))
+	return append(k.afterReadBack(commands), k.newCommand(RecordPrimary, ""))
 }
 
-func (k *Keeper) handleFollow() []Order {
+func (k *Attempt) handleFollow() []Command {
 	k.pendingFollows--
 	k.finishIfComplete()
 	return nil
 }
 
-func (k *Keeper) finishIfComplete() {
-	if k.phase == Settling && k.pendingFollows <= 0 && k.recordAnswered {
-		k.phase = Done
+func (k *Attempt) finishIfComplete() {
+	if k.phase == PhaseFinishing && k.pendingFollows <= 0 && k.recordAnswered {
+		k.phase = PhaseDone
 	}
 }
 
 // String describes the attempt for logs.
-func (k *Keeper) String() string {
+func (k *Attempt) String() string {
 	return fmt.Sprintf("%s term %d %s", k.plan.Group, k.plan.Term, k.phase)
 }
--- a/internal/core/cwfailover/command.go
+++ b/internal/core/cwfailover/command.go
@@ -6,49 +6,49 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwgroup"
 )
 
-// OrderKind is the kind of a command.
-type OrderKind uint8
+// CommandKind is the kind of a command.
+type CommandKind uint8
 
 // The kinds of commands.
 const (
-	// ClaimRow writes this attempt's claim to the group's row in the table,
+	// WriteClaim writes this attempt's claim to the group's row in the table,
 	// provided the row has not changed since it was read.
-	ClaimRow OrderKind = iota
-	// ReadRow reads the row back, after the response to a write was lost or before
+	WriteClaim CommandKind = iota
+	// ReadClaim reads the row back, after the response to a write was lost or before
 	// a command to a member that does not check terms.
-	ReadRow
-	// AnnounceRow records, in the row that holds this claim, which terms are being
+	ReadClaim
+	// RecordReplacedTerm records, in the row that holds this claim, which terms are being
 	// replaced.
-	AnnounceRow
-	// Adopt asks a member to adopt the term for the claim and to return its status.
-	Adopt
+	RecordReplacedTerm
+	// AdoptTerm asks a member to adopt the term for the claim and to return its status.
+	AdoptTerm
 	// Promote makes a member the primary of the term.
 	Promote
 	// Follow makes a member replicate from the primary of the term.
 	Follow
-	// RecordRow records the new primary in the row and marks the change as done.
-	RecordRow
+	// RecordPrimary records the new primary in the row and marks the change as done.
+	RecordPrimary
 )
 
 // String returns the kind's name in logs.
-func (k OrderKind) String() string {
+func (k CommandKind) String() string {
 	return [...]string{"claimRow", "readRow", "announceRow", "adopt", "promote", "follow", "recordRow"}[k]
 }
 
-// Order is a command of a Keeper or Supervisor that the caller executes.
-type Order struct {
-	Kind   OrderKind
+// Command is a command of a Keeper or Supervisor that the caller executes.
+type Command struct {
+	Kind   CommandKind
 	Member cwgroup.MemberID
 	Term   cwgroup.Term
 	Claim  cwgroup.ClaimID
 	// Primary is the primary to replicate from for Follow and the one to record for
-	// RecordRow.
+	// RecordPrimary.
 	Primary cwgroup.MemberID
-	// Replaced is the newest replaced term, which AnnounceRow and RecordRow record.
-	Replaced cwgroup.Term
-	// Members is the number of members of the group, which the same two kinds
+	// ReplacedTerm is the newest replaced term, which RecordReplacedTerm and RecordPrimary record.
+	ReplacedTerm cwgroup.Term
+	// GroupSize is the number of members of the group, which the same two kinds
 	// record; zero if it is not known.
-	Members int
+	GroupSize int
 	// NotAfter is the latest time at which the command may be sent. The caller
 	// compares it with its monotonic clock immediately before sending, because the
 	// process may have been paused since the command was created.
@@ -60,8 +60,8 @@
 
 // The outcomes of a request to the table.
 const (
-	// RowDone means that the write took effect.
-	RowDone RowOutcome = iota
+	// RowConfirmed means that the write took effect.
+	RowConfirmed RowOutcome = iota
 	// RowConflict means that the row holds another claim.
 	RowConflict
 	// RowUnknown means that the response was lost: the write may have taken effect.
@@ -75,15 +75,15 @@
 	return [...]string{"done", "conflict", "unknown", "unavailable"}[o]
 }
 
-// Event is the response to a command.
-type Event struct {
+// Response is the response to a command.
+type Response struct {
 	// Kind, Member and Claim are those of the command.
-	Kind   OrderKind
+	Kind   CommandKind
 	Member cwgroup.MemberID
 	Claim  cwgroup.ClaimID
-	// Row is the outcome of a command to the table. For ReadRow, RowDone means that
+	// RowOutcome is the outcome of a command to the table. For ReadClaim, RowConfirmed means that
 	// the row holds this attempt's claim.
-	Row RowOutcome
+	RowOutcome RowOutcome
 	// Status is the member's status. Failed is true if the member did not answer or
 	// rejected the command.
 	Status cwgroup.Status
@@ -97,29 +97,29 @@
 	// Size is the number of members of the group. Members may list fewer, but never
 	// more.
 	Size int
-	// Settled is the number of members of the group without those that are being
+	// StableSize is the number of members of the group without those that are being
 	// exchanged; zero if it is not known.
-	Settled int
+	StableSize int
 	// Term is the term that the group moves to.
 	Term cwgroup.Term
-	// Replaces is the newest term that is known to be replaced by this change.
-	Replaces cwgroup.Term
-	Claim    cwgroup.ClaimID
-	// ChecksTerm is true if every member rejects commands of earlier terms.
-	ChecksTerm bool
+	// ReplacedTerm is the newest term that is known to be replaced by this change.
+	ReplacedTerm cwgroup.Term
+	Claim        cwgroup.ClaimID
+	// MembersCheckTerm is true if every member rejects commands of earlier terms.
+	MembersCheckTerm bool
 	// WithoutTable allows a change while the table is unavailable. It has no effect
-	// unless ChecksTerm is set, because otherwise only the table makes a claim
+	// unless MembersCheckTerm is set, because otherwise only the table makes a claim
 	// unique.
 	WithoutTable bool
-	// Avoid is a member that is leaving. It is promoted only if it may be the only
+	// LeavingPrimary is a member that is leaving. It is promoted only if it may be the only
 	// one that has every acknowledged record.
-	Avoid cwgroup.MemberID
-	// Prefer is promoted if several members are equally advanced.
-	Prefer cwgroup.MemberID
-	// Exclude is a primary that no replica can replicate from. It is fenced but
+	LeavingPrimary cwgroup.MemberID
+	// Preferred is promoted if several members are equally advanced.
+	Preferred cwgroup.MemberID
+	// ExcludedPrimary is a primary that no replica can replicate from. It is fenced but
 	// neither counted for the majority nor promoted: its log is the longest because
 	// of records that could not be acknowledged, so it would be promoted again and
 	// again. Any majority has every acknowledged record, so one of the other
 	// members can be promoted.
-	Exclude cwgroup.MemberID
+	ExcludedPrimary cwgroup.MemberID
 }
--- a/internal/core/cwfailover/detector.go
+++ b/internal/core/cwfailover/detector.go
@@ -26,100 +26,100 @@
 
 // Failure detection timing.
 const (
-	// FreshVote is how long a vote counts after it was received. It spans several
+	// VoteMaxAge is how long a vote counts after it was received. It spans several
 	// heartbeats, so that one lost heartbeat does not remove a vote.
-	FreshVote = 2500 * time.Millisecond
-	// StreamLost is the time without a message from the primary after which a
+	VoteMaxAge = 2500 * time.Millisecond
+	// UpstreamTimeout is the time without a message from the primary after which a
 	// replica counts as disconnected from it. Members send to their replicas every
 	// 100 ms.
-	StreamLost = 300 * time.Millisecond
-	// Persist is how long all proxies must have suspected the primary before their
+	UpstreamTimeout = 300 * time.Millisecond
+	// MinUnanimousSuspicion is how long all proxies must have suspected the primary before their
 	// votes override replicas that still receive data from it.
-	Persist = 2 * time.Second
-	// SettleFor is how long a group must have no primary, or a reachable primary
+	MinUnanimousSuspicion = 2 * time.Second
+	// MinTimeWithoutPrimary is how long a group must have no primary, or a reachable primary
 	// without enough replicas, before the primary may be replaced. The same state
 	// occurs during a change of primary that is in progress and in a proxy that has
 	// just started.
-	SettleFor = time.Second
-	// FreshMember is the maximum age of a report for its member to count as
+	MinTimeWithoutPrimary = time.Second
+	// ReportMaxAge is the maximum age of a report for its member to count as
 	// reachable.
-	FreshMember = 1500 * time.Millisecond
+	ReportMaxAge = 1500 * time.Millisecond
 )
 
 // Vote is one proxy's opinion on whether a group's primary has failed.
 type Vote struct {
-	Voter InstanceID
+	Instance InstanceID
 	// Term is the term of the primary that the vote is about.
 	Term    cwgroup.Term
 	Suspect bool
-	// Since is when the current suspicion began, by the clock of the proxy that
+	// SuspectedSince is when the current suspicion began, by the clock of the proxy that
 	// stores the vote.
-	Since time.Time
-	// At is when the vote was received, by the same clock.
-	At time.Time
+	SuspectedSince time.Time
+	// ReceivedAt is when the vote was received, by the same clock.
+	ReceivedAt time.Time
 }
 
-// Evidence is the input of a DetectPolicy.
+// Evidence is the input of a FailurePolicy.
 type Evidence struct {
-	// Heard is the number of proxies whose vote is recent enough to count,
+	// FreshVotes is the number of proxies whose vote is recent enough to count,
 	// including this one.
-	Heard int
-	// Suspects is the number of them that suspect the primary.
-	Suspects int
-	// Listed is the number of live proxies that monitor the group according to the
+	FreshVotes int
+	// SuspectVotes is the number of them that suspect the primary.
+	SuspectVotes int
+	// ListedProxies is the number of live proxies that monitor the group according to the
 	// platform's instance list, which is updated with a delay.
-	Listed int
-	// Members is the size of the group.
-	Members int
-	// StreamsLost is the number of members, not counting the primary, that no
+	ListedProxies int
+	// GroupSize is the size of the group.
+	GroupSize int
+	// ReplicasDisconnected is the number of members, not counting the primary, that no
 	// longer receive data from the primary.
-	StreamsLost int
-	// StreamsAlive is the number of members, not counting the primary, that still
+	ReplicasDisconnected int
+	// ReplicasConnected is the number of members, not counting the primary, that still
 	// do.
-	StreamsAlive int
-	// Lasted is how long this proxy has suspected the primary.
-	Lasted time.Duration
+	ReplicasConnected int
+	// SuspectedFor is how long this proxy has suspected the primary.
+	SuspectedFor time.Duration
 }
 
-// DetectPolicy decides whether the evidence is sufficient to replace a primary.
-type DetectPolicy interface {
-	Enough(Evidence) bool
+// FailurePolicy decides whether the evidence is sufficient to replace a primary.
+type FailurePolicy interface {
+	ShouldReplace(Evidence) bool
 }
 
-// ByProxies replaces a primary once it is suspected by a majority of the monitoring
+// ProxyMajorityPolicy replaces a primary once it is suspected by a majority of the monitoring
 // proxies. The majority is that of the larger of the two counts, Heard and Listed.
-type ByProxies struct{}
+type ProxyMajorityPolicy struct{}
 
-// Enough implements DetectPolicy.
-func (ByProxies) Enough(e Evidence) bool {
-	return e.Suspects >= cwgroup.Majority(max(e.Heard, e.Listed))
+// ShouldReplace implements FailurePolicy.
+func (ProxyMajorityPolicy) ShouldReplace(e Evidence) bool {
+	return e.SuspectVotes >= cwgroup.Majority(max(e.FreshVotes, e.ListedProxies))
 }
 
-// ByProxiesAndReplicas also considers whether the replicas are connected to the
+// ProxiesAndReplicasPolicy also considers whether the replicas are connected to the
 // primary.
 //
-// It prevents two failures of ByProxies. First, proxies that are partitioned from a
+// It prevents two failures of ProxyMajorityPolicy. First, proxies that are partitioned from a
 // primary which its replicas still follow would replace it needlessly; here the
 // suspicion must then be unanimous and last for Persist. Second, if some proxies
 // fail together with the primary, the instance list still contains them, and the
 // remaining proxies can never form a majority of it; here a majority of
 // disconnected replicas replaces the missing votes.
-type ByProxiesAndReplicas struct{}
-
-// Enough implements DetectPolicy.
-func (ByProxiesAndReplicas) Enough(e Evidence) bool {
-	heardMajority := e.Suspects >= cwgroup.Majority(e.Heard)
-	listedMajority := e.Suspects >= cwgroup.Majority(e.Listed)
-	mostReplicasLost := e.StreamsLost >= cwgroup.Majority(e.Members)
-	if e.StreamsAlive > 0 && !mostReplicasLost {
-		return listedMajority && e.Suspects == e.Heard && e.Lasted >= Persist
+type ProxiesAndReplicasPolicy struct{}
+
+// ShouldReplace implements FailurePolicy.
+func (ProxiesAndReplicasPolicy) ShouldReplace(e Evidence) bool {
+	heardMajority := e.SuspectVotes >= cwgroup.Majority(e.FreshVotes)
+	listedMajority := e.SuspectVotes >= cwgroup.Majority(e.ListedProxies)
+	mostReplicasLost := e.ReplicasDisconnected >= cwgroup.Majority(e.GroupSize)
+	if e.ReplicasConnected > 0 && !mostReplicasLost {
+		return listedMajority && e.SuspectVotes == e.FreshVotes && e.SuspectedFor >= MinUnanimousSuspicion
 	}
 	return heardMajority && (listedMajority || mostReplicasLost)
 }
 
 // Detector collects votes about the primary of one group. Set Self and Policy
 // before use.
-type Detector[P DetectPolicy] struct {
+type Detector[P FailurePolicy] struct {
 	Self   InstanceID
 	Policy P
 
@@ -127,80 +127,80 @@
 	votes map[InstanceID]Vote
 }
 
-// SetOwn records this proxy's vote. It returns true if the vote changed, so that
+// SetOwnVote records this proxy's vote. It returns true if the vote changed, so that
 // the caller can notify the other proxies immediately.
-func (d *Detector[P]) SetOwn(t cwgroup.Term, suspect bool, now time.Time) bool {
+func (d *Detector[P]) SetOwnVote(t cwgroup.Term, suspect bool, now time.Time) bool {
 	changed := d.own.Term != t || d.own.Suspect != suspect
 	if changed {
-		d.own.Since = now
+		d.own.SuspectedSince = now
 	}
-	d.own.Voter, d.own.Term, d.own.Suspect, d.own.At = d.Self, t, suspect, now
+	d.own.Instance, d.own.Term, d.own.Suspect, d.own.ReceivedAt = d.Self, t, suspect, now
 	return changed
 }
 
-// Own returns this proxy's vote.
-func (d *Detector[P]) Own() Vote { return d.own }
+// OwnVote returns this proxy's vote.
+func (d *Detector[P]) OwnVote() Vote { return d.own }
 
-// Observe records another proxy's vote. Votes of this proxy itself are ignored.
-func (d *Detector[P]) Observe(v Vote) {
-	if v.Voter == d.Self {
+// AddVote records another proxy's vote. Votes of this proxy itself are ignored.
+func (d *Detector[P]) AddVote(v Vote) {
+	if v.Instance == d.Self {
 		return
 	}
 	if d.votes == nil {
 		d.votes = make(map[InstanceID]Vote)
 	}
-	if old, ok := d.votes[v.Voter]; ok && old.Term == v.Term && old.Suspect == v.Suspect {
-		v.Since = old.Since
+	if old, ok := d.votes[v.Instance]; ok && old.Term == v.Term && old.Suspect == v.Suspect {
+		v.SuspectedSince = old.SuspectedSince
 	} else {
-		v.Since = v.At
+		v.SuspectedSince = v.ReceivedAt
 	}
-	d.votes[v.Voter] = v
+	d.votes[v.Instance] = v
 }
 
-// Decide reports whether the primary should be replaced now. listed is the value
-// for Evidence.Listed.
-func (d *Detector[P]) Decide(v cwgroup.View, listed int, now time.Time) bool {
+// ShouldReplace reports whether the primary should be replaced now. listed is the value
+// for Evidence.ListedProxies.
+func (d *Detector[P]) ShouldReplace(v cwgroup.View, listed int, now time.Time) bool {
 	if !d.own.Suspect || d.own.Term != v.Term() {
 		return false
 	}
-	if p, ok := v.Primary(); (!ok || p.Reachable) && now.Sub(d.own.Since) < SettleFor {
+	if p, ok := v.Primary(); (!ok || p.Reachable) && now.Sub(d.own.SuspectedSince) < MinTimeWithoutPrimary {
 		return false
 	}
-	if !majorityReachable(v, d.own.Since, now) {
+	if !majorityReachable(v, d.own.SuspectedSince, now) {
 		// Without a reachable majority, fencing cannot succeed. Trying would only
 		// fence single members, which then serve no requests. Only reports received
 		// since the suspicion began count: after a network partition, the members
 		// on the other side also look reachable until their silence is detected.
 		return false
 	}
-	return d.Policy.Enough(d.evidence(v, listed, now))
+	return d.Policy.ShouldReplace(d.evidence(v, listed, now))
 }
 
 func (d *Detector[P]) evidence(v cwgroup.View, listed int, now time.Time) Evidence {
 	e := Evidence{
-		Heard:    1,
-		Suspects: 1,
-		Listed:   listed,
-		Members:  v.Size(),
-		Lasted:   now.Sub(d.own.Since),
+		FreshVotes:    1,
+		SuspectVotes:  1,
+		ListedProxies: listed,
+		GroupSize:     v.Size(),
+		SuspectedFor:  now.Sub(d.own.SuspectedSince),
 	}
 	for _, vote := range d.votes {
-		if now.Sub(vote.At) > FreshVote {
+		if now.Sub(vote.ReceivedAt) > VoteMaxAge {
 			continue
 		}
-		e.Heard++
+		e.FreshVotes++
 		if vote.Suspect && vote.Term >= d.own.Term {
-			e.Suspects++
+			e.SuspectVotes++
 		}
 	}
 	primary, _ := v.Primary()
 	for _, r := range v.Reports() {
 		switch {
-		case r.Member == primary.Member || now.Sub(r.At) > FreshMember || !r.Reachable:
-		case r.UpstreamAge > StreamLost:
-			e.StreamsLost++
+		case r.Member == primary.Member || now.Sub(r.At) > ReportMaxAge || !r.Reachable:
+		case r.UpstreamAge > UpstreamTimeout:
+			e.ReplicasDisconnected++
 		default:
-			e.StreamsAlive++
+			e.ReplicasConnected++
 		}
 	}
 	return e
@@ -217,8 +217,8 @@
 	connected, disconnected := 1, 0
 	for _, r := range v.Reports() {
 		switch {
-		case r.Member == p.Member || now.Sub(r.At) > FreshMember || !r.Reachable:
-		case r.Role != cwgroup.RoleReplica || r.UpstreamAge > StreamLost:
+		case r.Member == p.Member || now.Sub(r.At) > ReportMaxAge || !r.Reachable:
+		case r.Role != cwgroup.RoleReplica || r.UpstreamAge > UpstreamTimeout:
 			disconnected++
 		default:
 			connected++
@@ -229,11 +229,11 @@
 }
 
 // majorityReachable reports whether a majority of the members answered after since
-// and within the last FreshMember.
+// and within the last ReportMaxAge.
 func majorityReachable(v cwgroup.View, since, now time.Time) bool {
 	n := 0
 	for _, r := range v.Reports() {
-		if r.Reachable && r.At.After(since) && now.Sub(r.At) <= FreshMember {
+		if r.Reachable && r.At.After(since) && now.Sub(r.At) <= ReportMaxAge {
 			n++
 		}
 	}
--- a/internal/core/cwfailover/fence.go
+++ b/internal/core/cwfailover/fence.go
@@ -11,28 +11,28 @@
 // that is leaving is fenced first: if it accepted records while the others were
 // already fenced, it would be the only member with the complete log and would be
 // promoted again.
-func (k *Keeper) startFencing() []Order {
-	k.phase = Fencing
-	commands := make([]Order, 0, len(k.plan.Members))
+func (k *Attempt) startFencing() []Command {
+	k.phase = PhaseFencing
+	commands := make([]Command, 0, len(k.plan.Members))
 	for _, m := range k.plan.Members {
-		if m == k.plan.Avoid {
+		if m == k.plan.LeavingPrimary {
 			continue
 		}
-		commands = append(commands, k.newCommand(Adopt, m))
+		commands = append(commands, k.newCommand(AdoptTerm, m))
 	}
-	if !slices.Contains(k.plan.Members, k.plan.Avoid) {
+	if !slices.Contains(k.plan.Members, k.plan.LeavingPrimary) {
 		return k.afterReadBack(commands)
 	}
 	k.deferredAdopts = commands
-	return k.afterReadBack([]Order{k.newCommand(Adopt, k.plan.Avoid)})
+	return k.afterReadBack([]Command{k.newCommand(AdoptTerm, k.plan.LeavingPrimary)})
 }
 
-func (k *Keeper) handleAdopt(ev Event, now time.Time) []Order {
+func (k *Attempt) handleAdopt(ev Response, now time.Time) []Command {
 	if ev.Status.Adopted > k.plan.Term {
 		k.abandon(ReasonHigherTerm)
 		return nil
 	}
-	if k.phase != Fencing || ev.Member == k.plan.Exclude {
+	if k.phase != PhaseFencing || ev.Member == k.plan.ExcludedPrimary {
 		return nil
 	}
 	if ev.Failed || ev.Status.Adopted != k.plan.Term || ev.Status.Claim != k.plan.Claim {
@@ -43,13 +43,13 @@
 	}
 	majority := k.majority()
 	if len(k.fenceFailed) > k.countedMembers()-majority {
-		k.abandon(ReasonMajority)
+		k.abandon(ReasonNoMajority)
 		return nil
 	}
 	if len(k.fenced) >= majority && k.majorityFencedAt.IsZero() {
 		k.majorityFencedAt = now
 	}
-	if ev.Member == k.plan.Avoid && len(k.deferredAdopts) > 0 {
+	if ev.Member == k.plan.LeavingPrimary && len(k.deferredAdopts) > 0 {
 		commands := k.deferredAdopts
 		k.deferredAdopts = nil
 		return k.afterReadBack(commands)
@@ -60,18 +60,18 @@
 	return nil
 }
 
-// Forget records that a member has restarted and lost its fence.
+// MemberRestarted records that a member has restarted and lost its fence.
 //
 // It prevents counting a majority that includes a member which has restarted since
 // it was fenced: that member may lack records it reported and may follow the old
 // primary. An attempt whose promotion has not been sent yet is abandoned; the next
 // claim fences the members again.
-func (k *Keeper) Forget(m cwgroup.MemberID) {
+func (k *Attempt) MemberRestarted(m cwgroup.MemberID) {
 	if _, fenced := k.fenced[m]; !fenced || k.Ended() {
 		return
 	}
 	switch {
-	case k.phase == Fencing:
+	case k.phase == PhaseFencing:
 		delete(k.fenced, m)
 		k.fenceFailed[m] = true
 		majority := k.majority()
@@ -79,42 +79,42 @@
 			k.majorityFencedAt = time.Time{}
 		}
 		if len(k.fenceFailed) > k.countedMembers()-majority {
-			k.abandon(ReasonRestarted)
+			k.abandon(ReasonMemberRestarted)
 		}
-	case k.phase == Promoting && len(k.heldCommands) > 0:
-		k.abandon(ReasonRestarted)
+	case k.phase == PhasePromoting && len(k.heldCommands) > 0:
+		k.abandon(ReasonMemberRestarted)
 	}
 }
 
 // groupSize returns the number of members of the group, including those that are
 // not in the plan's list.
-func (k *Keeper) groupSize() int { return max(k.plan.Size, len(k.plan.Members)) }
+func (k *Attempt) groupSize() int { return max(k.plan.Size, len(k.plan.Members)) }
 
-func (k *Keeper) majority() int { return cwgroup.Majority(k.groupSize()) }
+func (k *Attempt) majority() int { return cwgroup.Majority(k.groupSize()) }
 
 // countedMembers returns how many listed members may contribute to the majority.
 // The majority itself is always that of the whole group.
-func (k *Keeper) countedMembers() int {
+func (k *Attempt) countedMembers() int {
 	n := len(k.plan.Members)
-	if k.plan.Exclude != "" {
+	if k.plan.ExcludedPrimary != "" {
 		n--
 	}
 	return n
 }
 
-func (k *Keeper) fencingComplete(now time.Time) bool {
+func (k *Attempt) fencingComplete(now time.Time) bool {
 	if k.majorityFencedAt.IsZero() {
 		return false
 	}
 	all := len(k.fenced)+len(k.fenceFailed) == k.countedMembers()
-	return all || now.Sub(k.majorityFencedAt) >= FencePatience
+	return all || now.Sub(k.majorityFencedAt) >= FenceGracePeriod
 }
 
 // startPromotion selects the most advanced of the fenced members. It compares the
 // term of the last record first, then the position: a member that adopted later
 // terms while it was partitioned may still have fewer acknowledged records.
-func (k *Keeper) startPromotion() []Order {
-	k.phase = Promoting
+func (k *Attempt) startPromotion() []Command {
+	k.phase = PhasePromoting
 	var best cwgroup.Status
 	for _, m := range k.plan.Members {
 		s, ok := k.fenced[m]
@@ -126,31 +126,31 @@
 		}
 	}
 	k.newPrimary = best.Member
-	return k.announceReplacedTerm([]Order{k.newCommand(Promote, k.newPrimary)})
+	return k.announceReplacedTerm([]Command{k.newCommand(Promote, k.newPrimary)})
 }
 
 // allOthersFenced reports whether every member except the leaving one was fenced.
 // In that case one of them has every acknowledged record, because the leaving
 // member alone cannot acknowledge anything, and the leaving member need not be
 // promoted even if it has the longest log.
-func (k *Keeper) allOthersFenced() bool {
+func (k *Attempt) allOthersFenced() bool {
 	n := len(k.fenced)
-	if _, ok := k.fenced[k.plan.Avoid]; ok {
+	if _, ok := k.fenced[k.plan.LeavingPrimary]; ok {
 		n--
 	}
 	return n == k.groupSize()-1
 }
 
 // isBetterCandidate reports whether a should be promoted rather than b.
-func (k *Keeper) isBetterCandidate(a, b cwgroup.Status) bool {
-	if k.allOthersFenced() && (a.Member == k.plan.Avoid) != (b.Member == k.plan.Avoid) {
-		return b.Member == k.plan.Avoid
+func (k *Attempt) isBetterCandidate(a, b cwgroup.Status) bool {
+	if k.allOthersFenced() && (a.Member == k.plan.LeavingPrimary) != (b.Member == k.plan.LeavingPrimary) {
+		return b.Member == k.plan.LeavingPrimary
 	}
 	if c := a.Last.Compare(b.Last); c != 0 {
 		return c > 0
 	}
-	if (a.Member == k.plan.Avoid) != (b.Member == k.plan.Avoid) {
-		return b.Member == k.plan.Avoid
+	if (a.Member == k.plan.LeavingPrimary) != (b.Member == k.plan.LeavingPrimary) {
+		return b.Member == k.plan.LeavingPrimary
 	}
-	return a.Member == k.plan.Prefer
+	return a.Member == k.plan.Preferred
 }
--- a/internal/core/cwfailover/keeper_test.go
+++ b/internal/core/cwfailover/keeper_test.go
@@ -14,19 +14,19 @@
 var members = []cwgroup.MemberID{"a", "b", "c"}
 
 func testPlan() Plan {
-	return Plan{Group: "g", Members: members, Term: 4, Claim: "k", ChecksTerm: true, WithoutTable: true}
+	return Plan{Group: "g", Members: members, Term: 4, Claim: "k", MembersCheckTerm: true, WithoutTable: true}
 }
 
 func mark(t cwgroup.Term, p cwgroup.Position) cwgroup.Mark {
 	return cwgroup.Mark{Term: t, Position: p}
 }
 
-func adoptResponse(id cwgroup.MemberID, last cwgroup.Mark) Event {
-	return Event{Kind: Adopt, Member: id, Claim: "k", Status: cwgroup.Status{Member: id, Adopted: 4, Claim: "k", Last: last}}
+func adoptResponse(id cwgroup.MemberID, last cwgroup.Mark) Response {
+	return Response{Kind: AdoptTerm, Member: id, Claim: "k", Status: cwgroup.Status{Member: id, Adopted: 4, Claim: "k", Last: last}}
 }
 
 // describeCommands returns the kind and the member of each command.
-func describeCommands(commands []Order) []string {
+func describeCommands(commands []Command) []string {
 	out := []string{}
 	for _, o := range commands {
 		out = append(out, o.Kind.String()+" "+string(o.Member))
@@ -34,15 +34,15 @@
 	return out
 }
 
-func assertCommands(t *testing.T, got []Order, want ...string) {
+func assertCommands(t *testing.T, got []Command, want ...string) {
 	t.Helper()
 	qt.Assert(t, describeCommands(got), qt.DeepEquals, append([]string{}, want...))
 }
 
-func fencingKeeper(t *testing.T, p Plan) *Keeper {
-	k := NewKeeper(p)
+func fencingKeeper(t *testing.T, p Plan) *Attempt {
+	k := NewAttempt(p)
 	assertCommands(t, k.Start(start), "claimRow ")
-	assertCommands(t, k.Handle(Event{Kind: ClaimRow, Row: RowDone}, start), "adopt a", "adopt b", "adopt c")
+	assertCommands(t, k.Handle(Response{Kind: WriteClaim, RowOutcome: RowConfirmed}, start), "adopt a", "adopt b", "adopt c")
 	return k
 }
 
@@ -50,85 +50,85 @@
 	k := fencingKeeper(t, testPlan())
 	assertCommands(t, k.Handle(adoptResponse("b", mark(3, 7)), start))
 	assertCommands(t, k.Handle(adoptResponse("c", mark(3, 9)), start))
-	assertCommands(t, k.Tick(start.Add(FencePatience)), "promote c")
-	assertCommands(t, k.Handle(Event{Kind: Promote, Member: "c"}, start), "follow a", "follow b", "recordRow ")
-	k.Handle(Event{Kind: Follow, Member: "a", Failed: true}, start)
-	k.Handle(Event{Kind: Follow, Member: "b"}, start)
-	k.Handle(Event{Kind: RecordRow, Row: RowUnavailable}, start)
-	qt.Assert(t, k.Phase(), qt.Equals, Done)
+	assertCommands(t, k.Tick(start.Add(FenceGracePeriod)), "promote c")
+	assertCommands(t, k.Handle(Response{Kind: Promote, Member: "c"}, start), "follow a", "follow b", "recordRow ")
+	k.Handle(Response{Kind: Follow, Member: "a", Failed: true}, start)
+	k.Handle(Response{Kind: Follow, Member: "b"}, start)
+	k.Handle(Response{Kind: RecordPrimary, RowOutcome: RowUnavailable}, start)
+	qt.Assert(t, k.Phase(), qt.Equals, PhaseDone)
 }
 
 // Guards against losing acknowledged records. A member that was partitioned led
 // term 2 for a while, and its log is longer than what the others acknowledged in
 // term 3. The most advanced member is the one whose last record has the latest
 // term, not the one with the longest log.
-func TestMostAdvancedGoesByTermFirst(t *testing.T) {
+func TestMostAdvancedComparesTermFirst(t *testing.T) {
 	k := fencingKeeper(t, testPlan())
 	k.Handle(adoptResponse("a", mark(2, 500)), start)
 	k.Handle(adoptResponse("b", mark(3, 100)), start)
-	assertCommands(t, k.Handle(Event{Kind: Adopt, Member: "c", Failed: true}, start), "promote b")
+	assertCommands(t, k.Handle(Response{Kind: AdoptTerm, Member: "c", Failed: true}, start), "promote b")
 }
 
 // Guards against an expired attempt that goes on: a proxy is paused after fencing,
 // another proxy changes the primary, and the first one resumes. It must send
 // nothing.
-func TestPausedKeeperSendsNothing(t *testing.T) {
+func TestExpiredAttemptSendsNothing(t *testing.T) {
 	k := fencingKeeper(t, testPlan())
 	k.Handle(adoptResponse("a", mark(3, 5)), start)
-	resumed := start.Add(ClaimLife)
+	resumed := start.Add(ClaimTTL)
 	assertCommands(t, k.Handle(adoptResponse("b", mark(3, 5)), resumed))
-	qt.Assert(t, k.Phase(), qt.Equals, Abandoned)
-	qt.Assert(t, k.Reason(), qt.Equals, ReasonExpired)
+	qt.Assert(t, k.Phase(), qt.Equals, PhaseAbandoned)
+	qt.Assert(t, k.Reason(), qt.Equals, ReasonClaimExpired)
 }
 
 func TestChangeWithoutTable(t *testing.T) {
 	t.Run("allowed, table unavailable", func(t *testing.T) {
-		k := NewKeeper(testPlan())
+		k := NewAttempt(testPlan())
 		k.Start(start)
-		assertCommands(t, k.Handle(Event{Kind: ClaimRow, Row: RowUnavailable}, start), "adopt a", "adopt b", "adopt c")
+		assertCommands(t, k.Handle(Response{Kind: WriteClaim, RowOutcome: RowUnavailable}, start), "adopt a", "adopt b", "adopt c")
 	})
 	t.Run("not allowed, table unavailable", func(t *testing.T) {
 		p := testPlan()
 		p.WithoutTable = false
-		k := NewKeeper(p)
+		k := NewAttempt(p)
 		k.Start(start)
-		assertCommands(t, k.Handle(Event{Kind: ClaimRow, Row: RowUnavailable}, start))
-		qt.Assert(t, k.Reason(), qt.Equals, ReasonTable)
+		assertCommands(t, k.Handle(Response{Kind: WriteClaim, RowOutcome: RowUnavailable}, start))
+		qt.Assert(t, k.Reason(), qt.Equals, ReasonTableUnavailable)
 	})
 	t.Run("allowed, table slow", func(t *testing.T) {
-		k := NewKeeper(testPlan())
+		k := NewAttempt(testPlan())
 		k.Start(start)
-		assertCommands(t, k.Tick(start.Add(TablePatience/2)))
-		assertCommands(t, k.Tick(start.Add(TablePatience)), "adopt a", "adopt b", "adopt c")
+		assertCommands(t, k.Tick(start.Add(TableTimeout/2)))
+		assertCommands(t, k.Tick(start.Add(TableTimeout)), "adopt a", "adopt b", "adopt c")
 	})
 }
 
 // Guards against conflicting with one's own claim: the table stored the claim but
 // the response was lost. Written again, the claim would conflict with itself; it is
 // read back instead.
-func TestLostAnswerIsReadBack(t *testing.T) {
-	k := NewKeeper(testPlan())
+func TestClaimIsReadBackAfterALostResponse(t *testing.T) {
+	k := NewAttempt(testPlan())
 	k.Start(start)
-	assertCommands(t, k.Handle(Event{Kind: ClaimRow, Row: RowUnknown}, start), "readRow ")
-	assertCommands(t, k.Handle(Event{Kind: ReadRow, Row: RowDone}, start), "adopt a", "adopt b", "adopt c")
+	assertCommands(t, k.Handle(Response{Kind: WriteClaim, RowOutcome: RowUnknown}, start), "readRow ")
+	assertCommands(t, k.Handle(Response{Kind: ReadClaim, RowOutcome: RowConfirmed}, start), "adopt a", "adopt b", "adopt c")
 }
 
 // Of two concurrent attempts, the one that finds another claim, or a later term at
 // a member, is abandoned.
 func TestConflictEndsTheAttempt(t *testing.T) {
-	k := NewKeeper(testPlan())
+	k := NewAttempt(testPlan())
 	k.Start(start)
-	k.Handle(Event{Kind: ClaimRow, Row: RowConflict}, start)
-	qt.Assert(t, k.Reason(), qt.Equals, ReasonClaimed)
+	k.Handle(Response{Kind: WriteClaim, RowOutcome: RowConflict}, start)
+	qt.Assert(t, k.Reason(), qt.Equals, ReasonClaimConflict)
 
 	k = fencingKeeper(t, testPlan())
-	k.Handle(Event{Kind: Adopt, Member: "a", Failed: true, Status: cwgroup.Status{Member: "a", Adopted: 5}}, start)
+	k.Handle(Response{Kind: AdoptTerm, Member: "a", Failed: true, Status: cwgroup.Status{Member: "a", Adopted: 5}}, start)
 	qt.Assert(t, k.Reason(), qt.Equals, ReasonHigherTerm)
 
 	k = fencingKeeper(t, testPlan())
-	k.Handle(Event{Kind: Adopt, Member: "a", Failed: true}, start)
-	k.Handle(Event{Kind: Adopt, Member: "b", Failed: true}, start)
-	qt.Assert(t, k.Reason(), qt.Equals, ReasonMajority)
+	k.Handle(Response{Kind: AdoptTerm, Member: "a", Failed: true}, start)
+	k.Handle(Response{Kind: AdoptTerm, Member: "b", Failed: true}, start)
+	qt.Assert(t, k.Reason(), qt.Equals, ReasonNoMajority)
 }
 
 // Members that do not check terms would obey an attempt that was superseded long
@@ -136,30 +136,30 @@
 // after.
 func TestReadBackWhenMembersIgnoreTerms(t *testing.T) {
 	p := testPlan()
-	p.ChecksTerm, p.WithoutTable = false, false
-	k := NewKeeper(p)
+	p.MembersCheckTerm, p.WithoutTable = false, false
+	k := NewAttempt(p)
 	k.Start(start)
-	assertCommands(t, k.Handle(Event{Kind: ClaimRow, Row: RowDone}, start), "readRow ")
-	commands := k.Handle(Event{Kind: ReadRow, Row: RowDone}, start)
+	assertCommands(t, k.Handle(Response{Kind: WriteClaim, RowOutcome: RowConfirmed}, start), "readRow ")
+	commands := k.Handle(Response{Kind: ReadClaim, RowOutcome: RowConfirmed}, start)
 	assertCommands(t, commands, "adopt a", "adopt b", "adopt c")
-	qt.Assert(t, commands[0].NotAfter, qt.Equals, start.Add(RecheckLife))
+	qt.Assert(t, commands[0].NotAfter, qt.Equals, start.Add(ReadBackTTL))
 	k.Handle(adoptResponse("a", mark(3, 5)), start)
 	assertCommands(t, k.Handle(adoptResponse("b", mark(3, 5)), start))
 	assertCommands(t, k.Handle(adoptResponse("c", mark(3, 5)), start), "announceRow ")
-	assertCommands(t, k.Handle(Event{Kind: AnnounceRow, Row: RowConflict}, start))
-	qt.Assert(t, k.Reason(), qt.Equals, ReasonClaimed)
+	assertCommands(t, k.Handle(Response{Kind: RecordReplacedTerm, RowOutcome: RowConflict}, start))
+	qt.Assert(t, k.Reason(), qt.Equals, ReasonClaimConflict)
 }
 
 // Guards against a promotion whose replaced term is not recorded in the group's row
 // beforehand.
-func TestPromotionIsAnnounced(t *testing.T) {
-	announcingKeeper := func(t *testing.T) (*Keeper, []Order) {
+func TestReplacedTermIsRecordedBeforePromotion(t *testing.T) {
+	announcingKeeper := func(t *testing.T) (*Attempt, []Command) {
 		p := testPlan()
-		p.ChecksTerm, p.WithoutTable, p.Replaces = false, false, 2
-		k := NewKeeper(p)
+		p.MembersCheckTerm, p.WithoutTable, p.ReplacedTerm = false, false, 2
+		k := NewAttempt(p)
 		k.Start(start)
-		k.Handle(Event{Kind: ClaimRow, Row: RowDone}, start)
-		k.Handle(Event{Kind: ReadRow, Row: RowDone}, start)
+		k.Handle(Response{Kind: WriteClaim, RowOutcome: RowConfirmed}, start)
+		k.Handle(Response{Kind: ReadClaim, RowOutcome: RowConfirmed}, start)
 		for _, id := range members {
 			ev := adoptResponse(id, mark(3, 5))
 			ev.Status.Before = 3
@@ -173,25 +173,25 @@
 	t.Run("records the replaced term", func(t *testing.T) {
 		k, commands := announcingKeeper(t)
 		assertCommands(t, commands, "announceRow ")
-		qt.Assert(t, commands[0].Replaced, qt.Equals, cwgroup.Term(3))
-		commands = k.Handle(Event{Kind: AnnounceRow, Row: RowDone}, start)
+		qt.Assert(t, commands[0].ReplacedTerm, qt.Equals, cwgroup.Term(3))
+		commands = k.Handle(Response{Kind: RecordReplacedTerm, RowOutcome: RowConfirmed}, start)
 		assertCommands(t, commands, "promote a")
-		qt.Assert(t, commands[0].NotAfter, qt.Equals, start.Add(RecheckLife))
+		qt.Assert(t, commands[0].NotAfter, qt.Equals, start.Add(ReadBackTTL))
 	})
 	t.Run("response lost", func(t *testing.T) {
 		k, _ := announcingKeeper(t)
-		assertCommands(t, k.Handle(Event{Kind: AnnounceRow, Row: RowUnknown}, start), "announceRow ")
-		assertCommands(t, k.Handle(Event{Kind: AnnounceRow, Row: RowDone}, start), "promote a")
+		assertCommands(t, k.Handle(Response{Kind: RecordReplacedTerm, RowOutcome: RowUnknown}, start), "announceRow ")
+		assertCommands(t, k.Handle(Response{Kind: RecordReplacedTerm, RowOutcome: RowConfirmed}, start), "promote a")
 	})
 	t.Run("late response to an earlier read", func(t *testing.T) {
 		k, _ := announcingKeeper(t)
-		assertCommands(t, k.Handle(Event{Kind: ReadRow, Row: RowDone}, start))
-		assertCommands(t, k.Handle(Event{Kind: AnnounceRow, Row: RowDone}, start), "promote a")
+		assertCommands(t, k.Handle(Response{Kind: ReadClaim, RowOutcome: RowConfirmed}, start))
+		assertCommands(t, k.Handle(Response{Kind: RecordReplacedTerm, RowOutcome: RowConfirmed}, start), "promote a")
 	})
 	t.Run("table unavailable", func(t *testing.T) {
 		k, _ := announcingKeeper(t)
-		assertCommands(t, k.Handle(Event{Kind: AnnounceRow, Row: RowUnavailable}, start))
-		qt.Assert(t, k.Reason(), qt.Equals, ReasonTable)
+		assertCommands(t, k.Handle(Response{Kind: RecordReplacedTerm, RowOutcome: RowUnavailable}, start))
+		qt.Assert(t, k.Reason(), qt.Equals, ReasonTableUnavailable)
 	})
 }
 
@@ -201,11 +201,11 @@
 // others were fenced, the records that only it has cannot have been acknowledged.
 func TestPlannedStopAvoidsTheLeavingMember(t *testing.T) {
 	p := testPlan()
-	p.Avoid = "a"
-	keeperWithLeavingPrimary := func(t *testing.T, last cwgroup.Mark) *Keeper {
-		k := NewKeeper(p)
+	p.LeavingPrimary = "a"
+	keeperWithLeavingPrimary := func(t *testing.T, last cwgroup.Mark) *Attempt {
+		k := NewAttempt(p)
 		assertCommands(t, k.Start(start), "claimRow ")
-		assertCommands(t, k.Handle(Event{Kind: ClaimRow, Row: RowDone}, start), "adopt a")
+		assertCommands(t, k.Handle(Response{Kind: WriteClaim, RowOutcome: RowConfirmed}, start), "adopt a")
 		assertCommands(t, k.Handle(adoptResponse("a", last), start), "adopt b", "adopt c")
 		return k
 	}
@@ -222,56 +222,56 @@
 	t.Run("leaving member has the longest log, another member is missing", func(t *testing.T) {
 		k := keeperWithLeavingPrimary(t, mark(3, 6))
 		k.Handle(adoptResponse("b", mark(3, 5)), start)
-		assertCommands(t, k.Handle(Event{Kind: Adopt, Member: "c", Claim: "k", Failed: true}, start), "promote a")
+		assertCommands(t, k.Handle(Response{Kind: AdoptTerm, Member: "c", Claim: "k", Failed: true}, start), "promote a")
 	})
 	t.Run("leaving member does not answer", func(t *testing.T) {
-		k := NewKeeper(p)
+		k := NewAttempt(p)
 		k.Start(start)
-		k.Handle(Event{Kind: ClaimRow, Row: RowDone}, start)
-		failed := Event{Kind: Adopt, Member: "a", Claim: "k", Failed: true}
+		k.Handle(Response{Kind: WriteClaim, RowOutcome: RowConfirmed}, start)
+		failed := Response{Kind: AdoptTerm, Member: "a", Claim: "k", Failed: true}
 		assertCommands(t, k.Handle(failed, start), "adopt b", "adopt c")
 		k.Handle(adoptResponse("b", mark(3, 5)), start)
 		assertCommands(t, k.Handle(adoptResponse("c", mark(3, 4)), start), "promote b")
 	})
 }
 
-func TestDetectPolicies(t *testing.T) {
+func TestFailurePolicies(t *testing.T) {
 	for _, tc := range []struct {
 		name                 string
 		e                    Evidence
 		byProxies, byReplica bool
 	}{
-		{"one of three, replicas connected", Evidence{Heard: 3, Suspects: 1, Listed: 3, Members: 3, StreamsAlive: 2}, false, false},
-		{"two of three, replicas connected", Evidence{Heard: 3, Suspects: 2, Listed: 3, Members: 3, StreamsAlive: 2}, true, false},
-		{"all of three for the minimum time, replicas connected", Evidence{Heard: 3, Suspects: 3, Listed: 3, Members: 3, StreamsAlive: 2, Lasted: Persist}, true, true},
-		{"two of three, replicas disconnected", Evidence{Heard: 3, Suspects: 2, Listed: 3, Members: 3, StreamsLost: 2}, true, true},
-		{"other proxies failed with the primary", Evidence{Heard: 1, Suspects: 1, Listed: 4, Members: 3, StreamsLost: 2}, false, true},
-		{"partitioned together with one replica", Evidence{Heard: 1, Suspects: 1, Listed: 4, Members: 3, StreamsLost: 1}, false, false},
+		{"one of three, replicas connected", Evidence{FreshVotes: 3, SuspectVotes: 1, ListedProxies: 3, GroupSize: 3, ReplicasConnected: 2}, false, false},
+		{"two of three, replicas connected", Evidence{FreshVotes: 3, SuspectVotes: 2, ListedProxies: 3, GroupSize: 3, ReplicasConnected: 2}, true, false},
+		{"all of three for the minimum time, replicas connected", Evidence{FreshVotes: 3, SuspectVotes: 3, ListedProxies: 3, GroupSize: 3, ReplicasConnected: 2, SuspectedFor: MinUnanimousSuspicion}, true, true},
+		{"two of three, replicas disconnected", Evidence{FreshVotes: 3, SuspectVotes: 2, ListedProxies: 3, GroupSize: 3, ReplicasDisconnected: 2}, true, true},
+		{"other proxies failed with the primary", Evidence{FreshVotes: 1, SuspectVotes: 1, ListedProxies: 4, GroupSize: 3, ReplicasDisconnected: 2}, false, true},
+		{"partitioned together with one replica", Evidence{FreshVotes: 1, SuspectVotes: 1, ListedProxies: 4, GroupSize: 3, ReplicasDisconnected: 1}, false, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			qt.Check(t, ByProxies{}.Enough(tc.e), qt.Equals, tc.byProxies)
-			qt.Check(t, ByProxiesAndReplicas{}.Enough(tc.e), qt.Equals, tc.byReplica)
+			qt.Check(t, ProxyMajorityPolicy{}.ShouldReplace(tc.e), qt.Equals, tc.byProxies)
+			qt.Check(t, ProxiesAndReplicasPolicy{}.ShouldReplace(tc.e), qt.Equals, tc.byReplica)
 		})
 	}
 }
 
 func TestMayClaim(t *testing.T) {
 	s := NewSupervisor("p", "s", "g", members)
-	other := Row{Term: 4, Claim: "x", Keeper: "q"}
+	other := Row{Term: 4, Claim: "x", Owner: "q"}
 	qt.Assert(t, s.MayClaim(Row{Term: 3, Done: true}, 4, start), qt.IsTrue)
 	qt.Assert(t, s.MayClaim(Row{Term: 4, Done: true}, 4, start), qt.IsFalse)
 	qt.Assert(t, s.MayClaim(other, 4, start), qt.IsFalse)
-	qt.Assert(t, s.MayClaim(other, 4, start.Add(ClaimLife-1)), qt.IsFalse)
-	qt.Assert(t, s.MayClaim(other, 4, start.Add(ClaimLife)), qt.IsTrue)
+	qt.Assert(t, s.MayClaim(other, 4, start.Add(ClaimTTL-1)), qt.IsFalse)
+	qt.Assert(t, s.MayClaim(other, 4, start.Add(ClaimTTL)), qt.IsTrue)
 }
 
 // Guards against needless fencing. A data centre is cut off with one replica, and
 // the silence of the primary is detected shortly before that of the other replica.
 // Fencing the remaining replica at that moment would only stop its reads.
-func TestOnlyMembersHeardSinceTheSuspicionCount(t *testing.T) {
+func TestOnlyReportsSinceTheSuspicionCount(t *testing.T) {
 	s := NewSupervisor("p", "s", "g", members)
 	report := func(id cwgroup.MemberID, r cwgroup.Role, at time.Time) {
-		s.Report(cwgroup.Report{Status: cwgroup.Status{
+		s.AddReport(cwgroup.Report{Status: cwgroup.Status{
 			Member: id, Role: r, Adopted: 1, Last: mark(1, 5), Applied: mark(1, 5), UpstreamAge: time.Second,
 		}, At: at, Reachable: true}, "a", at)
 	}
@@ -279,14 +279,14 @@
 	report("b", cwgroup.RoleReplica, start)
 	report("c", cwgroup.RoleReplica, start)
 	suspectedAt := start.Add(600 * time.Millisecond)
-	s.Unreachable("a", suspectedAt)
+	s.SetUnreachable("a", suspectedAt)
 	report("b", cwgroup.RoleReplica, suspectedAt.Add(50*time.Millisecond))
-	conditions := Conditions{Listed: 1, ChecksTerm: true, WithoutTable: true}
+	conditions := TickInputs{ListedProxies: 1, MembersCheckTerm: true, WithoutTable: true}
 	s.Tick(suspectedAt.Add(60*time.Millisecond), conditions)
-	qt.Assert(t, s.Keeping(), qt.IsFalse)
+	qt.Assert(t, s.ChangingPrimary(), qt.IsFalse)
 	report("c", cwgroup.RoleReplica, suspectedAt.Add(70*time.Millisecond))
 	s.Tick(suspectedAt.Add(80*time.Millisecond), conditions)
-	qt.Assert(t, s.Keeping(), qt.IsTrue)
+	qt.Assert(t, s.ChangingPrimary(), qt.IsTrue)
 }
 
 // Guards against promoting by an outdated status: a majority is fenced, and one of
@@ -297,29 +297,29 @@
 		k := fencingKeeper(t, testPlan())
 		k.Handle(adoptResponse("b", mark(3, 7)), start)
 		k.Handle(adoptResponse("c", mark(3, 9)), start)
-		k.Forget("c")
-		assertCommands(t, k.Tick(start.Add(FencePatience)))
+		k.MemberRestarted("c")
+		assertCommands(t, k.Tick(start.Add(FenceGracePeriod)))
 		assertCommands(t, k.Handle(adoptResponse("a", mark(3, 8)), start), "promote a")
 	})
 	t.Run("with no other member left", func(t *testing.T) {
 		k := fencingKeeper(t, testPlan())
-		k.Handle(Event{Kind: Adopt, Member: "a", Failed: true}, start)
+		k.Handle(Response{Kind: AdoptTerm, Member: "a", Failed: true}, start)
 		k.Handle(adoptResponse("b", mark(3, 7)), start)
-		k.Forget("b")
-		qt.Assert(t, k.Reason(), qt.Equals, ReasonRestarted)
+		k.MemberRestarted("b")
+		qt.Assert(t, k.Reason(), qt.Equals, ReasonMemberRestarted)
 	})
 	t.Run("while recording the replaced term", func(t *testing.T) {
 		p := testPlan()
-		p.ChecksTerm, p.WithoutTable = false, false
-		k := NewKeeper(p)
+		p.MembersCheckTerm, p.WithoutTable = false, false
+		k := NewAttempt(p)
 		k.Start(start)
-		k.Handle(Event{Kind: ClaimRow, Row: RowDone}, start)
-		k.Handle(Event{Kind: ReadRow, Row: RowDone}, start)
+		k.Handle(Response{Kind: WriteClaim, RowOutcome: RowConfirmed}, start)
+		k.Handle(Response{Kind: ReadClaim, RowOutcome: RowConfirmed}, start)
 		k.Handle(adoptResponse("a", mark(3, 7)), start)
 		k.Handle(adoptResponse("b", mark(3, 7)), start)
 		assertCommands(t, k.Handle(adoptResponse("c", mark(3, 7)), start), "announceRow ")
-		k.Forget("c")
-		qt.Assert(t, k.Reason(), qt.Equals, ReasonRestarted)
-		assertCommands(t, k.Handle(Event{Kind: AnnounceRow, Row: RowDone}, start))
+		k.MemberRestarted("c")
+		qt.Assert(t, k.Reason(), qt.Equals, ReasonMemberRestarted)
+		assertCommands(t, k.Handle(Response{Kind: RecordReplacedTerm, RowOutcome: RowConfirmed}, start))
 	})
 }
--- a/internal/core/cwfailover/repair.go
+++ b/internal/core/cwfailover/repair.go
@@ -6,43 +6,43 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwgroup"
 )
 
-// Repairs returns the commands that make members follow the current primary again,
+// RepairCommands returns the commands that make members follow the current primary again,
 // such as a replaced primary that has come back or a member that was fenced by an
 // abandoned attempt. Before it follows, the member truncates its log to the part
 // that it has in common with the primary's.
-func Repairs(v cwgroup.View, following map[cwgroup.MemberID]cwgroup.MemberID, now time.Time) []Order {
+func RepairCommands(v cwgroup.View, following map[cwgroup.MemberID]cwgroup.MemberID, now time.Time) []Command {
 	p, ok := v.Primary()
-	if !ok || !p.Reachable || now.Sub(p.At) > FreshMember {
+	if !ok || !p.Reachable || now.Sub(p.At) > ReportMaxAge {
 		return nil
 	}
-	var commands []Order
+	var commands []Command
 	for _, r := range v.Reports() {
 		notFollowing := r.Role != cwgroup.RoleReplica || r.Adopted < p.Adopted || following[r.Member] != p.Member
 		if r.Member == p.Member || !r.Reachable || r.Adopted > p.Adopted || !notFollowing {
 			continue
 		}
-		commands = append(commands, Order{
+		commands = append(commands, Command{
 			Kind:     Follow,
 			Member:   r.Member,
 			Term:     p.Adopted,
 			Claim:    p.Claim,
 			Primary:  p.Member,
-			NotAfter: now.Add(RecheckLife),
+			NotAfter: now.Add(ReadBackTTL),
 		})
 	}
 	return commands
 }
 
-// Stranded reports whether a member cannot follow the primary in the primary's
+// HasStrandedMember reports whether a member cannot follow the primary in the primary's
 // term, because it adopted a later term for an attempt that failed or the same term
 // for another claim. Such a member can follow again only in a later term.
-func Stranded(v cwgroup.View, now time.Time) bool {
+func HasStrandedMember(v cwgroup.View, now time.Time) bool {
 	p, ok := v.Primary()
 	if !ok {
 		return false
 	}
 	for _, r := range v.Reports() {
-		if r.Member == p.Member || !r.Reachable || now.Sub(r.At) > FreshMember {
+		if r.Member == p.Member || !r.Reachable || now.Sub(r.At) > ReportMaxAge {
 			continue
 		}
 		if r.Adopted > p.Adopted || r.Adopted == p.Adopted && r.Claim != p.Claim {
--- a/internal/core/cwfailover/supervisor.go
+++ b/internal/core/cwfailover/supervisor.go
@@ -12,40 +12,40 @@
 	// RankDelay is the additional delay per rank before a proxy starts a change of
 	// primary, so that two proxies rarely start one at the same time.
 	RankDelay = 150 * time.Millisecond
-	// RetryChange is the delay after a change of primary, successful or not, before
+	// RetryDelay is the delay after a change of primary, successful or not, before
 	// the next one may start. The proxy's rank delay is added to it.
-	RetryChange = 300 * time.Millisecond
-	// RepairEvery is the minimum time between two rounds of repairs.
-	RepairEvery = 300 * time.Millisecond
-	// StrandedFor is how long a member may be stranded in a term that it cannot
+	RetryDelay = 300 * time.Millisecond
+	// RepairInterval is the minimum time between two rounds of repairs.
+	RepairInterval = 300 * time.Millisecond
+	// StrandedTimeout is how long a member may be stranded in a term that it cannot
 	// follow the primary in, before the group moves to a new term for its sake.
-	StrandedFor = 3 * time.Second
-	// StopSpread is how long after this proxy learnt of a planned stop all other
+	StrandedTimeout = 3 * time.Second
+	// StopPropagationTime is how long after this proxy learnt of a planned stop all other
 	// proxies are assumed to know of it. Until then they may still begin
 	// transactions at the stopping member.
-	StopSpread = 2 * time.Second
+	StopPropagationTime = 2 * time.Second
 	// drainReportMaxAge is the maximum age of the reports that show that a stopping
 	// primary has no open transactions.
 	drainReportMaxAge = 400 * time.Millisecond
 )
 
-// Conditions are the inputs of Supervisor.Tick that do not come from the group's
+// TickInputs are the inputs of Supervisor.Tick that do not come from the group's
 // members.
-type Conditions struct {
-	// Listed is the number of live proxies that monitor the group according to the
+type TickInputs struct {
+	// ListedProxies is the number of live proxies that monitor the group according to the
 	// platform's instance list. Rank is this proxy's rank among them for the group,
 	// starting at 0; see RankDelay.
-	Listed, Rank int
-	// ChecksTerm and WithoutTable come from the group's configuration; see Plan.
-	ChecksTerm, WithoutTable bool
+	ListedProxies, Rank int
+	// MembersCheckTerm and WithoutTable come from the group's configuration; see Plan.
+	MembersCheckTerm, WithoutTable bool
 	// OpenWrites is the number of write transactions in progress at this proxy.
 	OpenWrites int
 	// RowTerm is the term of the group's row as last known to this proxy. A claim
 	// must be for a later term.
 	RowTerm cwgroup.Term
-	// Pending is true while another proxy's change of primary is known from the
+	// OtherChangePending is true while another proxy's change of primary is known from the
 	// table but its result has not been observed yet.
-	Pending bool
+	OtherChangePending bool
 }
 
 // Row is the row of a group in the platform's table.
@@ -53,17 +53,17 @@
 	// Term is the term that the claim is for.
 	Term  cwgroup.Term
 	Claim cwgroup.ClaimID
-	// Keeper is the instance that made the claim.
-	Keeper InstanceID
+	// Owner is the instance that made the claim.
+	Owner InstanceID
 	// Primary is the member promoted by the last change that was finished.
 	Primary cwgroup.MemberID
-	// Replaced is the newest term whose primary has been replaced or may have been:
+	// ReplacedTerm is the newest term whose primary has been replaced or may have been:
 	// a majority of the members was fenced, and another member may have been
 	// promoted. It never decreases.
-	Replaced cwgroup.Term
-	// Members is the number of members of the group when the row was written; zero
+	ReplacedTerm cwgroup.Term
+	// GroupSize is the number of members of the group when the row was written; zero
 	// if it was not recorded.
-	Members int
+	GroupSize int
 	// Done is true once the change of primary is finished.
 	Done bool
 }
@@ -71,16 +71,16 @@
 // Result is the result of one change of primary.
 type Result struct {
 	Plan Plan
-	// Before is the last report of the old primary; it is zero if there was none.
-	Before cwgroup.Report
-	// Primary is the member selected as the new primary, if any.
-	Primary cwgroup.MemberID
+	// OldPrimary is the last report of the old primary; it is zero if there was none.
+	OldPrimary cwgroup.Report
+	// NewPrimary is the member selected as the new primary, if any.
+	NewPrimary cwgroup.MemberID
 	// Reason is ReasonNone if the change succeeded.
 	Reason Reason
 	// Planned is true for a planned stop and false for a failure.
 	Planned bool
-	// Took is the duration of the attempt.
-	Took time.Duration
+	// Duration is the duration of the attempt.
+	Duration time.Duration
 }
 
 // Changed reports whether the change led to a new primary.
@@ -93,19 +93,19 @@
 type Supervisor struct {
 	// Self is the instance that runs this proxy.
 	Self InstanceID
-	// Seed is a part of every claim id. It must differ between processes so that
+	// ClaimSeed is a part of every claim id. It must differ between processes so that
 	// the ids are unique.
-	Seed string
+	ClaimSeed string
 
 	view cwgroup.View
 	// following holds the primary that each member follows.
 	following map[cwgroup.MemberID]cwgroup.MemberID
 	// stoppingSince holds since when this proxy has known that a member stops.
 	stoppingSince map[cwgroup.MemberID]time.Time
-	detector      Detector[ByProxiesAndReplicas]
+	detector      Detector[ProxiesAndReplicasPolicy]
 
 	// attempt is the current change of primary; nil if there is none.
-	attempt          *Keeper
+	attempt          *Attempt
 	attemptStartedAt time.Time
 	// oldPrimary is the last report of the primary that the attempt replaces.
 	oldPrimary cwgroup.Report
@@ -130,32 +130,32 @@
 func NewSupervisor(self InstanceID, seed, group string, members []cwgroup.MemberID) *Supervisor {
 	return &Supervisor{
 		Self:          self,
-		Seed:          seed,
+		ClaimSeed:     seed,
 		view:          cwgroup.NewView(group, members),
 		following:     make(map[cwgroup.MemberID]cwgroup.MemberID),
 		stoppingSince: make(map[cwgroup.MemberID]time.Time),
-		detector:      Detector[ByProxiesAndReplicas]{Self: self},
+		detector:      Detector[ProxiesAndReplicasPolicy]{Self: self},
 	}
 }
 
 // View returns the current view of the group.
 func (s *Supervisor) View() cwgroup.View { return s.view }
 
-// Keeping reports whether this proxy is currently changing the primary.
-func (s *Supervisor) Keeping() bool { return s.attempt != nil }
+// ChangingPrimary reports whether this proxy is currently changing the primary.
+func (s *Supervisor) ChangingPrimary() bool { return s.attempt != nil }
 
-// Report records a member's report and the primary that it follows. It returns true
+// AddReport records a member's report and the primary that it follows. It returns true
 // if this proxy's vote changed, in which case the other proxies should be notified
 // immediately.
-func (s *Supervisor) Report(r cwgroup.Report, following cwgroup.MemberID, now time.Time) bool {
+func (s *Supervisor) AddReport(r cwgroup.Report, following cwgroup.MemberID, now time.Time) bool {
 	s.view = s.view.WithReport(r)
 	s.following[r.Member] = following
 	return s.updateVote(now)
 }
 
-// ReportLatest records a report like Report, for members that can forget an adopted
+// AddLatestReport records a report like Report, for members that can forget an adopted
 // term; see cwgroup.View.WithLatest.
-func (s *Supervisor) ReportLatest(r cwgroup.Report, now time.Time) {
+func (s *Supervisor) AddLatestReport(r cwgroup.Report, now time.Time) {
 	s.view = s.view.WithLatest(r)
 	if p, ok := s.view.Primary(); ok && r.Role == cwgroup.RoleReplica {
 		// Members of this kind find their primary themselves.
@@ -164,21 +164,21 @@
 	s.updateVote(now)
 }
 
-// Forget records that a member has restarted and lost its state. Its earlier
+// MemberRestarted records that a member has restarted and lost its state. Its earlier
 // reports no longer count, nor does its fence in a change of primary that is in
 // progress.
-func (s *Supervisor) Forget(id cwgroup.MemberID, now time.Time) {
+func (s *Supervisor) MemberRestarted(id cwgroup.MemberID, now time.Time) {
 	s.view = s.view.WithForgotten(id)
 	delete(s.following, id)
 	if s.attempt != nil {
-		s.attempt.Forget(id)
+		s.attempt.MemberRestarted(id)
 	}
 	s.updateVote(now)
 }
 
-// SetReplaced records that the primaries of term t and of all earlier terms have
+// SetReplacedTerm records that the primaries of term t and of all earlier terms have
 // been replaced.
-func (s *Supervisor) SetReplaced(t cwgroup.Term, now time.Time) {
+func (s *Supervisor) SetReplacedTerm(t cwgroup.Term, now time.Time) {
 	if t <= s.view.Replaced() {
 		return
 	}
@@ -193,11 +193,11 @@
 }
 
 // Suspects reports whether this proxy suspects the primary.
-func (s *Supervisor) Suspects() bool { return s.detector.Own().Suspect }
+func (s *Supervisor) Suspects() bool { return s.detector.OwnVote().Suspect }
 
-// Unreachable records that a new connection to the member failed. It returns true
+// SetUnreachable records that a new connection to the member failed. It returns true
 // if this proxy's vote changed.
-func (s *Supervisor) Unreachable(id cwgroup.MemberID, now time.Time) bool {
+func (s *Supervisor) SetUnreachable(id cwgroup.MemberID, now time.Time) bool {
 	s.view = s.view.WithUnreachable(id)
 	return s.updateVote(now)
 }
@@ -209,14 +209,14 @@
 // replicate from it.
 func (s *Supervisor) updateVote(now time.Time) bool {
 	p, ok := s.view.Primary()
-	return s.detector.SetOwn(s.view.Term(), !ok || !p.Reachable || primaryLostQuorum(s.view, now), now)
+	return s.detector.SetOwnVote(s.view.Term(), !ok || !p.Reachable || primaryLostQuorum(s.view, now), now)
 }
 
 // Vote returns this proxy's vote.
-func (s *Supervisor) Vote() Vote { return s.detector.Own() }
+func (s *Supervisor) Vote() Vote { return s.detector.OwnVote() }
 
-// ObserveVote records another proxy's vote.
-func (s *Supervisor) ObserveVote(v Vote) { s.detector.Observe(v) }
+// AddVote records another proxy's vote.
+func (s *Supervisor) AddVote(v Vote) { s.detector.AddVote(v) }
 
 // SetStopping sets the members that are being stopped as planned. The time at which
 // each was first set is kept.
@@ -239,7 +239,7 @@
 }
 
 // Tick advances the time to now and returns the commands to execute.
-func (s *Supervisor) Tick(now time.Time, c Conditions) []Order {
+func (s *Supervisor) Tick(now time.Time, c TickInputs) []Command {
 	if s.attempt != nil {
 		return s.attempt.Tick(now)
 	}
@@ -249,17 +249,17 @@
 	if now.Before(s.repairAt) || now.Before(s.retryAt) {
 		return nil
 	}
-	s.repairAt = now.Add(RepairEvery)
-	return Repairs(s.view, s.following, now)
+	s.repairAt = now.Add(RepairInterval)
+	return RepairCommands(s.view, s.following, now)
 }
 
 // startIfNeeded decides whether this proxy starts to change the primary and, if so,
 // creates the attempt and returns true.
-func (s *Supervisor) startIfNeeded(now time.Time, c Conditions) bool {
-	if now.Before(s.retryAt) || c.Pending {
+func (s *Supervisor) startIfNeeded(now time.Time, c TickInputs) bool {
+	if now.Before(s.retryAt) || c.OtherChangePending {
 		return false
 	}
-	if s.detector.Decide(s.view, c.Listed, now) {
+	if s.detector.ShouldReplace(s.view, c.ListedProxies, now) {
 		if !s.rankDelayPassed(now, c) {
 			return false
 		}
@@ -283,45 +283,45 @@
 
 // rankDelayPassed reports whether the proxies with smaller ranks have had enough
 // time to start first.
-func (s *Supervisor) rankDelayPassed(now time.Time, c Conditions) bool {
+func (s *Supervisor) rankDelayPassed(now time.Time, c TickInputs) bool {
 	if s.mayStartAt.IsZero() {
 		s.mayStartAt = now.Add(time.Duration(c.Rank) * RankDelay)
 	}
 	return !now.Before(s.mayStartAt)
 }
 
-func (s *Supervisor) start(now time.Time, c Conditions, planned bool) {
+func (s *Supervisor) start(now time.Time, c TickInputs, planned bool) {
 	s.claimCount++
 	s.attemptStartedAt, s.planned = now, planned
 	s.oldPrimary, _ = s.view.Primary()
 	plan := Plan{
-		Group:        s.view.Name(),
-		Members:      s.view.Members(),
-		Size:         s.view.Size(),
-		Settled:      s.view.Settled(),
-		Replaces:     max(s.view.Term(), s.view.Replaced()),
-		Term:         max(NextTerm(s.view), c.RowTerm+1),
-		Claim:        cwgroup.ClaimID(fmt.Sprintf("%s-%s-%d", s.Self, s.Seed, s.claimCount)),
-		ChecksTerm:   c.ChecksTerm,
-		WithoutTable: c.WithoutTable,
-		Prefer:       s.oldPrimary.Member,
+		Group:            s.view.Name(),
+		Members:          s.view.Members(),
+		Size:             s.view.Size(),
+		StableSize:       s.view.Settled(),
+		ReplacedTerm:     max(s.view.Term(), s.view.Replaced()),
+		Term:             max(NextTerm(s.view), c.RowTerm+1),
+		Claim:            cwgroup.ClaimID(fmt.Sprintf("%s-%s-%d", s.Self, s.ClaimSeed, s.claimCount)),
+		MembersCheckTerm: c.MembersCheckTerm,
+		WithoutTable:     c.WithoutTable,
+		Preferred:        s.oldPrimary.Member,
 	}
 	if planned {
-		plan.Avoid, plan.Prefer = s.oldPrimary.Member, ""
+		plan.LeavingPrimary, plan.Preferred = s.oldPrimary.Member, ""
 	} else if s.oldPrimary.Reachable && primaryLostQuorum(s.view, now) {
-		plan.Exclude = s.oldPrimary.Member
+		plan.ExcludedPrimary = s.oldPrimary.Member
 	}
-	s.attempt = NewKeeper(plan)
+	s.attempt = NewAttempt(plan)
 }
 
 // readyForPlannedChange reports whether a stopping primary can be replaced without
 // interrupting any transaction: every proxy has known of the stop long enough not
 // to begin new transactions there, no write transaction is open, and a member that
 // is not stopping has the complete log.
-func (s *Supervisor) readyForPlannedChange(now time.Time, c Conditions) bool {
+func (s *Supervisor) readyForPlannedChange(now time.Time, c TickInputs) bool {
 	p, ok := s.view.Primary()
 	knownSince, isStopping := s.stoppingSince[p.Member]
-	if !ok || !isStopping || now.Sub(knownSince) < StopSpread || c.OpenWrites > 0 {
+	if !ok || !isStopping || now.Sub(knownSince) < StopPropagationTime || c.OpenWrites > 0 {
 		return false
 	}
 	if p.OpenWrites > 0 || !p.Reachable || now.Sub(p.At) > drainReportMaxAge {
@@ -336,55 +336,55 @@
 	return false
 }
 
-// strandedTooLong reports whether a member has been stranded for StrandedFor, while
+// strandedTooLong reports whether a member has been stranded for StrandedTimeout, while
 // a majority of the members was reachable. Only the proxy of rank 0 reports it.
-func (s *Supervisor) strandedTooLong(now time.Time, c Conditions) bool {
-	if c.Rank != 0 || !Stranded(s.view, now) || !majorityReachable(s.view, now.Add(-drainReportMaxAge), now) {
+func (s *Supervisor) strandedTooLong(now time.Time, c TickInputs) bool {
+	if c.Rank != 0 || !HasStrandedMember(s.view, now) || !majorityReachable(s.view, now.Add(-drainReportMaxAge), now) {
 		s.strandedSince = time.Time{}
 		return false
 	}
 	if s.strandedSince.IsZero() {
 		s.strandedSince = now
 	}
-	return now.Sub(s.strandedSince) >= StrandedFor
+	return now.Sub(s.strandedSince) >= StrandedTimeout
 }
 
 // Handle processes the response to a command and returns the next commands.
 // Responses to commands of an earlier attempt are ignored.
-func (s *Supervisor) Handle(ev Event, now time.Time) []Order {
+func (s *Supervisor) Handle(ev Response, now time.Time) []Command {
 	if s.attempt == nil || ev.Claim != s.attempt.plan.Claim {
 		return nil
 	}
 	return s.attempt.Handle(ev, now)
 }
 
-// Ended returns the result of the current attempt once it has ended, and clears the
+// TakeResult returns the result of the current attempt once it has ended, and clears the
 // attempt.
-func (s *Supervisor) Ended(now time.Time, c Conditions) (Result, bool) {
+func (s *Supervisor) TakeResult(now time.Time, c TickInputs) (Result, bool) {
 	k := s.attempt
 	if k == nil || !k.Ended() {
 		return Result{}, false
 	}
 	s.attempt = nil
 	s.mayStartAt, s.strandedSince = time.Time{}, time.Time{}
-	s.retryAt = now.Add(RetryChange + time.Duration(c.Rank)*RankDelay)
+	s.retryAt = now.Add(RetryDelay + time.Duration(c.Rank)*RankDelay)
 	return Result{
-		Plan: k.plan, Before: s.oldPrimary, Primary: k.newPrimary, Reason: k.reason, Planned: s.planned, Took: now.Sub(s.attemptStartedAt),
+		Plan: k.plan, OldPrimary: s.oldPrimary, NewPrimary: k.newPrimary, Reason: k.reason, Planned: s.planned, Duration: now.Sub(s.attemptStartedAt),
 	}, true
 }
 
 // MayClaim reports whether the row may be claimed for term t. That is the case if
 // the row's change is finished and of an earlier term, if the unfinished claim is
 // this proxy's own and not of a later term, or if this proxy has seen the same
-// claim of another proxy for at least ClaimLife. Clocks of different machines are
+// claim of another proxy for at least ClaimTTL. Clocks of different machines are
 // never compared.
 func (s *Supervisor) MayClaim(row Row, t cwgroup.Term, now time.Time) bool {
-	if row.Done || row.Keeper == s.Self {
+	if row.Done || row.Owner == s.Self {
 		return row.Term < t || row.Term == t && !row.Done
 	}
 	if s.otherClaim != row.Claim {
 		s.otherClaim, s.otherSince = row.Claim, now
 		return false
 	}
-	return now.Sub(s.otherSince) >= ClaimLife
+	return now.Sub(s.otherSince) >= ClaimTTL
 }
--- a/internal/core/cwproof/proxy_test.go
+++ b/internal/core/cwproof/proxy_test.go
@@ -58,7 +58,7 @@
 
 func (p *proxy) report(s cwgroup.Status, following cwgroup.MemberID, asked time.Time) {
 	p.heard[s.Member] = p.w.now
-	if p.sup.Report(cwgroup.Report{Status: s, At: p.w.now, Reachable: true}, following, p.w.now) {
+	if p.sup.AddReport(cwgroup.Report{Status: s, At: p.w.now, Reachable: true}, following, p.w.now) {
 		p.beat()
 	}
 	if pr, ok := p.sup.View().Primary(); ok && pr.Member == s.Member {
@@ -88,7 +88,7 @@
 }
 
 func (p *proxy) unreachable(id cwgroup.MemberID) {
-	if p.sup.Unreachable(id, p.w.now) {
+	if p.sup.SetUnreachable(id, p.w.now) {
 		p.beat()
 	}
 }
@@ -101,19 +101,19 @@
 		}
 		p.w.send(p.name, o.name, func() {
 			o.do(func() {
-				v.At = p.w.now
-				o.sup.ObserveVote(v)
+				v.ReceivedAt = p.w.now
+				o.sup.AddVote(v)
 			})
 		})
 	}
 }
 
-func (p *proxy) conditions() cwfailover.Conditions {
-	return cwfailover.Conditions{
-		Listed:       len(p.w.proxies),
-		Rank:         p.index,
-		ChecksTerm:   p.w.opts.checksTerm,
-		WithoutTable: p.w.opts.withoutTable,
+func (p *proxy) conditions() cwfailover.TickInputs {
+	return cwfailover.TickInputs{
+		ListedProxies:    len(p.w.proxies),
+		Rank:             p.index,
+		MembersCheckTerm: p.w.opts.checksTerm,
+		WithoutTable:     p.w.opts.withoutTable,
 	}
 }
 
@@ -125,19 +125,19 @@
 	}
 	p.tracker.Observe(p.sup.View(), p.w.now)
 	orders := p.sup.Tick(p.w.now, p.conditions())
-	if r, ok := p.sup.Ended(p.w.now, p.conditions()); ok && r.Changed() {
+	if r, ok := p.sup.TakeResult(p.w.now, p.conditions()); ok && r.Changed() {
 		p.changes++
 	}
 	p.dispatch(orders)
 }
 
 // dispatch sends orders a moment later; the proxy may be paused in between.
-func (p *proxy) dispatch(orders []cwfailover.Order) {
+func (p *proxy) dispatch(orders []cwfailover.Command) {
 	for _, o := range orders {
 		p.w.after(p.w.delay()/4, func() {
 			p.do(func() {
 				if p.w.now.After(o.NotAfter) {
-					p.handle(cwfailover.Event{Kind: o.Kind, Member: o.Member, Claim: o.Claim, Failed: true, Row: cwfailover.RowUnavailable})
+					p.handle(cwfailover.Response{Kind: o.Kind, Member: o.Member, Claim: o.Claim, Failed: true, RowOutcome: cwfailover.RowUnavailable})
 					return
 				}
 				p.carry(o)
@@ -146,15 +146,15 @@
 	}
 }
 
-func (p *proxy) handle(ev cwfailover.Event) {
+func (p *proxy) handle(ev cwfailover.Response) {
 	p.dispatch(p.sup.Handle(ev, p.w.now))
 }
 
 // carry takes an order to a member or the table.
-func (p *proxy) carry(o cwfailover.Order) {
-	ev := cwfailover.Event{Kind: o.Kind, Member: o.Member, Claim: o.Claim}
+func (p *proxy) carry(o cwfailover.Command) {
+	ev := cwfailover.Response{Kind: o.Kind, Member: o.Member, Claim: o.Claim}
 	switch o.Kind {
-	case cwfailover.ClaimRow, cwfailover.ReadRow, cwfailover.AnnounceRow, cwfailover.RecordRow:
+	case cwfailover.WriteClaim, cwfailover.ReadClaim, cwfailover.RecordReplacedTerm, cwfailover.RecordPrimary:
 		p.askTable(o, ev)
 		return
 	}
@@ -173,7 +173,7 @@
 		m.do(func() {
 			ok := false
 			switch o.Kind {
-			case cwfailover.Adopt:
+			case cwfailover.AdoptTerm:
 				ok = m.adopt(o.Term, o.Claim)
 			case cwfailover.Promote:
 				ok = m.promote(o.Term, o.Claim)
@@ -204,10 +204,10 @@
 }
 
 // askTable reads the row, and changes it if it is still as it was read.
-func (p *proxy) askTable(o cwfailover.Order, ev cwfailover.Event) {
+func (p *proxy) askTable(o cwfailover.Command, ev cwfailover.Response) {
 	t := p.w.table
 	answer := func(out cwfailover.RowOutcome) {
-		ev.Row = out
+		ev.RowOutcome = out
 		p.w.after(p.w.delay(), func() { p.do(func() { p.handle(ev) }) })
 	}
 	if t.down || p.w.cuts[link(p.name, "table")] > 0 {
@@ -218,19 +218,19 @@
 		row, version := t.row, t.version
 		p.do(func() {
 			mine := row.claim == o.Claim
-			cwRow := cwfailover.Row{Term: row.term, Claim: row.claim, Keeper: cwfailover.InstanceID(row.keeper), Done: row.done || row.term == 0}
+			cwRow := cwfailover.Row{Term: row.term, Claim: row.claim, Owner: cwfailover.InstanceID(row.keeper), Done: row.done || row.term == 0}
 			switch {
-			case o.Kind == cwfailover.ReadRow && mine:
-				answer(cwfailover.RowDone)
+			case o.Kind == cwfailover.ReadClaim && mine:
+				answer(cwfailover.RowConfirmed)
 				return
-			case o.Kind == cwfailover.ReadRow,
-				o.Kind == cwfailover.AnnounceRow && !mine,
-				o.Kind == cwfailover.ClaimRow && !mine && !p.sup.MayClaim(cwRow, o.Term, p.w.now),
-				o.Kind == cwfailover.RecordRow && row.term > o.Term:
+			case o.Kind == cwfailover.ReadClaim,
+				o.Kind == cwfailover.RecordReplacedTerm && !mine,
+				o.Kind == cwfailover.WriteClaim && !mine && !p.sup.MayClaim(cwRow, o.Term, p.w.now),
+				o.Kind == cwfailover.RecordPrimary && row.term > o.Term:
 				answer(cwfailover.RowConflict)
 				return
 			}
-			next := tableRow{term: o.Term, claim: o.Claim, keeper: p.name, done: o.Kind == cwfailover.RecordRow}
+			next := tableRow{term: o.Term, claim: o.Claim, keeper: p.name, done: o.Kind == cwfailover.RecordPrimary}
 			p.w.after(p.w.delay()+t.slow, func() { p.commitRow(next, version, answer) })
 		})
 	})
@@ -252,7 +252,7 @@
 			answer(cwfailover.RowUnknown)
 			return
 		}
-		answer(cwfailover.RowDone)
+		answer(cwfailover.RowConfirmed)
 	}
 }
 
--- a/internal/proxy/cwclaim/claim.go
+++ b/internal/proxy/cwclaim/claim.go
@@ -23,7 +23,7 @@
 // follows.
 const KeyPrefix = "group/"
 
-// rowBody is the JSON encoding of a group's row; see cwfailover.Row.
+// rowBody is the JSON encoding of a group's row; see cwfailover.RowOutcome.
 type rowBody struct {
 	Term    uint64 `json:"term"`
 	Claim   string `json:"claim"`
@@ -46,13 +46,13 @@
 		return cwfailover.Row{}, err
 	}
 	return cwfailover.Row{
-		Term:     cwgroup.Term(b.Term),
-		Claim:    cwgroup.ClaimID(b.Claim),
-		Keeper:   cwfailover.InstanceID(b.Owner),
-		Primary:  cwgroup.MemberID(b.Primary),
-		Replaced: cwgroup.Term(b.Replaced),
-		Members:  b.Members,
-		Done:     b.Done,
+		Term:         cwgroup.Term(b.Term),
+		Claim:        cwgroup.ClaimID(b.Claim),
+		Owner:        cwfailover.InstanceID(b.Owner),
+		Primary:      cwgroup.MemberID(b.Primary),
+		ReplacedTerm: cwgroup.Term(b.Replaced),
+		GroupSize:    b.Members,
+		Done:         b.Done,
 	}, nil
 }
 
@@ -60,15 +60,15 @@
 	return json.Marshal(rowBody{
 		Term:     uint64(r.Term),
 		Claim:    string(r.Claim),
-		Owner:    string(r.Keeper),
+		Owner:    string(r.Owner),
 		Primary:  string(r.Primary),
-		Replaced: uint64(r.Replaced),
-		Members:  r.Members,
+		Replaced: uint64(r.ReplacedTerm),
+		Members:  r.GroupSize,
 		Done:     r.Done,
 	})
 }
 
-// Claims executes the table commands of a cwfailover.Keeper for one group.
+// Claims executes the table commands of a cwfailover.Owner for one group.
 type Claims struct {
 	Table cwplatform.Table
 	// Group is the group's name.
@@ -88,26 +88,26 @@
 
 // Send executes one command. It reads the row first; the outcome is RowUnavailable
 // if that fails.
-func (c Claims) Send(ctx context.Context, o cwfailover.Order) Result {
+func (c Claims) Send(ctx context.Context, o cwfailover.Command) Result {
 	row, tag, err := c.Read(ctx)
 	if err != nil {
 		return Result{Outcome: cwfailover.RowUnavailable}
 	}
 	isOwnClaim := row.Claim == o.Claim
 	switch {
-	case o.Kind == cwfailover.ReadRow && isOwnClaim:
-		return Result{Outcome: cwfailover.RowDone, Tag: tag}
-	case o.Kind == cwfailover.ReadRow,
-		o.Kind == cwfailover.AnnounceRow && !isOwnClaim,
-		o.Kind == cwfailover.ClaimRow && !isOwnClaim && !c.MayClaim(row, o.Term),
-		o.Kind == cwfailover.RecordRow && row.Term > o.Term:
+	case o.Kind == cwfailover.ReadClaim && isOwnClaim:
+		return Result{Outcome: cwfailover.RowConfirmed, Tag: tag}
+	case o.Kind == cwfailover.ReadClaim,
+		o.Kind == cwfailover.RecordReplacedTerm && !isOwnClaim,
+		o.Kind == cwfailover.WriteClaim && !isOwnClaim && !c.MayClaim(row, o.Term),
+		o.Kind == cwfailover.RecordPrimary && row.Term > o.Term:
 		return Result{Outcome: cwfailover.RowConflict, Tag: tag}
 	}
-	next := cwfailover.Row{Term: o.Term, Claim: o.Claim, Keeper: c.Self, Primary: row.Primary, Replaced: row.Replaced, Members: row.Members}
-	if o.Kind != cwfailover.ClaimRow {
-		next.Replaced, next.Members = max(row.Replaced, o.Replaced), o.Members
+	next := cwfailover.Row{Term: o.Term, Claim: o.Claim, Owner: c.Self, Primary: row.Primary, ReplacedTerm: row.ReplacedTerm, GroupSize: row.GroupSize}
+	if o.Kind != cwfailover.WriteClaim {
+		next.ReplacedTerm, next.GroupSize = max(row.ReplacedTerm, o.ReplacedTerm), o.GroupSize
 	}
-	if o.Kind == cwfailover.RecordRow {
+	if o.Kind == cwfailover.RecordPrimary {
 		next.Primary, next.Done = o.Primary, true
 	}
 	return Result{Outcome: c.writeRow(ctx, next, tag), Tag: tag}
@@ -131,7 +131,7 @@
 // a finished one of an earlier term.
 func precedes(row, known cwfailover.Row) bool {
 	if row.Claim == known.Claim {
-		return known.Done && !row.Done || row.Replaced < known.Replaced
+		return known.Done && !row.Done || row.ReplacedTerm < known.ReplacedTerm
 	}
 	return row.Done && row.Term < known.Term
 }
@@ -165,7 +165,7 @@
 	var unknown *cwplatform.UnknownError
 	switch {
 	case err == nil:
-		return cwfailover.RowDone
+		return cwfailover.RowConfirmed
 	case errors.As(err, &conflict):
 		return cwfailover.RowConflict
 	case errors.As(err, &unknown):
--- a/internal/proxy/cwengine/groups_test.go
+++ b/internal/proxy/cwengine/groups_test.go
@@ -36,7 +36,7 @@
 	front.SetCatalogue(c)
 	_, made := front.Group("other1")
 	env.c.Assert(made, qt.IsFalse)
-	front.SetRow("other1", cwfailover.Row{Term: 3, Claim: "x", Keeper: "y"})
+	front.SetRow("other1", cwfailover.Row{Term: 3, Claim: "x", Owner: "y"})
 	g, ok := front.ensureGroup("other1")
 	env.c.Assert(ok, qt.IsTrue)
 	_, err := g.Primary()
--- a/internal/proxy/cwengine/membership.go
+++ b/internal/proxy/cwengine/membership.go
@@ -100,7 +100,7 @@
 // members, so it counts only if there is no such row. Any instance that has been
 // running since then writes the row of the members again.
 func (e *Engine) newlyRecordedSize(service string, started bool) int {
-	r := recordedSize{row: e.rows[service].Members}
+	r := recordedSize{row: e.rows[service].GroupSize}
 	if e.cfg.Recorded != nil {
 		r.members = e.cfg.Recorded(service)
 	}
--- a/internal/proxy/cwlead/health.go
+++ b/internal/proxy/cwlead/health.go
@@ -29,7 +29,7 @@
 		g.wake()
 	}
 	g.unreachable[to.ID] = true
-	g.sup.Unreachable(to.ID, now)
+	g.sup.SetUnreachable(to.ID, now)
 	g.updateReachability(now)
 	g.notify()
 }
--- a/internal/proxy/cwlead/loop.go
+++ b/internal/proxy/cwlead/loop.go
@@ -25,7 +25,7 @@
 	if row == g.row || row.Term < g.row.Term || row.Claim == g.row.Claim && g.row.Done {
 		return
 	}
-	g.cfg.Log.Info("claimSeen", "group", g.cfg.Service, "term", row.Term, "claim", row.Claim, "keeper", row.Keeper, "primary", row.Primary, "done", row.Done)
+	g.cfg.Log.Info("claimSeen", "group", g.cfg.Service, "term", row.Term, "claim", row.Claim, "keeper", row.Owner, "primary", row.Primary, "done", row.Done)
 	g.row, g.rowSeenAt, g.termWhenRowSeen = row, g.cfg.Clock.Now(), g.term
 	if p, ok := g.sup.View().Primary(); ok && p.Member == row.Primary && g.term > 0 {
 		// The change of primary that the row records is already visible.
@@ -37,11 +37,11 @@
 // observeReplacedTerms records which terms have been replaced according to the row. The
 // caller holds mu.
 func (g *Group) observeReplacedTerms(row cwfailover.Row) {
-	if row.Replaced <= g.sup.View().Replaced() {
+	if row.ReplacedTerm <= g.sup.View().Replaced() {
 		return
 	}
-	g.sup.SetReplaced(row.Replaced, g.cfg.Clock.Now())
-	g.cfg.Log.Info("termsReplaced", "group", g.cfg.Service, "upTo", row.Replaced, "known", g.term, "claim", row.Claim, "keeper", row.Keeper)
+	g.sup.SetReplacedTerm(row.ReplacedTerm, g.cfg.Clock.Now())
+	g.cfg.Log.Info("termsReplaced", "group", g.cfg.Service, "upTo", row.ReplacedTerm, "known", g.term, "claim", row.Claim, "keeper", row.Owner)
 	g.notify()
 }
 
@@ -95,7 +95,7 @@
 // changed. The caller holds mu.
 func (g *Group) unsettled(now time.Time) bool {
 	p, ok := g.sup.View().Primary()
-	return !ok || g.sup.Suspects() || g.sup.Keeping() || g.claimInProgress(now) || g.promotionPending(now) || g.sup.Stopping(p.Member)
+	return !ok || g.sup.Suspects() || g.sup.ChangingPrimary() || g.claimInProgress(now) || g.promotionPending(now) || g.sup.Stopping(p.Member)
 }
 
 func (g *Group) tick(ctx context.Context, eg *errgroup.Group) {
@@ -113,12 +113,12 @@
 		return
 	}
 	g.resolveAckWaits(now)
-	c := cwfailover.Conditions{
-		Listed: assumedWatchers, Rank: g.rank, RowTerm: g.row.Term,
-		Pending: g.promotionPending(now) || g.rowMayBeLost(now) || g.claimInProgress(now) && !g.sup.Keeping(),
+	c := cwfailover.TickInputs{
+		ListedProxies: assumedWatchers, Rank: g.rank, RowTerm: g.row.Term,
+		OtherChangePending: g.promotionPending(now) || g.rowMayBeLost(now) || g.claimInProgress(now) && !g.sup.ChangingPrimary(),
 	}
 	orders := g.sup.Tick(now, c)
-	result, ended := g.sup.Ended(now, c)
+	result, ended := g.sup.TakeResult(now, c)
 	ask := g.membersToCheck(now)
 	g.mu.Unlock()
 	if ended {
@@ -189,7 +189,7 @@
 
 // dispatch executes orders, each in its own goroutine, and passes the results to the
 // supervisor, which may return further orders.
-func (g *Group) dispatch(ctx context.Context, eg *errgroup.Group, orders []cwfailover.Order) {
+func (g *Group) dispatch(ctx context.Context, eg *errgroup.Group, orders []cwfailover.Command) {
 	for _, o := range orders {
 		eg.Go(func() error {
 			ev := g.executeOrder(ctx, o)
@@ -206,9 +206,9 @@
 func (g *Group) logResult(r cwfailover.Result) {
 	if !r.Changed() {
 		g.cfg.Log.Warn("primaryNotChanged", "group", r.Plan.Group, "term", r.Plan.Term, "claim", r.Plan.Claim,
-			"reason", r.Reason, "tookMs", r.Took.Milliseconds())
+			"reason", r.Reason, "tookMs", r.Duration.Milliseconds())
 		return
 	}
-	g.cfg.Log.Info("primaryChanged", "group", r.Plan.Group, "term", r.Plan.Term, "claim", r.Plan.Claim, "before", r.Before.Member,
-		"after", r.Primary, "planned", r.Planned, "tookMs", r.Took.Milliseconds())
+	g.cfg.Log.Info("primaryChanged", "group", r.Plan.Group, "term", r.Plan.Term, "claim", r.Plan.Claim, "before", r.OldPrimary.Member,
+		"after", r.NewPrimary, "planned", r.Planned, "tookMs", r.Duration.Milliseconds())
 }
--- a/internal/proxy/cwlead/observe.go
+++ b/internal/proxy/cwlead/observe.go
@@ -148,7 +148,7 @@
 	if t <= 1 || t-1 <= g.sup.View().Replaced() {
 		return
 	}
-	g.sup.SetReplaced(t-1, now)
+	g.sup.SetReplacedTerm(t-1, now)
 	g.cfg.Log.Info("termsReplaced", "group", g.cfg.Service, "upTo", t-1, "known", g.term)
 }
 
@@ -165,7 +165,7 @@
 	if !ok {
 		return
 	}
-	g.sup.ReportLatest(r, now)
+	g.sup.AddLatestReport(r, now)
 	v := g.sup.View()
 	if p, ok := v.Primary(); ok {
 		if p.Reachable && p.At.After(g.primarySilentSince) {
--- a/internal/proxy/cwlead/order.go
+++ b/internal/proxy/cwlead/order.go
@@ -25,24 +25,24 @@
 
 // executeOrder executes one order of the supervisor and returns the outcome as an
 // event.
-func (g *Group) executeOrder(ctx context.Context, o cwfailover.Order) cwfailover.Event {
+func (g *Group) executeOrder(ctx context.Context, o cwfailover.Command) cwfailover.Response {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	ev := cwfailover.Event{Kind: o.Kind, Member: o.Member, Claim: o.Claim}
+	ev := cwfailover.Response{Kind: o.Kind, Member: o.Member, Claim: o.Claim}
 	// The process may have been suspended since the order was made, and another proxy
 	// may have taken over. The clock also counts the time of a suspension.
 	if g.cfg.Clock.Now().After(o.NotAfter) {
-		ev.Failed, ev.Row = true, cwfailover.RowUnavailable
+		ev.Failed, ev.RowOutcome = true, cwfailover.RowUnavailable
 		g.cfg.Log.Warn("orderTooLate", "group", g.cfg.Service, "order", o.Kind, "target", o.Member, "term", o.Term, "claim", o.Claim)
 		return ev
 	}
 	var err error
 	switch o.Kind {
-	case cwfailover.ClaimRow, cwfailover.ReadRow, cwfailover.AnnounceRow, cwfailover.RecordRow:
-		ev.Row = g.executeRowOrder(ctx, o)
-		g.cfg.Log.Info("order", "group", g.cfg.Service, "order", o.Kind, "term", o.Term, "claim", o.Claim, "row", ev.Row)
+	case cwfailover.WriteClaim, cwfailover.ReadClaim, cwfailover.RecordReplacedTerm, cwfailover.RecordPrimary:
+		ev.RowOutcome = g.executeRowOrder(ctx, o)
+		g.cfg.Log.Info("order", "group", g.cfg.Service, "order", o.Kind, "term", o.Term, "claim", o.Claim, "row", ev.RowOutcome)
 		return ev
-	case cwfailover.Adopt:
+	case cwfailover.AdoptTerm:
 		ev.Status, err = g.adopt(o)
 	case cwfailover.Promote:
 		err = g.promote(ctx, o)
@@ -55,11 +55,11 @@
 	return ev
 }
 
-func (g *Group) executeRowOrder(ctx context.Context, o cwfailover.Order) cwfailover.RowOutcome {
+func (g *Group) executeRowOrder(ctx context.Context, o cwfailover.Command) cwfailover.RowOutcome {
 	claims := cwclaim.Claims{Table: g.cfg.Table, Group: g.cfg.Service, Self: g.cfg.Self, MayClaim: g.mayClaim}
 	r := claims.Send(ctx, o)
-	readsBack := o.Kind == cwfailover.ReadRow || o.Kind == cwfailover.AnnounceRow
-	if !readsBack || r.Outcome != cwfailover.RowDone {
+	readsBack := o.Kind == cwfailover.ReadClaim || o.Kind == cwfailover.RecordReplacedTerm
+	if !readsBack || r.Outcome != cwfailover.RowConfirmed {
 		return r.Outcome
 	}
 	version, err := strconv.ParseUint(r.Tag, 10, 64)
@@ -94,7 +94,7 @@
 	if g.promotionPending(now) || g.rowMayBeLost(now) {
 		return false
 	}
-	if row.Done && row.Keeper != g.cfg.Self && row.Claim != "" && now.Sub(g.rowSeenAt) < g.cfg.Turn {
+	if row.Done && row.Owner != g.cfg.Self && row.Claim != "" && now.Sub(g.rowSeenAt) < g.cfg.Turn {
 		return false
 	}
 	return g.sup.MayClaim(row, t, now)
@@ -153,7 +153,7 @@
 
 // adopt stops a member from receiving records of a primary of an earlier term: a
 // replica is fenced, a primary is demoted to a replica.
-func (g *Group) adopt(o cwfailover.Order) (cwgroup.Status, error) {
+func (g *Group) adopt(o cwfailover.Command) (cwgroup.Status, error) {
 	var before cwgroup.Term
 	h, err := g.orderWithRetry(o.Member, func(t cwport.Target) (cwstatement.Health, error) {
 		h, err := t.Health()
@@ -179,7 +179,7 @@
 	return cwgroup.Status{Member: o.Member, Adopted: o.Term, Before: before, Claim: o.Claim, Last: h.Received}, nil
 }
 
-func (g *Group) promote(ctx context.Context, o cwfailover.Order) error {
+func (g *Group) promote(ctx context.Context, o cwfailover.Command) error {
 	g.mu.Lock()
 	fence := g.fencingToken
 	g.mu.Unlock()
@@ -198,7 +198,7 @@
 
 // follow makes a member that doesn't follow the primary rejoin the group: a replaced
 // primary is demoted to a replica.
-func (g *Group) follow(o cwfailover.Order) error {
+func (g *Group) follow(o cwfailover.Command) error {
 	_, err := g.orderWithRetry(o.Member, func(t cwport.Target) (cwstatement.Health, error) {
 		h, err := t.Health()
 		if err != nil {
--- a/internal/proxy/cwlead/place.go
+++ b/internal/proxy/cwlead/place.go
@@ -91,7 +91,7 @@
 // claimInProgress reports whether the row holds an unfinished claim that is still
 // within its life. The caller holds mu.
 func (g *Group) claimInProgress(now time.Time) bool {
-	return !g.row.Done && now.Sub(g.rowSeenAt) < cwfailover.ClaimLife
+	return !g.row.Done && now.Sub(g.rowSeenAt) < cwfailover.ClaimTTL
 }
 
 // promotionPending reports whether the row records a finished change whose primary has
--- a/internal/proxy/cwlead/reachability.go
+++ b/internal/proxy/cwlead/reachability.go
@@ -134,7 +134,7 @@
 func (g *Group) Idle(d time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.cfg.Clock.Now().Sub(g.lastUsedAt) >= d && !g.sup.Keeping()
+	return g.cfg.Clock.Now().Sub(g.lastUsedAt) >= d && !g.sup.ChangingPrimary()
 }
 
 // markUsed records that a statement uses the group. The caller holds mu.
@@ -176,5 +176,5 @@
 
 // watched reports whether this proxy watches the group. The caller holds mu.
 func (g *Group) watched(now time.Time) bool {
-	return !g.heldElsewhere || g.inUse(now) || g.sup.Keeping()
+	return !g.heldElsewhere || g.inUse(now) || g.sup.ChangingPrimary()
 }
--- a/internal/proxy/cwlead/replaced_test.go
+++ b/internal/proxy/cwlead/replaced_test.go
@@ -84,7 +84,7 @@
 	b := newTestGroup(t)
 	b.reportHealth("a", cwgroup.RolePrimary, 1, 100)
 	b.DialFailed(cwport.Endpoint{ID: "b"}, errUnavailable)
-	b.SetRow(cwfailover.Row{Term: 2, Claim: "k", Keeper: "y", Primary: "b", Replaced: 1, Done: true})
+	b.SetRow(cwfailover.Row{Term: 2, Claim: "k", Owner: "y", Primary: "b", ReplacedTerm: 1, Done: true})
 	_, err := b.Primary()
 	var none *NoPrimaryError
 	qt.Assert(t, errors.As(err, &none), qt.IsTrue)
--- a/internal/proxy/cwlead/restart.go
+++ b/internal/proxy/cwlead/restart.go
@@ -75,7 +75,7 @@
 	g.confirmedAt = time.Time{}
 	g.logProgress[id] = &logProgress{}
 	g.lag.Forget(id)
-	g.sup.Forget(id, now)
+	g.sup.MemberRestarted(id, now)
 	g.members[id].Pool.Cull(now)
 	g.notify()
 	go g.runFenceCheck(id, now)
--- a/internal/proxy/cwlead/restore.go
+++ b/internal/proxy/cwlead/restore.go
@@ -12,7 +12,7 @@
 // Within this time, any change of primary whose claim was lost reads its claim back and
 // ends, a member that it has promoted leads, and rows known to other proxies are
 // written again.
-const restoreClaimHold = cwfailover.ClaimLife
+const restoreClaimHold = cwfailover.ClaimTTL
 
 // SetEra sets the era of the table's data, and when this proxy learnt that the table
 // had been restored from an older copy; zero if it has not been.
@@ -30,7 +30,7 @@
 // was lost. The proxy that wrote the row checks first, so that most others find it
 // present. The caller holds mu.
 func (g *Group) restoreCheckDelay() time.Duration {
-	if g.row.Keeper == g.cfg.Self {
+	if g.row.Owner == g.cfg.Self {
 		return 0
 	}
 	return time.Duration(g.rank+1) * cwfailover.RankDelay
@@ -63,8 +63,8 @@
 	defer cancel()
 	outcome := cwclaim.Claims{Table: g.cfg.Table, Group: g.cfg.Service, Self: g.cfg.Self}.WriteAgain(ctx, row)
 	switch outcome {
-	case cwfailover.RowDone:
-		g.cfg.Log.Info("claimWrittenAgain", "group", g.cfg.Service, "term", row.Term, "claim", row.Claim, "keeper", row.Keeper, "done", row.Done)
+	case cwfailover.RowConfirmed:
+		g.cfg.Log.Info("claimWrittenAgain", "group", g.cfg.Service, "term", row.Term, "claim", row.Claim, "keeper", row.Owner, "done", row.Done)
 	case cwfailover.RowUnknown, cwfailover.RowUnavailable:
 		g.cfg.Log.Warn("claimNotWritten", "group", g.cfg.Service, "term", row.Term, "claim", row.Claim, "row", outcome)
 		return
--- a/internal/proxy/cwlead/restore_test.go
+++ b/internal/proxy/cwlead/restore_test.go
@@ -106,7 +106,7 @@
 	qt.Assert(t, b.claimable(), qt.IsFalse, qt.Commentf("an answer of the table has shown the restore"))
 	b.observeRestore(table)
 	qt.Assert(t, b.claimable(), qt.IsFalse)
-	b.clock.Advance(cwfailover.ClaimLife)
+	b.clock.Advance(cwfailover.ClaimTTL)
 	qt.Assert(t, b.claimable(), qt.IsTrue)
 }
 
@@ -115,8 +115,8 @@
 func TestClaimOfBeforeARestoreIsGivenUp(t *testing.T) {
 	const mine = `{"term":2,"claim":"x-1","keeper":"x"}`
 	b, table := newRestorableGroup(t, mine)
-	readBack := cwfailover.Order{Kind: cwfailover.ReadRow, Term: 2, Claim: "x-1"}
-	qt.Assert(t, b.executeRowOrder(context.Background(), readBack), qt.Equals, cwfailover.RowDone)
+	readBack := cwfailover.Command{Kind: cwfailover.ReadClaim, Term: 2, Claim: "x-1"}
+	qt.Assert(t, b.executeRowOrder(context.Background(), readBack), qt.Equals, cwfailover.RowConfirmed)
 	table.restore([]byte(mine))
 	qt.Assert(t, b.executeRowOrder(context.Background(), readBack), qt.Equals, cwfailover.RowConflict)
 	b.observeRestore(table)
@@ -136,7 +136,7 @@
 	qt.Assert(t, unchecked(), qt.IsTrue, qt.Commentf("an answer of the table has shown the restore"))
 	b.observeRestore(table)
 	qt.Assert(t, unchecked(), qt.IsTrue)
-	b.clock.Advance(cwfailover.ClaimLife)
+	b.clock.Advance(cwfailover.ClaimTTL)
 	qt.Assert(t, unchecked(), qt.IsFalse)
 }
 
@@ -160,7 +160,7 @@
 			b.observeRestore(table)
 			b.SetHeld(0, false)
 			qt.Assert(t, b.tickInterval(), qt.Equals, activeTick, qt.Commentf("even if others hold the group"))
-			b.runTicks(cwfailover.ClaimLife)
+			b.runTicks(cwfailover.ClaimTTL)
 			want, err := cwclaim.Decode([]byte(tc.want))
 			qt.Assert(t, err, qt.IsNil)
 			qt.Assert(t, table.row(t), qt.Equals, want)
--- a/internal/proxy/cwlead/suspect_test.go
+++ b/internal/proxy/cwlead/suspect_test.go
@@ -27,7 +27,7 @@
 			b.reportHealth("c", cwgroup.RoleReplica, 1, 100)
 			b.clock.Advance(time.Second)
 			b.suspectPrimary("a", b.clock.Now())
-			b.clock.Advance(cwfailover.StreamLost + time.Millisecond)
+			b.clock.Advance(cwfailover.UpstreamTimeout + time.Millisecond)
 			b.reportHealth("c", cwgroup.RoleReplica, 1, tc.received)
 			qt.Assert(t, b.hasLostUpstream("c"), qt.Equals, tc.lost)
 		})
@@ -56,7 +56,7 @@
 	defer b.mu.Unlock()
 	rep, ok := b.sup.View().Report(id)
 	qt.Assert(b.t, ok, qt.IsTrue)
-	return rep.UpstreamAge > cwfailover.StreamLost
+	return rep.UpstreamAge > cwfailover.UpstreamTimeout
 }
 
 // Guards against a busy loop: while a restarting replica's address refused connections
--- a/internal/proxy/cwwatch/group.go
+++ b/internal/proxy/cwwatch/group.go
@@ -161,11 +161,11 @@
 	c := g.conditions()
 	g.mu.Lock()
 	c.OpenWrites = g.openWrites
-	c.ChecksTerm, c.WithoutTable = g.contract.ChecksTerm, g.contract.FailoverWithoutTable
+	c.MembersCheckTerm, c.WithoutTable = g.contract.ChecksTerm, g.contract.FailoverWithoutTable
 	g.tracker.Observe(g.sup.View(), now)
 	g.measureGap(now)
 	orders := g.sup.Tick(now, c)
-	result, ended := g.sup.Ended(now, c)
+	result, ended := g.sup.TakeResult(now, c)
 	if ended {
 		g.notify()
 	}
@@ -178,12 +178,12 @@
 
 // conditions returns what is known of the other watchers. It calls Watchers without
 // holding the group's lock.
-func (g *Group) conditions() cwfailover.Conditions {
+func (g *Group) conditions() cwfailover.TickInputs {
 	live := g.cfg.Watchers.Live()
 	if !g.cachedRank.validFor(live) {
 		g.cachedRank = cachedRank{live: live, rank: cwplace.Rank(string(g.cfg.Self), g.cfg.Group.Name, live)}
 	}
-	return cwfailover.Conditions{Listed: len(live), Rank: g.cachedRank.rank}
+	return cwfailover.TickInputs{ListedProxies: len(live), Rank: g.cachedRank.rank}
 }
 
 // cachedRank is a rank with the list of instances that it was computed from. Hashing
@@ -203,7 +203,7 @@
 func (g *Group) Reported(r cwtarget.Report, sentAt time.Time) {
 	now := g.cfg.Clock.Now()
 	g.mu.Lock()
-	voteChanged := g.sup.Report(cwgroup.Report{Status: r.Status, At: now, Reachable: true}, r.Following, now)
+	voteChanged := g.sup.AddReport(cwgroup.Report{Status: r.Status, At: now, Reachable: true}, r.Following, now)
 	if p, ok := g.sup.View().Primary(); ok && p.Member == r.Member && r.Role == cwgroup.RolePrimary {
 		if at, ok := cwroute.ConfirmedAt(g.sup.View(), p, sentAt); ok && !sentAt.IsZero() {
 			g.history.Observe(r.Last, at)
@@ -221,7 +221,7 @@
 // Unreachable implements cwtarget.FeedEvents.
 func (g *Group) Unreachable(id cwgroup.MemberID) {
 	g.mu.Lock()
-	voteChanged := g.sup.Unreachable(id, g.cfg.Clock.Now())
+	voteChanged := g.sup.SetUnreachable(id, g.cfg.Clock.Now())
 	g.notify()
 	g.mu.Unlock()
 	g.publish(voteChanged)
@@ -258,8 +258,8 @@
 func (g *Group) ObserveVote(v cwfailover.Vote) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	v.At = g.cfg.Clock.Now()
-	g.sup.ObserveVote(v)
+	v.ReceivedAt = g.cfg.Clock.Now()
+	g.sup.AddVote(v)
 }
 
 // View returns the current view.
--- a/internal/proxy/cwwatch/orders.go
+++ b/internal/proxy/cwwatch/orders.go
@@ -18,7 +18,7 @@
 
 // dispatch executes orders, each in its own goroutine, and passes the results to the
 // supervisor, which may return further orders.
-func (g *Group) dispatch(ctx context.Context, eg *errgroup.Group, orders []cwfailover.Order) {
+func (g *Group) dispatch(ctx context.Context, eg *errgroup.Group, orders []cwfailover.Command) {
 	for _, o := range orders {
 		eg.Go(func() error {
 			ev := g.executeOrder(ctx, o)
@@ -36,28 +36,28 @@
 func (g *Group) recordResult(r cwfailover.Result) {
 	if !r.Changed() {
 		g.cfg.Log.Warn("primaryNotChanged", "group", r.Plan.Group, "term", r.Plan.Term,
-			"reason", r.Reason, "tookMs", r.Took.Milliseconds())
+			"reason", r.Reason, "tookMs", r.Duration.Milliseconds())
 		return
 	}
-	g.cfg.Log.Info("primaryChanged", "group", r.Plan.Group, "term", r.Plan.Term, "before", r.Before.Member,
-		"after", r.Primary, "planned", r.Planned, "tookMs", r.Took.Milliseconds())
+	g.cfg.Log.Info("primaryChanged", "group", r.Plan.Group, "term", r.Plan.Term, "before", r.OldPrimary.Member,
+		"after", r.NewPrimary, "planned", r.Planned, "tookMs", r.Duration.Milliseconds())
 	g.cfg.Journal.Record("primaryChanged", r.Plan.Group,
-		fmt.Sprintf("%s term %d", r.Before.Member, r.Before.Adopted), fmt.Sprintf("%s term %d", r.Primary, r.Plan.Term))
+		fmt.Sprintf("%s term %d", r.OldPrimary.Member, r.OldPrimary.Adopted), fmt.Sprintf("%s term %d", r.NewPrimary, r.Plan.Term))
 }
 
 // executeOrder executes one order of the supervisor and returns the outcome as an
 // event.
-func (g *Group) executeOrder(ctx context.Context, o cwfailover.Order) cwfailover.Event {
-	ev := cwfailover.Event{Kind: o.Kind, Member: o.Member, Claim: o.Claim}
+func (g *Group) executeOrder(ctx context.Context, o cwfailover.Command) cwfailover.Response {
+	ev := cwfailover.Response{Kind: o.Kind, Member: o.Member, Claim: o.Claim}
 	// The process may have been paused since the order was made. The clock is
 	// monotonic; after NotAfter another proxy may have taken over.
 	if g.cfg.Clock.Now().After(o.NotAfter) {
-		ev.Failed, ev.Row = true, cwfailover.RowUnavailable
+		ev.Failed, ev.RowOutcome = true, cwfailover.RowUnavailable
 		return ev
 	}
 	switch o.Kind {
-	case cwfailover.ClaimRow, cwfailover.ReadRow, cwfailover.AnnounceRow, cwfailover.RecordRow:
-		ev.Row = g.claims().Send(ctx, o).Outcome
+	case cwfailover.WriteClaim, cwfailover.ReadClaim, cwfailover.RecordReplacedTerm, cwfailover.RecordPrimary:
+		ev.RowOutcome = g.claims().Send(ctx, o).Outcome
 		return ev
 	}
 	r, err := g.sendMemberOrder(ctx, o)
@@ -81,12 +81,12 @@
 }
 
 // sendMemberOrder sends an order to a member over its feed and returns its report.
-func (g *Group) sendMemberOrder(ctx context.Context, o cwfailover.Order) (cwtarget.Report, error) {
+func (g *Group) sendMemberOrder(ctx context.Context, o cwfailover.Command) (cwtarget.Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	feed := g.feeds[o.Member]
 	switch o.Kind {
-	case cwfailover.Adopt:
+	case cwfailover.AdoptTerm:
 		return feed.Adopt(ctx, o.Term, o.Claim)
 	case cwfailover.Promote:
 		return feed.Promote(ctx, o.Term, o.Claim)
--- a/internal/proxy/cwwatch/place.go
+++ b/internal/proxy/cwwatch/place.go
@@ -270,7 +270,7 @@
 		return
 	}
 	p.Last, p.Applied, p.At = m, m, now
-	g.sup.Report(p, "", now)
+	g.sup.AddReport(p, "", now)
 	g.lag.ObservePrimary(m, now)
 }
 
--- a/internal/wire/cwpeer/peer.go
+++ b/internal/wire/cwpeer/peer.go
@@ -133,7 +133,7 @@
 		Votes:    make(map[string]cwfailover.Vote, len(b.Votes)),
 	}
 	for g, v := range b.Votes {
-		h.Votes[g] = cwfailover.Vote{Voter: h.Instance, Term: cwgroup.Term(v.Term), Suspect: v.Suspect}
+		h.Votes[g] = cwfailover.Vote{Instance: h.Instance, Term: cwgroup.Term(v.Term), Suspect: v.Suspect}
 	}
 	return h
 }
--- a/internal/wire/cwpeer/peer_test.go
+++ b/internal/wire/cwpeer/peer_test.go
@@ -63,7 +63,7 @@
 
 func beat(vote bool) Heartbeat {
 	return Heartbeat{Instance: "entry-1", Revision: 7, Votes: map[string]cwfailover.Vote{
-		"g": {Voter: "entry-1", Term: 3, Suspect: vote},
+		"g": {Instance: "entry-1", Term: 3, Suspect: vote},
 	}}
 }
 
