--- a/cicadawalk.go
+++ b/cicadawalk.go
@@ -35,9 +35,9 @@
 	// Term counts the changes of primary of a group.
 	Term = cwgroup.Term
 	// Position counts the records of a log.
-	Position = cwgroup.Position
+	Position = cwgroup.LogIndex
 	// Mark is a place in a group's log.
-	Mark = cwgroup.Mark
+	Mark = cwgroup.LogPosition
 	// MemberID names a database.
 	MemberID = cwgroup.MemberID
 	// Role is what a member does in its group.
--- a/example_test.go
+++ b/example_test.go
@@ -14,9 +14,9 @@
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	members := []cicadawalk.MemberID{"a", "b", "c"}
 	report := func(id cicadawalk.MemberID, role cicadawalk.Role, pos cicadawalk.Position) cicadawalk.Report {
-		m := cicadawalk.Mark{Term: 1, Position: pos}
+		m := cicadawalk.Mark{Term: 1, Index: pos}
 		return cicadawalk.Report{
-			Status:    cicadawalk.Status{Member: id, Role: role, Adopted: 1, Last: m, Applied: m, UpstreamAge: time.Second},
+			Status:    cicadawalk.Status{Member: id, Role: role, AdoptedTerm: 1, Durable: m, Applied: m, UpstreamAge: time.Second},
 			At:        now,
 			Reachable: true,
 		}
@@ -26,7 +26,7 @@
 	sup.AddReport(report("b", cicadawalk.Replica, 7), "a", now)
 	sup.AddReport(report("c", cicadawalk.Replica, 5), "a", now)
 
-	wrote := cicadawalk.Mark{Term: 1, Position: 7}
+	wrote := cicadawalk.Mark{Term: 1, Index: 7}
 	var tracker cicadawalk.Tracker
 	tracker.Add(cicadawalk.Wait{Mark: wrote, Deadline: now.Add(time.Second), Done: func(o cicadawalk.Outcome) {
 		fmt.Println("write:", o)
--- a/internal/core/cwack/ack.go
+++ b/internal/core/cwack/ack.go
@@ -42,13 +42,13 @@
 }
 
 // Judge returns the outcome of a write at mark m, as seen in v at time now.
-func Judge(v cwgroup.View, m cwgroup.Mark, deadline, now time.Time) Outcome {
+func Judge(v cwgroup.View, m cwgroup.LogPosition, deadline, now time.Time) Outcome {
 	// The write of a replaced primary is not acknowledged even if a majority is
 	// reported to have it: the report may be older than the replacement.
 	if v.Superseded(m.Term) || v.Term() > m.Term {
 		return Superseded
 	}
-	if v.HeldByMajority(m) {
+	if v.OnMajority(m) {
 		return Acknowledged
 	}
 	if !now.Before(deadline) {
@@ -59,7 +59,7 @@
 
 // Wait is a write that waits for acknowledgement.
 type Wait struct {
-	Mark     cwgroup.Mark
+	Mark     cwgroup.LogPosition
 	Deadline time.Time
 	// Done is called once with the outcome. The package holds no lock during the
 	// call; Done must not block.
--- a/internal/core/cwack/ack_test.go
+++ b/internal/core/cwack/ack_test.go
@@ -11,7 +11,7 @@
 
 var now = time.Unix(1000, 0)
 
-func testView(adopted cwgroup.Term, last ...cwgroup.Position) cwgroup.View {
+func testView(adopted cwgroup.Term, last ...cwgroup.LogIndex) cwgroup.View {
 	ids := []cwgroup.MemberID{"a", "b", "c"}
 	v := cwgroup.NewView("g", ids)
 	for i, p := range last {
@@ -20,7 +20,7 @@
 			role = cwgroup.RolePrimary
 		}
 		v = v.WithReport(cwgroup.Report{Status: cwgroup.Status{
-			Member: ids[i], Role: role, Adopted: adopted, Last: cwgroup.Mark{Term: adopted, Position: p},
+			Member: ids[i], Role: role, AdoptedTerm: adopted, Durable: cwgroup.LogPosition{Term: adopted, Index: p},
 		}, At: now, Reachable: true})
 	}
 	return v
@@ -28,15 +28,15 @@
 
 func TestTracker(t *testing.T) {
 	var tr Tracker
-	got := map[cwgroup.Position]Outcome{}
-	add := func(term cwgroup.Term, p cwgroup.Position, d time.Duration) {
-		tr.Add(Wait{Mark: cwgroup.Mark{Term: term, Position: p}, Deadline: now.Add(d), Done: func(o Outcome) { got[p] = o }})
+	got := map[cwgroup.LogIndex]Outcome{}
+	add := func(term cwgroup.Term, p cwgroup.LogIndex, d time.Duration) {
+		tr.Add(Wait{Mark: cwgroup.LogPosition{Term: term, Index: p}, Deadline: now.Add(d), Done: func(o Outcome) { got[p] = o }})
 	}
 	add(1, 5, time.Second)
 	add(1, 6, time.Second)
 	add(1, 7, time.Millisecond)
 	tr.Observe(testView(1, 7, 5, 3), now)
-	qt.Assert(t, got, qt.DeepEquals, map[cwgroup.Position]Outcome{5: Acknowledged})
+	qt.Assert(t, got, qt.DeepEquals, map[cwgroup.LogIndex]Outcome{5: Acknowledged})
 	tr.Observe(testView(1, 7, 5, 3), now.Add(time.Millisecond))
 	qt.Assert(t, got[7], qt.Equals, TimedOut)
 	// The primary is replaced; a late report of the old term must not count.
--- a/internal/core/cwfailover/attempt.go
+++ b/internal/core/cwfailover/attempt.go
@@ -65,7 +65,7 @@
 )
 
 // NextTerm returns the term that the next change of primary would move to.
-func NextTerm(v cwgroup.View) cwgroup.Term { return v.Highest() + 1 }
+func NextTerm(v cwgroup.View) cwgroup.Term { return v.HighestTerm() + 1 }
 
 // Attempt carries out one attempt to change the primary, according to a Plan. Create
 // one with NewAttempt. It is not safe for concurrent use.
@@ -330,7 +330,7 @@
 	if k.phase != PhasePromoting {
 		return nil
 	}
-	if ev.Status.Adopted > k.plan.Term {
+	if ev.Status.AdoptedTerm > k.plan.Term {
 		k.abandon(ReasonHigherTerm)
 		return nil
 	}
--- a/internal/core/cwfailover/fence.go
+++ b/internal/core/cwfailover/fence.go
@@ -28,18 +28,18 @@
 }
 
 func (k *Attempt) handleAdopt(ev Response, now time.Time) []Command {
-	if ev.Status.Adopted > k.plan.Term {
+	if ev.Status.AdoptedTerm > k.plan.Term {
 		k.abandon(ReasonHigherTerm)
 		return nil
 	}
 	if k.phase != PhaseFencing || ev.Member == k.plan.ExcludedPrimary {
 		return nil
 	}
-	if ev.Failed || ev.Status.Adopted != k.plan.Term || ev.Status.Claim != k.plan.Claim {
+	if ev.Failed || ev.Status.AdoptedTerm != k.plan.Term || ev.Status.Claim != k.plan.Claim {
 		k.fenceFailed[ev.Member] = true
 	} else {
 		k.fenced[ev.Member] = ev.Status
-		k.highestPriorTerm = max(k.highestPriorTerm, ev.Status.Before)
+		k.highestPriorTerm = max(k.highestPriorTerm, ev.Status.PriorTerm)
 	}
 	majority := k.majority()
 	if len(k.fenceFailed) > k.countedMembers()-majority {
@@ -146,7 +146,7 @@
 	if k.allOthersFenced() && (a.Member == k.plan.LeavingPrimary) != (b.Member == k.plan.LeavingPrimary) {
 		return b.Member == k.plan.LeavingPrimary
 	}
-	if c := a.Last.Compare(b.Last); c != 0 {
+	if c := a.Durable.Compare(b.Durable); c != 0 {
 		return c > 0
 	}
 	if (a.Member == k.plan.LeavingPrimary) != (b.Member == k.plan.LeavingPrimary) {
--- a/internal/core/cwfailover/keeper_test.go
+++ b/internal/core/cwfailover/keeper_test.go
@@ -17,12 +17,12 @@
 	return Plan{Group: "g", Members: members, Term: 4, Claim: "k", MembersCheckTerm: true, WithoutTable: true}
 }
 
-func mark(t cwgroup.Term, p cwgroup.Position) cwgroup.Mark {
-	return cwgroup.Mark{Term: t, Position: p}
+func mark(t cwgroup.Term, p cwgroup.LogIndex) cwgroup.LogPosition {
+	return cwgroup.LogPosition{Term: t, Index: p}
 }
 
-func adoptResponse(id cwgroup.MemberID, last cwgroup.Mark) Response {
-	return Response{Kind: AdoptTerm, Member: id, Claim: "k", Status: cwgroup.Status{Member: id, Adopted: 4, Claim: "k", Last: last}}
+func adoptResponse(id cwgroup.MemberID, last cwgroup.LogPosition) Response {
+	return Response{Kind: AdoptTerm, Member: id, Claim: "k", Status: cwgroup.Status{Member: id, AdoptedTerm: 4, Claim: "k", Durable: last}}
 }
 
 // describeCommands returns the kind and the member of each command.
@@ -122,7 +122,7 @@
 	qt.Assert(t, k.Reason(), qt.Equals, ReasonClaimConflict)
 
 	k = fencingKeeper(t, testPlan())
-	k.Handle(Response{Kind: AdoptTerm, Member: "a", Failed: true, Status: cwgroup.Status{Member: "a", Adopted: 5}}, start)
+	k.Handle(Response{Kind: AdoptTerm, Member: "a", Failed: true, Status: cwgroup.Status{Member: "a", AdoptedTerm: 5}}, start)
 	qt.Assert(t, k.Reason(), qt.Equals, ReasonHigherTerm)
 
 	k = fencingKeeper(t, testPlan())
@@ -162,7 +162,7 @@
 		k.Handle(Response{Kind: ReadClaim, RowOutcome: RowConfirmed}, start)
 		for _, id := range members {
 			ev := adoptResponse(id, mark(3, 5))
-			ev.Status.Before = 3
+			ev.Status.PriorTerm = 3
 			if commands := k.Handle(ev, start); len(commands) > 0 {
 				return k, commands
 			}
@@ -202,7 +202,7 @@
 func TestPlannedStopAvoidsTheLeavingMember(t *testing.T) {
 	p := testPlan()
 	p.LeavingPrimary = "a"
-	keeperWithLeavingPrimary := func(t *testing.T, last cwgroup.Mark) *Attempt {
+	keeperWithLeavingPrimary := func(t *testing.T, last cwgroup.LogPosition) *Attempt {
 		k := NewAttempt(p)
 		assertCommands(t, k.Start(start), "claimRow ")
 		assertCommands(t, k.Handle(Response{Kind: WriteClaim, RowOutcome: RowConfirmed}, start), "adopt a")
@@ -272,7 +272,7 @@
 	s := NewSupervisor("p", "s", "g", members)
 	report := func(id cwgroup.MemberID, r cwgroup.Role, at time.Time) {
 		s.AddReport(cwgroup.Report{Status: cwgroup.Status{
-			Member: id, Role: r, Adopted: 1, Last: mark(1, 5), Applied: mark(1, 5), UpstreamAge: time.Second,
+			Member: id, Role: r, AdoptedTerm: 1, Durable: mark(1, 5), Applied: mark(1, 5), UpstreamAge: time.Second,
 		}, At: at, Reachable: true}, "a", at)
 	}
 	report("a", cwgroup.RolePrimary, start)
--- a/internal/core/cwfailover/repair.go
+++ b/internal/core/cwfailover/repair.go
@@ -17,14 +17,14 @@
 	}
 	var commands []Command
 	for _, r := range v.Reports() {
-		notFollowing := r.Role != cwgroup.RoleReplica || r.Adopted < p.Adopted || following[r.Member] != p.Member
-		if r.Member == p.Member || !r.Reachable || r.Adopted > p.Adopted || !notFollowing {
+		notFollowing := r.Role != cwgroup.RoleReplica || r.AdoptedTerm < p.AdoptedTerm || following[r.Member] != p.Member
+		if r.Member == p.Member || !r.Reachable || r.AdoptedTerm > p.AdoptedTerm || !notFollowing {
 			continue
 		}
 		commands = append(commands, Command{
 			Kind:     Follow,
 			Member:   r.Member,
-			Term:     p.Adopted,
+			Term:     p.AdoptedTerm,
 			Claim:    p.Claim,
 			Primary:  p.Member,
 			NotAfter: now.Add(ReadBackTTL),
@@ -45,7 +45,7 @@
 		if r.Member == p.Member || !r.Reachable || now.Sub(r.At) > ReportMaxAge {
 			continue
 		}
-		if r.Adopted > p.Adopted || r.Adopted == p.Adopted && r.Claim != p.Claim {
+		if r.AdoptedTerm > p.AdoptedTerm || r.AdoptedTerm == p.AdoptedTerm && r.Claim != p.Claim {
 			return true
 		}
 	}
--- a/internal/core/cwfailover/supervisor.go
+++ b/internal/core/cwfailover/supervisor.go
@@ -154,9 +154,9 @@
 }
 
 // AddLatestReport records a report like Report, for members that can forget an adopted
-// term; see cwgroup.View.WithLatest.
+// term; see cwgroup.View.WithLatestReport.
 func (s *Supervisor) AddLatestReport(r cwgroup.Report, now time.Time) {
-	s.view = s.view.WithLatest(r)
+	s.view = s.view.WithLatestReport(r)
 	if p, ok := s.view.Primary(); ok && r.Role == cwgroup.RoleReplica {
 		// Members of this kind find their primary themselves.
 		s.following[r.Member] = p.Member
@@ -168,7 +168,7 @@
 // reports no longer count, nor does its fence in a change of primary that is in
 // progress.
 func (s *Supervisor) MemberRestarted(id cwgroup.MemberID, now time.Time) {
-	s.view = s.view.WithForgotten(id)
+	s.view = s.view.WithoutReport(id)
 	delete(s.following, id)
 	if s.attempt != nil {
 		s.attempt.MemberRestarted(id)
@@ -179,10 +179,10 @@
 // SetReplacedTerm records that the primaries of term t and of all earlier terms have
 // been replaced.
 func (s *Supervisor) SetReplacedTerm(t cwgroup.Term, now time.Time) {
-	if t <= s.view.Replaced() {
+	if t <= s.view.ReplacedTerm() {
 		return
 	}
-	s.view = s.view.WithReplaced(t)
+	s.view = s.view.WithReplacedTerm(t)
 	s.updateVote(now)
 }
 
@@ -298,8 +298,8 @@
 		Group:            s.view.Name(),
 		Members:          s.view.Members(),
 		Size:             s.view.Size(),
-		StableSize:       s.view.Settled(),
-		ReplacedTerm:     max(s.view.Term(), s.view.Replaced()),
+		StableSize:       s.view.StableSize(),
+		ReplacedTerm:     max(s.view.Term(), s.view.ReplacedTerm()),
 		Term:             max(NextTerm(s.view), c.RowTerm+1),
 		Claim:            cwgroup.ClaimID(fmt.Sprintf("%s-%s-%d", s.Self, s.ClaimSeed, s.claimCount)),
 		MembersCheckTerm: c.MembersCheckTerm,
@@ -329,7 +329,7 @@
 	}
 	for _, r := range s.view.Reports() {
 		fresh := r.Reachable && now.Sub(r.At) <= drainReportMaxAge
-		if r.Member != p.Member && fresh && !s.Stopping(r.Member) && r.Last.AtLeast(p.Last) {
+		if r.Member != p.Member && fresh && !s.Stopping(r.Member) && r.Durable.AtLeast(p.Durable) {
 			return true
 		}
 	}
--- a/internal/core/cwgroup/group.go
+++ b/internal/core/cwgroup/group.go
@@ -26,8 +26,8 @@
 // Term numbers the primaries of a group. The first term is 1.
 type Term uint64
 
-// Position is the number of a record in a log. The first record has position 1.
-type Position uint64
+// LogIndex is the number of a record in a log. The first record has position 1.
+type LogIndex uint64
 
 // MemberID identifies a member, that is a target. It is unique in the whole
 // catalogue.
@@ -36,51 +36,51 @@
 // ClaimID identifies one attempt to replace a primary. It is unique.
 type ClaimID string
 
-// Mark identifies a record in the log of a group.
-type Mark struct {
-	Term     Term
-	Position Position
+// LogPosition identifies a record in the log of a group.
+type LogPosition struct {
+	Term  Term
+	Index LogIndex
 }
 
 // Compare compares marks by term, then by position. It returns -1, 0 or +1 like
 // cmp.Compare.
-func (m Mark) Compare(o Mark) int {
+func (m LogPosition) Compare(o LogPosition) int {
 	if c := cmp.Compare(m.Term, o.Term); c != 0 {
 		return c
 	}
-	return cmp.Compare(m.Position, o.Position)
+	return cmp.Compare(m.Index, o.Index)
 }
 
 // AtLeast reports whether a log that ends at m contains every acknowledged record
 // up to o.
-func (m Mark) AtLeast(o Mark) bool { return m.Compare(o) >= 0 }
+func (m LogPosition) AtLeast(o LogPosition) bool { return m.Compare(o) >= 0 }
 
 // String formats the mark as term/position.
-func (m Mark) String() string {
-	return strconv.FormatUint(uint64(m.Term), 10) + "/" + strconv.FormatUint(uint64(m.Position), 10)
+func (m LogPosition) String() string {
+	return strconv.FormatUint(uint64(m.Term), 10) + "/" + strconv.FormatUint(uint64(m.Index), 10)
 }
 
-// ParseMark parses the format written by String. The error is a *MarkError.
-func ParseMark(s string) (Mark, error) {
+// ParseLogPosition parses the format written by String. The error is a *LogPositionError.
+func ParseLogPosition(s string) (LogPosition, error) {
 	t, p, ok := strings.Cut(s, "/")
 	if !ok {
-		return Mark{}, &MarkError{Text: s}
+		return LogPosition{}, &LogPositionError{Text: s}
 	}
 	term, err := strconv.ParseUint(t, 10, 63)
 	if err != nil {
-		return Mark{}, &MarkError{Text: s}
+		return LogPosition{}, &LogPositionError{Text: s}
 	}
 	pos, err := strconv.ParseUint(p, 10, 63)
 	if err != nil {
-		return Mark{}, &MarkError{Text: s}
+		return LogPosition{}, &LogPositionError{Text: s}
 	}
-	return Mark{Term: Term(term), Position: Position(pos)}, nil
+	return LogPosition{Term: Term(term), Index: LogIndex(pos)}, nil
 }
 
-// MarkError reports a text that is not a valid mark.
-type MarkError struct{ Text string }
+// LogPositionError reports a text that is not a valid mark.
+type LogPositionError struct{ Text string }
 
-func (e *MarkError) Error() string { return fmt.Sprintf("%q is not term/position", e.Text) }
+func (e *LogPositionError) Error() string { return fmt.Sprintf("%q is not term/position", e.Text) }
 
 // Role is the role of a member in its group.
 type Role uint8
@@ -111,18 +111,18 @@
 type Status struct {
 	Member MemberID
 	Role   Role
-	// Adopted is the highest term that the member has adopted. It never decreases.
-	Adopted Term
-	// Before is the term that the member was in when it adopted the term Adopted;
+	// AdoptedTerm is the highest term that the member has adopted. It never decreases.
+	AdoptedTerm Term
+	// PriorTerm is the term that the member was in when it adopted the term Adopted;
 	// zero if it was not read.
-	Before Term
+	PriorTerm Term
 	// Claim is the claim for which the term Adopted was adopted.
 	Claim ClaimID
-	// Last is the mark of the last record stored durably in the member's log.
+	// Durable is the mark of the last record stored durably in the member's log.
 	// Acknowledgement and promotion are based on it.
-	Last Mark
+	Durable LogPosition
 	// Applied is the mark up to which reads see the data. It is never beyond Last.
-	Applied Mark
+	Applied LogPosition
 	// UpstreamAge is the time since a replica last received a message from its
 	// primary, by the replica's monotonic clock.
 	UpstreamAge time.Duration
@@ -130,13 +130,13 @@
 	OpenWrites int
 }
 
-// Holds reports whether the member has the record at m on the branch of m's term
+// HasRecord reports whether the member has the record at m on the branch of m's term
 // and has not adopted a later term.
 //
 // It prevents acknowledgements on behalf of a replaced primary: the members that
 // follow the new primary have adopted a later term, so they no longer count.
-func (s Status) Holds(m Mark) bool {
-	return s.Adopted == m.Term && s.Last.Term == m.Term && s.Last.Position >= m.Position
+func (s Status) HasRecord(m LogPosition) bool {
+	return s.AdoptedTerm == m.Term && s.Durable.Term == m.Term && s.Durable.Index >= m.Index
 }
 
 // Report is a status and the time at which this proxy received it.
@@ -183,7 +183,7 @@
 // connections can arrive out of order.
 func (v View) WithReport(r Report) View {
 	i := slices.Index(v.members, r.Member)
-	if i < 0 || r.Adopted < v.reports[i].Adopted {
+	if i < 0 || r.AdoptedTerm < v.reports[i].AdoptedTerm {
 		return v
 	}
 	reports := slices.Clone(v.reports)
@@ -192,11 +192,11 @@
 	return v
 }
 
-// WithLatest returns a view in which r replaces the member's last report, unless
+// WithLatestReport returns a view in which r replaces the member's last report, unless
 // the At of that report is later than r.At. It is for members that can forget an
 // adopted term, for example in a restart: their reports are ordered by the time of
 // the request, not by term.
-func (v View) WithLatest(r Report) View {
+func (v View) WithLatestReport(r Report) View {
 	i := slices.Index(v.members, r.Member)
 	if i < 0 || r.At.Before(v.reports[i].At) {
 		return v
@@ -232,8 +232,8 @@
 	return v
 }
 
-// WithForgotten returns a view without a report of the member.
-func (v View) WithForgotten(id MemberID) View {
+// WithoutReport returns a view without a report of the member.
+func (v View) WithoutReport(id MemberID) View {
 	i := slices.Index(v.members, id)
 	if i < 0 {
 		return v
@@ -254,19 +254,19 @@
 // Size returns the number of members of the group, listed or not.
 func (v View) Size() int { return max(v.minSize, len(v.members)) }
 
-// Settled returns the size set by WithSize, regardless of which members are listed;
+// StableSize returns the size set by WithSize, regardless of which members are listed;
 // zero if it was not set.
-func (v View) Settled() int { return v.minSize }
+func (v View) StableSize() int { return v.minSize }
 
-// WithReplaced returns a view in which the primaries of term t and of all earlier
+// WithReplacedTerm returns a view in which the primaries of term t and of all earlier
 // terms count as replaced.
-func (v View) WithReplaced(t Term) View {
+func (v View) WithReplacedTerm(t Term) View {
 	v.replacedTerm = max(v.replacedTerm, t)
 	return v
 }
 
-// Replaced returns the newest term whose primary is known to have been replaced.
-func (v View) Replaced() Term { return v.replacedTerm }
+// ReplacedTerm returns the newest term whose primary is known to have been replaced.
+func (v View) ReplacedTerm() Term { return v.replacedTerm }
 
 // Report returns the last report of a member. The second result is false if there
 // is none.
@@ -301,10 +301,10 @@
 	var best Report
 	found := false
 	for _, r := range v.reports {
-		if r.At.IsZero() || r.Role != RolePrimary || r.Adopted <= v.replacedTerm {
+		if r.At.IsZero() || r.Role != RolePrimary || r.AdoptedTerm <= v.replacedTerm {
 			continue
 		}
-		if !found || r.Adopted > best.Adopted {
+		if !found || r.AdoptedTerm > best.AdoptedTerm {
 			best, found = r, true
 		}
 	}
@@ -314,14 +314,14 @@
 // Term returns the term of the primary, or zero if none is known.
 func (v View) Term() Term {
 	p, _ := v.Primary()
-	return p.Adopted
+	return p.AdoptedTerm
 }
 
-// Highest returns the highest term that any member is known to have adopted.
-func (v View) Highest() Term {
+// HighestTerm returns the highest term that any member is known to have adopted.
+func (v View) HighestTerm() Term {
 	var t Term
 	for _, r := range v.reports {
-		t = max(t, r.Adopted)
+		t = max(t, r.AdoptedTerm)
 	}
 	return t
 }
@@ -335,43 +335,43 @@
 	}
 	n := 0
 	for _, r := range v.reports {
-		if r.Adopted > t {
+		if r.AdoptedTerm > t {
 			n++
 		}
 	}
 	return n >= Majority(v.Size())
 }
 
-// HeldByMajority reports whether a majority of the members has the record at m and
+// OnMajority reports whether a majority of the members has the record at m and
 // is in the term of m.
-func (v View) HeldByMajority(m Mark) bool {
+func (v View) OnMajority(m LogPosition) bool {
 	n := 0
 	for _, r := range v.reports {
-		if !r.At.IsZero() && r.Holds(m) {
+		if !r.At.IsZero() && r.HasRecord(m) {
 			n++
 		}
 	}
 	return n >= Majority(v.Size())
 }
 
-// Confirmed reports whether a majority of n members is in the primary's term
+// ConfirmedPosition reports whether a majority of n members is in the primary's term
 // according to their answers to one request, and returns the primary's mark.
 //
 // A primary may have been replaced without knowing it. A majority that had not
 // adopted a later term when it was asked proves that nothing had been acknowledged
 // in a later term until then.
-func Confirmed(answers []Status, n int) (Mark, bool) {
+func ConfirmedPosition(answers []Status, n int) (LogPosition, bool) {
 	var primary Status
 	for _, s := range answers {
-		if s.Role == RolePrimary && s.Adopted > primary.Adopted {
+		if s.Role == RolePrimary && s.AdoptedTerm > primary.AdoptedTerm {
 			primary = s
 		}
 	}
 	same := 0
 	for _, s := range answers {
-		if s.Adopted == primary.Adopted {
+		if s.AdoptedTerm == primary.AdoptedTerm {
 			same++
 		}
 	}
-	return primary.Last, primary.Adopted > 0 && same >= Majority(n)
+	return primary.Durable, primary.AdoptedTerm > 0 && same >= Majority(n)
 }
--- a/internal/core/cwgroup/membership.go
+++ b/internal/core/cwgroup/membership.go
@@ -7,14 +7,14 @@
 
 // Timing of membership changes.
 const (
-	// GrownAfter is how long more members than before must be listed before the
+	// GrowthDelay is how long more members than before must be listed before the
 	// group counts as larger. It is longer than a failed member stays listed, so
 	// that its replacement does not count as growth.
-	GrownAfter = 20 * time.Second
-	// FormedWithin is the period after the first list during which every new member
+	GrowthDelay = 20 * time.Second
+	// FormationPeriod is the period after the first list during which every new member
 	// counts immediately, for a group that nothing was known of before. Its members
 	// start together and are listed one after the other.
-	FormedWithin = 5 * time.Second
+	FormationPeriod = 5 * time.Second
 )
 
 // Membership tracks how many members a group has, including members that the
@@ -61,22 +61,22 @@
 		m.sizeUnknownUntil = time.Time{}
 	}
 	switch n := len(ids); {
-	case !m.formingSince.IsZero() && now.Sub(m.formingSince) < FormedWithin:
+	case !m.formingSince.IsZero() && now.Sub(m.formingSince) < FormationPeriod:
 		m.stableSize = max(m.stableSize, n)
 	case n <= m.stableSize:
 		m.growingSince = time.Time{}
 	case m.growingSince.IsZero():
 		m.growingSince = now
-	case now.Sub(m.growingSince) >= GrownAfter:
+	case now.Sub(m.growingSince) >= GrowthDelay:
 		m.stableSize, m.growingSince = n, time.Time{}
 	}
 	m.absent = m.Absent()
 	return m
 }
 
-// WithGone returns the membership after a member is gone; announced is true if it
+// WithRemoved returns the membership after a member is gone; announced is true if it
 // had announced that it leaves.
-func (m Membership) WithGone(id MemberID, announced bool) Membership {
+func (m Membership) WithRemoved(id MemberID, announced bool) Membership {
 	m.listed = slices.DeleteFunc(slices.Clone(m.listed), func(o MemberID) bool { return o == id })
 	if !announced {
 		m.absent = append(slices.Clone(m.absent), id)
@@ -96,9 +96,9 @@
 	return m
 }
 
-// WithAtLeast returns the membership of a group that is known to have at least n
+// WithMinimumSize returns the membership of a group that is known to have at least n
 // members.
-func (m Membership) WithAtLeast(n int) Membership {
+func (m Membership) WithMinimumSize(n int) Membership {
 	m.stableSize = max(m.stableSize, n)
 	if n > 0 {
 		m.sizeUnknownUntil = time.Time{}
@@ -107,24 +107,26 @@
 }
 
 // Size returns the number of members of which a majority is needed.
-func (m Membership) Size() int { return max(m.Settled(), len(m.listed)) }
+func (m Membership) Size() int { return max(m.StableSize(), len(m.listed)) }
 
-// Settled returns the number of members without those that may be part of an
+// StableSize returns the number of members without those that may be part of an
 // exchange in progress, where both the old and the new member are listed. While the
 // size is unknown, it is so large that the listed members are no majority.
-func (m Membership) Settled() int {
+func (m Membership) StableSize() int {
 	if m.sizeUnknownUntil.IsZero() {
 		return m.stableSize
 	}
 	return 2*max(m.stableSize, len(m.listed)) + 1
 }
 
-// Pending reports whether the size may change as time passes, without any change to
+// ChangesWithTime reports whether the size may change as time passes, without any change to
 // the listed members.
-func (m Membership) Pending() bool { return !m.sizeUnknownUntil.IsZero() || !m.growingSince.IsZero() }
+func (m Membership) ChangesWithTime() bool {
+	return !m.sizeUnknownUntil.IsZero() || !m.growingSince.IsZero()
+}
 
-// Known reports whether the number of members is known.
-func (m Membership) Known() bool { return m.sizeUnknownUntil.IsZero() }
+// SizeKnown reports whether the number of members is known.
+func (m Membership) SizeKnown() bool { return m.sizeUnknownUntil.IsZero() }
 
 // Absent returns the members that count although they are not listed.
 func (m Membership) Absent() []MemberID {
--- a/internal/core/cwproof/ledger_test.go
+++ b/internal/core/cwproof/ledger_test.go
@@ -16,7 +16,7 @@
 	// acked and notRun are what the caller was told; at most one is set.
 	acked, notRun bool
 	tries         int
-	mark          cwgroup.Mark
+	mark          cwgroup.LogPosition
 	took          time.Duration
 	// done, if set, is called in place of a read of the record.
 	done func()
@@ -93,7 +93,7 @@
 }
 
 // await acknowledges once a majority has the record.
-func (l *ledger) await(r *request, p *proxy, mark cwgroup.Mark, tombstone bool) {
+func (l *ledger) await(r *request, p *proxy, mark cwgroup.LogPosition, tombstone bool) {
 	if l.w.opts.ackAtPrimary {
 		l.told(r, tombstone, mark)
 		return
@@ -106,7 +106,7 @@
 	p.tracker.Observe(p.sup.View(), l.w.now)
 }
 
-func (l *ledger) told(r *request, tombstone bool, mark cwgroup.Mark) {
+func (l *ledger) told(r *request, tombstone bool, mark cwgroup.LogPosition) {
 	if r.acked || r.notRun {
 		return
 	}
@@ -130,7 +130,7 @@
 			l.placed(r, p, cwroute.Read{Floor: floorOf(r.mark)})
 			return
 		}
-		p.tip(func(tip cwgroup.Mark) { l.placed(r, p, cwroute.Read{Floor: floorOf(tip)}) })
+		p.tip(func(tip cwgroup.LogPosition) { l.placed(r, p, cwroute.Read{Floor: floorOf(tip)}) })
 	})
 }
 
--- a/internal/core/cwproof/measure_test.go
+++ b/internal/core/cwproof/measure_test.go
@@ -119,7 +119,7 @@
 // session is a caller that reads and writes in turn.
 type session struct {
 	w    *world
-	mark cwgroup.Mark
+	mark cwgroup.LogPosition
 	last int
 }
 
--- a/internal/core/cwproof/proxy_test.go
+++ b/internal/core/cwproof/proxy_test.go
@@ -62,9 +62,9 @@
 		p.beat()
 	}
 	if pr, ok := p.sup.View().Primary(); ok && pr.Member == s.Member {
-		p.lagging.ObservePrimary(s.Last, p.w.now)
+		p.lagging.ObservePrimary(s.Durable, p.w.now)
 		if at, ok := cwroute.ConfirmedAt(p.sup.View(), pr, asked); ok && !asked.IsZero() {
-			p.history.Observe(s.Last, at)
+			p.history.Observe(s.Durable, at)
 		}
 	} else {
 		p.lagging.ObserveReplica(s.Member, s.Applied, p.w.now)
@@ -278,7 +278,7 @@
 
 // tip asks every member for its status, and answers with the primary's position
 // once a majority has confirmed its term.
-func (p *proxy) tip(then func(cwgroup.Mark)) {
+func (p *proxy) tip(then func(cwgroup.LogPosition)) {
 	var answers []cwgroup.Status
 	done := false
 	for _, m := range p.w.members {
@@ -288,7 +288,7 @@
 				p.w.send(m.name, p.name, func() {
 					p.do(func() {
 						answers = append(answers, s)
-						if mark, ok := cwgroup.Confirmed(answers, len(p.w.members)); ok && !done {
+						if mark, ok := cwgroup.ConfirmedPosition(answers, len(p.w.members)); ok && !done {
 							done = true
 							then(mark)
 						}
@@ -299,4 +299,4 @@
 	}
 }
 
-func floorOf(m cwgroup.Mark) cwsession.Floor { return cwsession.Floor{Mark: m, Known: true} }
+func floorOf(m cwgroup.LogPosition) cwsession.Floor { return cwsession.Floor{Mark: m, Known: true} }
--- a/internal/core/cwproof/world_test.go
+++ b/internal/core/cwproof/world_test.go
@@ -232,11 +232,11 @@
 
 func (m *member) id() cwgroup.MemberID { return cwgroup.MemberID(m.name) }
 
-func (m *member) last() cwgroup.Mark {
+func (m *member) last() cwgroup.LogPosition {
 	if len(m.log) == 0 {
-		return cwgroup.Mark{}
+		return cwgroup.LogPosition{}
 	}
-	return cwgroup.Mark{Term: m.log[len(m.log)-1].term, Position: cwgroup.Position(len(m.log))}
+	return cwgroup.LogPosition{Term: m.log[len(m.log)-1].term, Index: cwgroup.LogIndex(len(m.log))}
 }
 
 // applied is how much of the log reads see.
@@ -258,9 +258,9 @@
 }
 
 func (m *member) status() cwgroup.Status {
-	s := cwgroup.Status{Member: m.id(), Role: m.role, Adopted: m.adopted, Claim: m.claim, Last: m.last()}
+	s := cwgroup.Status{Member: m.id(), Role: m.role, AdoptedTerm: m.adopted, Claim: m.claim, Durable: m.last()}
 	if n := m.applied(); n > 0 {
-		s.Applied = cwgroup.Mark{Term: m.log[n-1].term, Position: cwgroup.Position(n)}
+		s.Applied = cwgroup.LogPosition{Term: m.log[n-1].term, Index: cwgroup.LogIndex(n)}
 	}
 	if m.role != cwgroup.RolePrimary {
 		s.UpstreamAge = m.w.now.Sub(m.heard)
--- a/internal/core/cwroute/quorum.go
+++ b/internal/core/cwroute/quorum.go
@@ -13,9 +13,9 @@
 // may be the primary. The second result is false if fewer have reported, if one
 // of them is a primary that is not known to be replaced, or if eligible returns
 // false for one of them.
-func QuorumReadMark(v cwgroup.View, since time.Time, eligible func(cwgroup.MemberID) bool) (cwgroup.Mark, bool) {
+func QuorumReadMark(v cwgroup.View, since time.Time, eligible func(cwgroup.MemberID) bool) (cwgroup.LogPosition, bool) {
 	primary, known := v.Primary()
-	var top cwgroup.Mark
+	var top cwgroup.LogPosition
 	heard := 0
 	for _, r := range v.Reports() {
 		switch {
@@ -23,19 +23,19 @@
 			continue
 		case r.At.Before(since) || !r.Reachable:
 			continue
-		case r.Role == cwgroup.RolePrimary && r.Adopted <= v.Replaced():
+		case r.Role == cwgroup.RolePrimary && r.AdoptedTerm <= v.ReplacedTerm():
 			// This member has been replaced as primary and doesn't know it yet.
 			continue
 		case r.Role == cwgroup.RolePrimary || !eligible(r.Member):
-			return cwgroup.Mark{}, false
+			return cwgroup.LogPosition{}, false
 		}
 		heard++
-		if r.Last.AtLeast(top) {
-			top = r.Last
+		if r.Durable.AtLeast(top) {
+			top = r.Durable
 		}
 	}
 	if n := v.Size(); n < 2 || heard < n-1 {
-		return cwgroup.Mark{}, false
+		return cwgroup.LogPosition{}, false
 	}
 	return top, true
 }
--- a/internal/core/cwroute/quorum_test.go
+++ b/internal/core/cwroute/quorum_test.go
@@ -13,9 +13,9 @@
 // lists the reports of the members after the primary a is lost.
 func TestReadQuorum(t *testing.T) {
 	since := time.Unix(1000, 0)
-	newReport := func(id cwgroup.MemberID, role cwgroup.Role, term cwgroup.Term, at time.Duration, last cwgroup.Position) cwgroup.Report {
+	newReport := func(id cwgroup.MemberID, role cwgroup.Role, term cwgroup.Term, at time.Duration, last cwgroup.LogIndex) cwgroup.Report {
 		return cwgroup.Report{
-			Status:    cwgroup.Status{Member: id, Role: role, Adopted: term, Last: cwgroup.Mark{Term: 1, Position: last}},
+			Status:    cwgroup.Status{Member: id, Role: role, AdoptedTerm: term, Durable: cwgroup.LogPosition{Term: 1, Index: last}},
 			At:        since.Add(at),
 			Reachable: true,
 		}
@@ -28,7 +28,7 @@
 		name     string
 		reports  []cwgroup.Report
 		eligible bool
-		want     cwgroup.Position
+		want     cwgroup.LogIndex
 	}{
 		{"higher of two marks", []cwgroup.Report{lost, newReport("b", cwgroup.RoleReplica, 1, 0, 95), newReport("c", cwgroup.RoleReplica, 1, time.Second, 100)}, true, 100},
 		{"primary unknown", []cwgroup.Report{newReport("b", cwgroup.RoleReplica, 1, 0, 95), newReport("c", cwgroup.RoleReplica, 1, 0, 94)}, true, 95},
@@ -41,11 +41,11 @@
 		t.Run(tc.name, func(t *testing.T) {
 			v := cwgroup.NewView("g", []cwgroup.MemberID{"a", "b", "c"})
 			for _, r := range tc.reports {
-				v = v.WithLatest(r)
+				v = v.WithLatestReport(r)
 			}
 			m, ok := QuorumReadMark(v, since, func(cwgroup.MemberID) bool { return tc.eligible })
 			qt.Assert(t, ok, qt.Equals, tc.want > 0)
-			qt.Assert(t, m.Position, qt.Equals, tc.want)
+			qt.Assert(t, m.Index, qt.Equals, tc.want)
 		})
 	}
 	alone := cwgroup.NewView("g", []cwgroup.MemberID{"a"})
--- a/internal/core/cwroute/route.go
+++ b/internal/core/cwroute/route.go
@@ -1,7 +1,7 @@
 // Package cwroute routes reads and writes to the members of a replicated group.
 //
 // A session that reads its own writes has a floor: the log position (a
-// cwgroup.Mark) that a member must have applied before it may serve the
+// cwgroup.LogPosition) that a member must have applied before it may serve the
 // session's reads. A caller that accepts bounded staleness states a maximum age
 // of the data instead. A read with a floor may go to any replica that has
 // applied the floor; a read with a maximum age may go to any replica whose data
@@ -150,7 +150,7 @@
 	// been replaced, and a session that wrote to the new primary may move to
 	// this proxy. The term of the session's floor reveals that: a primary of an
 	// earlier term lacks the session's writes.
-	if !primaryOK || rd.Floor.Known && primary.Adopted < rd.Floor.Mark.Term {
+	if !primaryOK || rd.Floor.Known && primary.AdoptedTerm < rd.Floor.Mark.Term {
 		return Decision{Action: Refuse, RetryAfter: RetryAfter}
 	}
 	if rd.MaxAge > 0 && !rd.PrimaryConfirmed && !confirmedWithin(cands, primary.Member, rd.MaxAge) {
@@ -240,7 +240,7 @@
 // Fresh, or known to be replaced.
 func availablePrimary(v cwgroup.View, now time.Time) (cwgroup.Report, bool) {
 	p, ok := v.Primary()
-	if !ok || !p.Reachable || now.Sub(p.At) > MaxReportAge || v.Superseded(p.Adopted) {
+	if !ok || !p.Reachable || now.Sub(p.At) > MaxReportAge || v.Superseded(p.AdoptedTerm) {
 		return cwgroup.Report{}, false
 	}
 	return p, true
@@ -259,7 +259,7 @@
 	}
 	n := 0
 	for _, r := range v.Reports() {
-		if r.Adopted == p.Adopted && now.Sub(r.At) <= MaxReportAge && r.Reachable {
+		if r.AdoptedTerm == p.AdoptedTerm && now.Sub(r.At) <= MaxReportAge && r.Reachable {
 			n++
 		}
 	}
--- a/internal/core/cwroute/route_test.go
+++ b/internal/core/cwroute/route_test.go
@@ -12,9 +12,9 @@
 
 var now = time.Unix(1000, 0)
 
-func report(id cwgroup.MemberID, r cwgroup.Role, adopted cwgroup.Term, applied cwgroup.Mark) cwgroup.Report {
+func report(id cwgroup.MemberID, r cwgroup.Role, adopted cwgroup.Term, applied cwgroup.LogPosition) cwgroup.Report {
 	return cwgroup.Report{
-		Status: cwgroup.Status{Member: id, Role: r, Adopted: adopted, Last: applied, Applied: applied},
+		Status: cwgroup.Status{Member: id, Role: r, AdoptedTerm: adopted, Durable: applied, Applied: applied},
 		At:     now, Reachable: true,
 	}
 }
@@ -27,17 +27,17 @@
 	return v
 }
 
-func floor(t cwgroup.Term, p cwgroup.Position) cwsession.Floor {
-	return cwsession.Floor{Mark: cwgroup.Mark{Term: t, Position: p}, Known: true}
+func floor(t cwgroup.Term, p cwgroup.LogIndex) cwsession.Floor {
+	return cwsession.Floor{Mark: cwgroup.LogPosition{Term: t, Index: p}, Known: true}
 }
 
 // testGroup returns a view of a primary a at mark 1/10, a replica b at 1/10 and a
 // replica c at 1/7.
 func testGroup() cwgroup.View {
 	return view(
-		report("a", cwgroup.RolePrimary, 1, cwgroup.Mark{Term: 1, Position: 10}),
-		report("b", cwgroup.RoleReplica, 1, cwgroup.Mark{Term: 1, Position: 10}),
-		report("c", cwgroup.RoleReplica, 1, cwgroup.Mark{Term: 1, Position: 7}))
+		report("a", cwgroup.RolePrimary, 1, cwgroup.LogPosition{Term: 1, Index: 10}),
+		report("b", cwgroup.RoleReplica, 1, cwgroup.LogPosition{Term: 1, Index: 10}),
+		report("c", cwgroup.RoleReplica, 1, cwgroup.LogPosition{Term: 1, Index: 7}))
 }
 
 // testCandidates returns a candidate for each member of testGroup.
@@ -68,8 +68,8 @@
 		{"no replica within the maximum age, primary confirmed", testGroup(), Read{MaxAge: 10 * time.Millisecond, PrimaryConfirmed: true}, primary},
 		{"maximum age and floor", testGroup(), Read{Floor: floor(1, 9), MaxAge: time.Second}, at("b")},
 		{"no member known", view(), Read{Floor: floor(1, 1)}, Decision{Action: Refuse, RetryAfter: RetryAfter}},
-		{"no primary, floor unknown", view(report("b", cwgroup.RoleReplica, 1, cwgroup.Mark{Term: 1, Position: 10})), Read{}, Decision{Action: Refuse, RetryAfter: RetryAfter}},
-		{"no primary, floor known", view(report("b", cwgroup.RoleReplica, 1, cwgroup.Mark{Term: 1, Position: 10})), Read{Floor: floor(1, 9)}, at("b")},
+		{"no primary, floor unknown", view(report("b", cwgroup.RoleReplica, 1, cwgroup.LogPosition{Term: 1, Index: 10})), Read{}, Decision{Action: Refuse, RetryAfter: RetryAfter}},
+		{"no primary, floor known", view(report("b", cwgroup.RoleReplica, 1, cwgroup.LogPosition{Term: 1, Index: 10})), Read{Floor: floor(1, 9)}, at("b")},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			qt.Assert(t, Router[PrimaryFallback]{}.Route(tc.v, testCandidates(), tc.rd, now), qt.Equals, tc.want)
@@ -82,12 +82,12 @@
 // ends in records of a diverged branch. Neither may serve reads, whatever its
 // position.
 func TestReplacedAndDivergedMembersServeNoReads(t *testing.T) {
-	replaced := report("a", cwgroup.RolePrimary, 1, cwgroup.Mark{Term: 1, Position: 50})
-	promoted := report("b", cwgroup.RolePrimary, 2, cwgroup.Mark{Term: 2, Position: 12})
-	diverged := report("c", cwgroup.RoleReplica, 2, cwgroup.Mark{Term: 1, Position: 40})
+	replaced := report("a", cwgroup.RolePrimary, 1, cwgroup.LogPosition{Term: 1, Index: 50})
+	promoted := report("b", cwgroup.RolePrimary, 2, cwgroup.LogPosition{Term: 2, Index: 12})
+	diverged := report("c", cwgroup.RoleReplica, 2, cwgroup.LogPosition{Term: 1, Index: 40})
 	d := Router[PrimaryFallback]{}.Route(view(replaced, promoted, diverged), testCandidates(), Read{Floor: floor(1, 10)}, now)
 	qt.Assert(t, d, qt.Equals, Decision{Action: Serve, Member: "b"})
-	fenced := report("c", cwgroup.RoleFenced, 2, cwgroup.Mark{Term: 2, Position: 40})
+	fenced := report("c", cwgroup.RoleFenced, 2, cwgroup.LogPosition{Term: 2, Index: 40})
 	d = Router[PrimaryFallback]{}.Route(view(promoted, fenced), testCandidates(), Read{Floor: floor(1, 10)}, now)
 	qt.Assert(t, d, qt.Equals, Decision{Action: Serve, Member: "b"})
 }
@@ -95,8 +95,8 @@
 func TestBoundedWait(t *testing.T) {
 	r := Router[BoundedWait]{Policy: BoundedWait{Bound: 50 * time.Millisecond}}
 	v := view(
-		report("a", cwgroup.RolePrimary, 1, cwgroup.Mark{Term: 1, Position: 10}),
-		report("c", cwgroup.RoleReplica, 1, cwgroup.Mark{Term: 1, Position: 7}))
+		report("a", cwgroup.RolePrimary, 1, cwgroup.LogPosition{Term: 1, Index: 10}),
+		report("c", cwgroup.RoleReplica, 1, cwgroup.LogPosition{Term: 1, Index: 7}))
 	d := r.Route(v, testCandidates(), Read{Floor: floor(1, 9)}, now)
 	qt.Assert(t, d, qt.Equals, Decision{Action: Wait, Wait: 50 * time.Millisecond})
 	d = r.Route(v, testCandidates(), Read{Floor: floor(1, 9), Waited: 30 * time.Millisecond}, now)
@@ -123,7 +123,7 @@
 	qt.Assert(t, p.Member, qt.Equals, cwgroup.MemberID("a"))
 	_, ok = WritablePrimary(testGroup().WithUnreachable("b").WithUnreachable("c"), now)
 	qt.Assert(t, ok, qt.IsFalse)
-	moved := report("b", cwgroup.RoleFenced, 2, cwgroup.Mark{Term: 1, Position: 10})
+	moved := report("b", cwgroup.RoleFenced, 2, cwgroup.LogPosition{Term: 1, Index: 10})
 	_, ok = WritablePrimary(testGroup().WithReport(moved).WithUnreachable("c"), now)
 	qt.Assert(t, ok, qt.IsFalse)
 }
@@ -131,24 +131,24 @@
 func TestAge(t *testing.T) {
 	var h PositionHistory
 	at := func(ms int) time.Time { return now.Add(time.Duration(ms) * time.Millisecond) }
-	_, known := h.Age(cwgroup.Mark{Term: 1, Position: 5}, now)
+	_, known := h.Age(cwgroup.LogPosition{Term: 1, Index: 5}, now)
 	qt.Assert(t, known, qt.IsFalse)
 	for i := range 10 {
-		h.Observe(cwgroup.Mark{Term: 1, Position: cwgroup.Position(i + 1)}, at(i*300))
+		h.Observe(cwgroup.LogPosition{Term: 1, Index: cwgroup.LogIndex(i + 1)}, at(i*300))
 	}
-	age, known := h.Age(cwgroup.Mark{Term: 1, Position: 10}, at(3000))
+	age, known := h.Age(cwgroup.LogPosition{Term: 1, Index: 10}, at(3000))
 	qt.Assert(t, known, qt.IsTrue)
 	qt.Assert(t, age, qt.Equals, 300*time.Millisecond)
-	age, _ = h.Age(cwgroup.Mark{Term: 1, Position: 4}, at(3000))
+	age, _ = h.Age(cwgroup.LogPosition{Term: 1, Index: 4}, at(3000))
 	qt.Assert(t, age, qt.Equals, 2100*time.Millisecond)
 	// Without new samples of the primary the age grows.
-	age, _ = h.Age(cwgroup.Mark{Term: 1, Position: 10}, at(9000))
+	age, _ = h.Age(cwgroup.LogPosition{Term: 1, Index: 10}, at(9000))
 	qt.Assert(t, age, qt.Equals, 6300*time.Millisecond)
 	for i := range 1000 {
-		h.Observe(cwgroup.Mark{Term: 1, Position: cwgroup.Position(i + 11)}, at(3000+i*300))
+		h.Observe(cwgroup.LogPosition{Term: 1, Index: cwgroup.LogIndex(i + 11)}, at(3000+i*300))
 	}
 	qt.Assert(t, len(h.samples) <= maxSamples, qt.IsTrue)
-	_, known = h.Age(cwgroup.Mark{Term: 1, Position: 10}, at(400000))
+	_, known = h.Age(cwgroup.LogPosition{Term: 1, Index: 10}, at(400000))
 	qt.Assert(t, known, qt.IsFalse)
 }
 
@@ -174,14 +174,14 @@
 func TestLagTracker(t *testing.T) {
 	var l LagTracker
 	for i := range 20 {
-		m := cwgroup.Mark{Term: 1, Position: cwgroup.Position(i + 1)}
+		m := cwgroup.LogPosition{Term: 1, Index: cwgroup.LogIndex(i + 1)}
 		l.ObservePrimary(m, now.Add(time.Duration(i)*10*time.Millisecond))
 		l.ObserveReplica("b", m, now.Add(time.Duration(i)*10*time.Millisecond+40*time.Millisecond))
 	}
 	qt.Assert(t, l.Lag("b"), qt.Equals, 40*time.Millisecond)
 	last := now.Add(190 * time.Millisecond)
-	qt.Assert(t, l.CatchUp("b", cwgroup.Mark{Term: 1, Position: 20}, last.Add(10*time.Millisecond)), qt.Equals, 30*time.Millisecond)
-	qt.Assert(t, l.CatchUp("b", cwgroup.Mark{Term: 1, Position: 20}, last.Add(time.Second)), qt.Equals, time.Duration(0))
+	qt.Assert(t, l.CatchUp("b", cwgroup.LogPosition{Term: 1, Index: 20}, last.Add(10*time.Millisecond)), qt.Equals, 30*time.Millisecond)
+	qt.Assert(t, l.CatchUp("b", cwgroup.LogPosition{Term: 1, Index: 20}, last.Add(time.Second)), qt.Equals, time.Duration(0))
 }
 
 // A replica that has a record received it from the primary after the last sample
@@ -189,12 +189,12 @@
 func TestCommittedAfter(t *testing.T) {
 	at := func(ms int) time.Time { return time.Unix(100, 0).Add(time.Duration(ms) * time.Millisecond) }
 	h := PositionHistory{Spacing: 10 * time.Millisecond}
-	for i, p := range []cwgroup.Position{5, 7, 9} {
-		h.Observe(cwgroup.Mark{Term: 1, Position: p}, at(100*i))
+	for i, p := range []cwgroup.LogIndex{5, 7, 9} {
+		h.Observe(cwgroup.LogPosition{Term: 1, Index: p}, at(100*i))
 	}
 	for _, tc := range []struct {
 		name     string
-		position cwgroup.Position
+		position cwgroup.LogIndex
 		want     time.Time
 		ok       bool
 	}{
@@ -204,7 +204,7 @@
 		{"beyond the last", 10, at(200), true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			got, ok := h.CommittedAfter(cwgroup.Mark{Term: 1, Position: tc.position})
+			got, ok := h.CommittedAfter(cwgroup.LogPosition{Term: 1, Index: tc.position})
 			qt.Assert(t, ok, qt.Equals, tc.ok)
 			qt.Assert(t, got, qt.Equals, tc.want)
 		})
--- a/internal/core/cwroute/staleness.go
+++ b/internal/core/cwroute/staleness.go
@@ -18,7 +18,7 @@
 // sample is an observed position of the primary's log.
 type sample struct {
 	at   time.Time
-	mark cwgroup.Mark
+	mark cwgroup.LogPosition
 }
 
 // PositionHistory records the primary's log position over time, so that the age of a
@@ -45,7 +45,7 @@
 // at. Pass the time at which the status request was sent, not the time at which
 // the response arrived, so that ages are never underestimated. Observations that
 // go back in time or in mark are ignored.
-func (h *PositionHistory) Observe(m cwgroup.Mark, at time.Time) {
+func (h *PositionHistory) Observe(m cwgroup.LogPosition, at time.Time) {
 	n := len(h.samples)
 	if n > 0 && (!m.AtLeast(h.samples[n-1].mark) || at.Sub(h.samples[n-1].at) < 0) {
 		return
@@ -67,7 +67,7 @@
 // While the primary is unreachable no samples are added, so ages keep growing: a
 // data centre that is cut off serves reads with a maximum age until that age is
 // exceeded, and no longer.
-func (h *PositionHistory) Age(m cwgroup.Mark, now time.Time) (time.Duration, bool) {
+func (h *PositionHistory) Age(m cwgroup.LogPosition, now time.Time) (time.Duration, bool) {
 	for i := len(h.samples) - 1; i >= 0; i-- {
 		if m.AtLeast(h.samples[i].mark) {
 			return max(0, now.Sub(h.samples[i].at)), true
@@ -79,10 +79,10 @@
 // FirstSince returns the mark and the time of the first sample taken at or after t.
 // Everything acknowledged before t is at or below that mark. The last result is
 // false if there is no sample since t.
-func (h *PositionHistory) FirstSince(t time.Time) (cwgroup.Mark, time.Time, bool) {
+func (h *PositionHistory) FirstSince(t time.Time) (cwgroup.LogPosition, time.Time, bool) {
 	i := sort.Search(len(h.samples), func(i int) bool { return !h.samples[i].at.Before(t) })
 	if i == len(h.samples) {
-		return cwgroup.Mark{}, time.Time{}, false
+		return cwgroup.LogPosition{}, time.Time{}, false
 	}
 	return h.samples[i].mark, h.samples[i].at, true
 }
@@ -91,7 +91,7 @@
 // log ended below m. The record at m was committed after that time, and a
 // replica that has the record received it from the primary after that time. The
 // second result is false if no sample is old enough.
-func (h *PositionHistory) CommittedAfter(m cwgroup.Mark) (time.Time, bool) {
+func (h *PositionHistory) CommittedAfter(m cwgroup.LogPosition) (time.Time, bool) {
 	i := sort.Search(len(h.samples), func(i int) bool { return h.samples[i].mark.AtLeast(m) })
 	if i == 0 {
 		return time.Time{}, false
@@ -112,7 +112,7 @@
 	need := cwgroup.Majority(v.Size()) - 1
 	var heard []time.Time
 	for _, r := range v.Reports() {
-		if r.Member != primary.Member && r.Adopted == primary.Adopted {
+		if r.Member != primary.Member && r.AdoptedTerm == primary.AdoptedTerm {
 			heard = append(heard, r.At)
 		}
 	}
@@ -143,11 +143,11 @@
 	// averageLag is the moving average of each replica's lag. lastApplied is the
 	// newest mark that each replica is known to have applied.
 	averageLag  map[cwgroup.MemberID]time.Duration
-	lastApplied map[cwgroup.MemberID]cwgroup.Mark
+	lastApplied map[cwgroup.MemberID]cwgroup.LogPosition
 }
 
 // ObservePrimary records that the primary's log was observed to end at m.
-func (l *LagTracker) ObservePrimary(m cwgroup.Mark, now time.Time) {
+func (l *LagTracker) ObservePrimary(m cwgroup.LogPosition, now time.Time) {
 	if n := len(l.primarySamples); n > 0 && l.primarySamples[n-1].mark.AtLeast(m) {
 		return
 	}
@@ -161,7 +161,7 @@
 // firstObserved returns when the primary's log was first observed at or past m.
 // The second result is false if m is at or below the oldest sample, or if the
 // log was not observed that far yet.
-func (l *LagTracker) firstObserved(m cwgroup.Mark) (time.Time, bool) {
+func (l *LagTracker) firstObserved(m cwgroup.LogPosition) (time.Time, bool) {
 	if len(l.primarySamples) == 0 || l.primarySamples[0].mark.AtLeast(m) {
 		return time.Time{}, false
 	}
@@ -174,10 +174,10 @@
 }
 
 // ObserveReplica records that the member has applied the log up to m.
-func (l *LagTracker) ObserveReplica(id cwgroup.MemberID, m cwgroup.Mark, now time.Time) {
+func (l *LagTracker) ObserveReplica(id cwgroup.MemberID, m cwgroup.LogPosition, now time.Time) {
 	if l.averageLag == nil {
 		l.averageLag = make(map[cwgroup.MemberID]time.Duration)
-		l.lastApplied = make(map[cwgroup.MemberID]cwgroup.Mark)
+		l.lastApplied = make(map[cwgroup.MemberID]cwgroup.LogPosition)
 	}
 	if l.lastApplied[id].AtLeast(m) {
 		return
@@ -203,7 +203,7 @@
 
 // CatchUp returns the expected time until the member has applied m: its average
 // lag, less the time since the primary was first observed at or past m.
-func (l *LagTracker) CatchUp(id cwgroup.MemberID, m cwgroup.Mark, now time.Time) time.Duration {
+func (l *LagTracker) CatchUp(id cwgroup.MemberID, m cwgroup.LogPosition, now time.Time) time.Duration {
 	lag := l.averageLag[id]
 	if at, ok := l.firstObserved(m); ok {
 		return max(0, lag-now.Sub(at))
--- a/internal/core/cwsession/session.go
+++ b/internal/core/cwsession/session.go
@@ -2,7 +2,7 @@
 //
 // A session is a sequence of requests by one caller, over any number of
 // connections and proxies. What it has seen is recorded in a Token, which has one
-// log position (a cwgroup.Mark) for each group that the session wrote to. The
+// log position (a cwgroup.LogPosition) for each group that the session wrote to. The
 // caller stores the token and sends it along; no proxy and no table stores it, so
 // the loss of a proxy loses nothing and the cost does not grow with the number of
 // sessions.
@@ -56,12 +56,12 @@
 // Token holds the newest mark that a session has seen in each group. It is
 // immutable. The zero Token is empty.
 type Token struct {
-	marks map[string]cwgroup.Mark
+	marks map[string]cwgroup.LogPosition
 }
 
 // Mark returns the newest mark that the session has seen in the group. The second
 // result is false if there is none.
-func (t Token) Mark(group string) (cwgroup.Mark, bool) {
+func (t Token) Mark(group string) (cwgroup.LogPosition, bool) {
 	m, ok := t.marks[group]
 	return m, ok
 }
@@ -71,13 +71,13 @@
 
 // WithMark returns a token whose mark of the group is at least m. A mark never
 // decreases: if the token already has a later one, it is returned unchanged.
-func (t Token) WithMark(group string, m cwgroup.Mark) Token {
+func (t Token) WithMark(group string, m cwgroup.LogPosition) Token {
 	if old, ok := t.marks[group]; ok && old.AtLeast(m) {
 		return t
 	}
 	marks := maps.Clone(t.marks)
 	if marks == nil {
-		marks = make(map[string]cwgroup.Mark, 1)
+		marks = make(map[string]cwgroup.LogPosition, 1)
 	}
 	marks[group] = m
 	return Token{marks: marks}
@@ -111,7 +111,7 @@
 		body = append(body, byte(len(g)))
 		body = append(body, g...)
 		body = binary.AppendUvarint(body, uint64(m.Term))
-		body = binary.AppendUvarint(body, uint64(m.Position))
+		body = binary.AppendUvarint(body, uint64(m.Index))
 	}
 	sum := binary.BigEndian.AppendUint32(nil, crc32.ChecksumIEEE(body))
 	return tokenPrefix + base64.RawURLEncoding.EncodeToString(append(sum, body...))
@@ -145,7 +145,7 @@
 // the group's name in one byte, the name, and the term and the position as
 // unsigned varints.
 func parseMarks(body []byte) (Token, error) {
-	marks := make(map[string]cwgroup.Mark)
+	marks := make(map[string]cwgroup.LogPosition)
 	for len(body) > 0 {
 		n := int(body[0])
 		if n == 0 || len(body) < 1+n {
@@ -163,7 +163,7 @@
 			return Token{}, &TokenError{Fault: FaultMalformed}
 		}
 		body = body[used:]
-		marks[group] = cwgroup.Mark{Term: cwgroup.Term(term), Position: cwgroup.Position(pos)}
+		marks[group] = cwgroup.LogPosition{Term: cwgroup.Term(term), Index: cwgroup.LogIndex(pos)}
 		if len(marks) > MaxTokenGroups {
 			return Token{}, &TokenError{Fault: FaultGroups}
 		}
@@ -178,7 +178,7 @@
 // While Known is false, as in the zero Floor, the primary must be asked for its
 // position first.
 type Floor struct {
-	Mark  cwgroup.Mark
+	Mark  cwgroup.LogPosition
 	Known bool
 }
 
@@ -193,7 +193,7 @@
 // when it was asked after the token arrived. A floor beyond tip cannot come from
 // this group. It is rejected with a *TokenError instead of waited for, because no
 // member would ever reach it.
-func (f Floor) CheckPrimary(tip cwgroup.Mark) error {
+func (f Floor) CheckPrimary(tip cwgroup.LogPosition) error {
 	if f.Known && !tip.AtLeast(f.Mark) {
 		return &TokenError{Fault: FaultAheadOfGroup}
 	}
--- a/internal/core/cwsession/session_test.go
+++ b/internal/core/cwsession/session_test.go
@@ -9,8 +9,8 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwgroup"
 )
 
-func newMark(t cwgroup.Term, p cwgroup.Position) cwgroup.Mark {
-	return cwgroup.Mark{Term: t, Position: p}
+func newMark(t cwgroup.Term, p cwgroup.LogIndex) cwgroup.LogPosition {
+	return cwgroup.LogPosition{Term: t, Index: p}
 }
 
 // assertFault checks that err is a *TokenError with the given fault.
--- a/internal/core/cwstatement/statement.go
+++ b/internal/core/cwstatement/statement.go
@@ -91,7 +91,7 @@
 	Writes     bool
 	// Floor is the mark that the target's log must hold before the target runs a
 	// read or begins a transaction. The zero Mark sets no condition.
-	Floor cwgroup.Mark
+	Floor cwgroup.LogPosition
 }
 
 // TransactionState is the transaction state of a session after an answer.
@@ -217,7 +217,7 @@
 	State  TransactionState
 	// Mark is the end of the target's log at the time of the answer; zero if the
 	// target did not report it.
-	Mark cwgroup.Mark
+	Mark cwgroup.LogPosition
 }
 
 // Failure returns an answer with a code and its explanation.
@@ -242,7 +242,7 @@
 	// Term is the term of the target's log.
 	Term cwgroup.Term
 	// Received is the end of the target's log.
-	Received cwgroup.Mark
+	Received cwgroup.LogPosition
 	// FencedTerm is the term for which the target has been fenced and stopped
 	// replicating; zero if it replicates.
 	FencedTerm cwgroup.Term
--- a/internal/proxy/cwengine/forwarded.go
+++ b/internal/proxy/cwengine/forwarded.go
@@ -141,7 +141,7 @@
 		}
 	}
 	s.lastWrites = nil
-	if h.Seen.Position > 0 {
+	if h.Seen.Index > 0 {
 		s.recordWrite(group, h.Seen)
 	}
 }
--- a/internal/proxy/cwengine/membership.go
+++ b/internal/proxy/cwengine/membership.go
@@ -18,7 +18,7 @@
 		return
 	}
 	e.absentListings[id] = l
-	e.memberships[l.Service] = e.memberships[l.Service].WithGone(id, l.Leaving)
+	e.memberships[l.Service] = e.memberships[l.Service].WithRemoved(id, l.Leaving)
 }
 
 // updateMemberships brings all memberships up to date with the list of targets. The
@@ -52,7 +52,7 @@
 		}
 		before, known := e.memberships[service]
 		n := e.newlyRecordedSize(service, known)
-		if !known || n > 0 || before.Pending() {
+		if !known || n > 0 || before.ChangesWithTime() {
 			e.setMembership(service, before, known, n, now)
 		}
 	}
@@ -68,13 +68,13 @@
 	if !known && !e.cfg.FirstStart {
 		after = after.WithUnknownSize(now.Add(recordedSizeWait))
 	}
-	after = after.WithAtLeast(atLeast).WithListed(ids, now)
+	after = after.WithMinimumSize(atLeast).WithListed(ids, now)
 	e.memberships[service] = after
 	if after.Size() != before.Size() && (known || e.groups[service] != nil) {
-		e.cfg.Log.Info("groupSize", "group", service, "members", after.Size(), "before", before.Size(), "listed", len(ids), "known", after.Known())
+		e.cfg.Log.Info("groupSize", "group", service, "members", after.Size(), "before", before.Size(), "listed", len(ids), "known", after.SizeKnown())
 	}
-	if g := e.groups[service]; g != nil && after.Settled() != before.Settled() {
-		g.SetSize(after.Settled())
+	if g := e.groups[service]; g != nil && after.StableSize() != before.StableSize() {
+		g.SetSize(after.StableSize())
 	}
 }
 
@@ -159,7 +159,7 @@
 		if !p.held {
 			continue
 		}
-		c := cwmembers.Count{Members: append(e.listings.forService(service), absent[service]...), Of: e.memberships[service].Settled()}
+		c := cwmembers.Count{Members: append(e.listings.forService(service), absent[service]...), Of: e.memberships[service].StableSize()}
 		if len(c.Members) > 0 && len(c.Members) >= c.Of {
 			out[service] = c
 		}
--- a/internal/proxy/cwengine/remote.go
+++ b/internal/proxy/cwengine/remote.go
@@ -81,7 +81,7 @@
 			"code", r.Answer.Code, "why", r.Answer.Detail)
 		return r, nil
 	}
-	if r.Wrote.Position > 0 {
+	if r.Wrote.Index > 0 {
 		s.recordWrite(h.Entry.Groups[0].Name, r.Wrote)
 	}
 	return r, nil
--- a/internal/proxy/cwengine/run.go
+++ b/internal/proxy/cwengine/run.go
@@ -225,7 +225,7 @@
 // awaitAcknowledgement waits until a commit may be reported as successful. Its outcome
 // is unresolved if no second member confirms the write.
 func (t *task) awaitAcknowledgement(a cwstatement.Response) cwstatement.Response {
-	if a.Mark == (cwgroup.Mark{}) {
+	if a.Mark == (cwgroup.LogPosition{}) {
 		return a
 	}
 	e := t.session.engine
--- a/internal/proxy/cwengine/session.go
+++ b/internal/proxy/cwengine/session.go
@@ -59,7 +59,7 @@
 	settings map[string]string
 	prepared map[string]preparedStatement
 	// lastWrites has the log position of the session's last write in each group.
-	lastWrites map[string]cwgroup.Mark
+	lastWrites map[string]cwgroup.LogPosition
 	tx         *transaction
 	// remote is the open transaction if it runs at a holder; tx is nil then.
 	remote *remoteTransaction
@@ -325,9 +325,9 @@
 	return rd
 }
 
-func (s *session) recordWrite(group string, m cwgroup.Mark) {
+func (s *session) recordWrite(group string, m cwgroup.LogPosition) {
 	if s.lastWrites == nil {
-		s.lastWrites = make(map[string]cwgroup.Mark, 1)
+		s.lastWrites = make(map[string]cwgroup.LogPosition, 1)
 	}
 	s.lastWrites[group] = m
 }
--- a/internal/proxy/cwfront/exec.go
+++ b/internal/proxy/cwfront/exec.go
@@ -44,9 +44,9 @@
 }
 
 // parseMark reads the mark of a commit; a commit that wrote nothing has none.
-func parseMark(text string) (cwgroup.Mark, error) {
+func parseMark(text string) (cwgroup.LogPosition, error) {
 	if text == "" {
-		return cwgroup.Mark{}, nil
+		return cwgroup.LogPosition{}, nil
 	}
-	return cwgroup.ParseMark(text)
+	return cwgroup.ParseLogPosition(text)
 }
--- a/internal/proxy/cwfront/forge_test.go
+++ b/internal/proxy/cwfront/forge_test.go
@@ -8,7 +8,7 @@
 )
 
 // forge makes a well-formed token with any mark.
-func forge(c *qt.C, group string, m cwgroup.Mark) string {
+func forge(c *qt.C, group string, m cwgroup.LogPosition) string {
 	t := cwsession.Token{}.WithMark(group, m).String()
 	c.Assert(t, qt.Not(qt.Equals), "")
 	return t
--- a/internal/proxy/cwfront/promise_test.go
+++ b/internal/proxy/cwfront/promise_test.go
@@ -53,7 +53,7 @@
 	b := newBench(c, cwdemo.Options{})
 	conn := b.connect(c, 0)
 	exec(c, conn, "CREATE TABLE ronda (id bigint PRIMARY KEY)")
-	forged := forge(c, "rondas-1", cwgroup.Mark{Term: 9, Position: 1 << 40})
+	forged := forge(c, "rondas-1", cwgroup.LogPosition{Term: 9, Index: 1 << 40})
 	late := b.connect(c, 1, "cicadawalk.sessionToken", forged)
 	began := time.Now()
 	_, err := late.Exec(background, "SELECT count(*) FROM ronda")
--- a/internal/proxy/cwfront/relay.go
+++ b/internal/proxy/cwfront/relay.go
@@ -56,7 +56,7 @@
 	status byte
 	// mark is where the primary's log ended after a commit, zero if nothing was
 	// committed.
-	mark cwgroup.Mark
+	mark cwgroup.LogPosition
 	// code is the SQLSTATE of the first error, if any.
 	code string
 	// tag is the last command tag.
@@ -94,7 +94,7 @@
 			return rep, flushed, nil
 		case *pgproto3.ParameterStatus:
 			if m.Name == cwtarget.PositionParameter {
-				if rep.mark, err = cwgroup.ParseMark(m.Value); err != nil {
+				if rep.mark, err = cwgroup.ParseLogPosition(m.Value); err != nil {
 					return rep, flushed, &lostError{why: "the target reported a malformed position"}
 				}
 				continue
--- a/internal/proxy/cwfront/run.go
+++ b/internal/proxy/cwfront/run.go
@@ -198,8 +198,8 @@
 
 // acknowledge waits until a majority has what was committed. Nothing that says
 // that the write succeeded goes to the caller before.
-func (s *session) acknowledge(m cwgroup.Mark) error {
-	if m == (cwgroup.Mark{}) {
+func (s *session) acknowledge(m cwgroup.LogPosition) error {
+	if m == (cwgroup.LogPosition{}) {
 		return nil
 	}
 	began := s.server.Clock.Now()
@@ -234,7 +234,7 @@
 		if err != nil {
 			return r, nil, err
 		}
-		r.member, r.primary, r.term = p.Member, true, p.Adopted
+		r.member, r.primary, r.term = p.Member, true, p.AdoptedTerm
 		endWrite = s.group.BeginWrite()
 	}
 	pool, ok := s.server.Services.Pool(r.member)
@@ -268,7 +268,7 @@
 			return d, err
 		}
 		if s.tips == nil {
-			s.tips = make(map[string]cwgroup.Mark)
+			s.tips = make(map[string]cwgroup.LogPosition)
 		}
 		s.tips[s.group.Name()] = mark
 		rd.PrimaryConfirmed = true
@@ -294,7 +294,7 @@
 		return nil
 	}
 	p, ok := s.group.View().Primary()
-	if !ok || !p.Last.AtLeast(f.Mark) {
+	if !ok || !p.Durable.AtLeast(f.Mark) {
 		tip, err := s.group.Tip(ctx)
 		if err != nil {
 			// Without a primary the floor stays unchecked; placing the read
--- a/internal/proxy/cwfront/session.go
+++ b/internal/proxy/cwfront/session.go
@@ -41,7 +41,7 @@
 	reported string
 	// tips are the primaries' positions asked for after the connect: the floors
 	// of groups that the token does not name.
-	tips map[string]cwgroup.Mark
+	tips map[string]cwgroup.LogPosition
 	// checked holds the groups whose floor was compared with the primary.
 	checked  map[string]bool
 	settings settings
@@ -118,7 +118,7 @@
 }
 
 // sawWrite records that the session wrote up to m.
-func (s *session) sawWrite(m cwgroup.Mark) {
+func (s *session) sawWrite(m cwgroup.LogPosition) {
 	s.token = s.token.WithMark(s.group.Name(), m)
 	if s.checked == nil {
 		s.checked = make(map[string]bool)
--- a/internal/proxy/cwlead/group.go
+++ b/internal/proxy/cwlead/group.go
@@ -134,7 +134,7 @@
 	// primary when this proxy first saw it.
 	term         cwgroup.Term
 	termLearntAt time.Time
-	termStart    cwgroup.Mark
+	termStart    cwgroup.LogPosition
 	// nextConfirmAt is the earliest time of the next request for a confirmation.
 	nextConfirmAt time.Time
 	// confirmedAt is when a majority was last known to be in term, and lastUsedAt when
--- a/internal/proxy/cwlead/loop.go
+++ b/internal/proxy/cwlead/loop.go
@@ -37,7 +37,7 @@
 // observeReplacedTerms records which terms have been replaced according to the row. The
 // caller holds mu.
 func (g *Group) observeReplacedTerms(row cwfailover.Row) {
-	if row.ReplacedTerm <= g.sup.View().Replaced() {
+	if row.ReplacedTerm <= g.sup.View().ReplacedTerm() {
 		return
 	}
 	g.sup.SetReplacedTerm(row.ReplacedTerm, g.cfg.Clock.Now())
--- a/internal/proxy/cwlead/observe.go
+++ b/internal/proxy/cwlead/observe.go
@@ -14,20 +14,20 @@
 	// received is the end of the log by the last answer, and advancedAt when it last
 	// changed. behindSince is when the log was first found to lack records of the
 	// primary; zero if it lacks none.
-	received    cwgroup.Mark
+	received    cwgroup.LogPosition
 	advancedAt  time.Time
 	behindSince time.Time
 	// reported is the log position in the member's last health report, received at
 	// reportedAt in reportedTerm.
-	reported     cwgroup.Mark
+	reported     cwgroup.LogPosition
 	reportedTerm cwgroup.Term
 	reportedAt   time.Time
 }
 
 // Saw records the log position in a member's answer to a statement that was sent at
 // sentAt. byPrimary is true if only a primary gives such an answer.
-func (g *Group) Saw(id cwgroup.MemberID, m cwgroup.Mark, byPrimary bool, sentAt time.Time) {
-	if m == (cwgroup.Mark{}) {
+func (g *Group) Saw(id cwgroup.MemberID, m cwgroup.LogPosition, byPrimary bool, sentAt time.Time) {
+	if m == (cwgroup.LogPosition{}) {
 		return
 	}
 	g.mu.Lock()
@@ -40,7 +40,7 @@
 	if byPrimary {
 		g.observePrimary(id, m, sentAt)
 		g.applyReport(cwgroup.Report{
-			Status: cwgroup.Status{Member: id, Role: cwgroup.RolePrimary, Adopted: max(m.Term, rep.Adopted), Last: m, Applied: m},
+			Status: cwgroup.Status{Member: id, Role: cwgroup.RolePrimary, AdoptedTerm: max(m.Term, rep.AdoptedTerm), Durable: m, Applied: m},
 			At:     sentAt, Reachable: true,
 		})
 		return
@@ -60,7 +60,7 @@
 // The last report of a replaced primary may still say that it leads, although it is now
 // a lagging replica of the new one. Taken for the new primary's, its positions would
 // produce read floors that are too old by its lag.
-func (g *Group) observePrimary(id cwgroup.MemberID, m cwgroup.Mark, sentAt time.Time) bool {
+func (g *Group) observePrimary(id cwgroup.MemberID, m cwgroup.LogPosition, sentAt time.Time) bool {
 	if p, ok := g.sup.View().Primary(); !ok || p.Member != id {
 		return false
 	}
@@ -75,16 +75,16 @@
 // This saves most health checks: a member with a record of the current term received it
 // from its primary after the record was committed, so the member was not fenced at that
 // time and the primary still led.
-func (g *Group) observeReplicaLog(rep cwgroup.Report, m cwgroup.Mark) {
+func (g *Group) observeReplicaLog(rep cwgroup.Report, m cwgroup.LogPosition) {
 	changed := false
 	if m.AtLeast(rep.Applied) && m != rep.Applied {
 		rep.Applied, changed = m, true
 	}
-	if m.AtLeast(rep.Last) && m != rep.Last {
-		rep.Last, changed = m, true
+	if m.AtLeast(rep.Durable) && m != rep.Durable {
+		rep.Durable, changed = m, true
 	}
 	at, ok := g.history.CommittedAfter(m)
-	if ok && m.Term == g.term && rep.Adopted == g.term && at.After(rep.At) {
+	if ok && m.Term == g.term && rep.AdoptedTerm == g.term && at.After(rep.At) {
 		rep.At, changed = at, true
 	}
 	if changed {
@@ -113,7 +113,7 @@
 	if g.logShrank(id, h.Term, h.Received, sentAt) {
 		g.recordRestart(id, "its log is shorter than before")
 	}
-	applied := cwgroup.Mark{}
+	applied := cwgroup.LogPosition{}
 	if rep, ok := g.sup.View().Report(id); ok {
 		applied = rep.Applied
 	}
@@ -134,7 +134,7 @@
 	}
 	g.applyReport(cwgroup.Report{
 		Status: cwgroup.Status{
-			Member: id, Role: role, Adopted: max(h.Term, h.FencedTerm), Last: h.Received, Applied: applied,
+			Member: id, Role: role, AdoptedTerm: max(h.Term, h.FencedTerm), Durable: h.Received, Applied: applied,
 			UpstreamAge: g.upstreamAge(id, h.Received, now),
 		},
 		At: sentAt, Reachable: true,
@@ -145,7 +145,7 @@
 // was promoted in t, so the primaries of all earlier terms have been replaced. The
 // caller holds mu.
 func (g *Group) observeTerm(t cwgroup.Term, now time.Time) {
-	if t <= 1 || t-1 <= g.sup.View().Replaced() {
+	if t <= 1 || t-1 <= g.sup.View().ReplacedTerm() {
 		return
 	}
 	g.sup.SetReplacedTerm(t-1, now)
@@ -184,22 +184,22 @@
 
 // observeNewPrimary records the primary of a new term. The caller holds mu.
 func (g *Group) observeNewPrimary(p cwgroup.Report, now time.Time) {
-	if p.Adopted <= g.term {
+	if p.AdoptedTerm <= g.term {
 		return
 	}
-	g.cfg.Log.Info("primaryKnown", "group", g.cfg.Service, "primary", p.Member, "term", p.Adopted, "position", p.Last, "before", g.term)
+	g.cfg.Log.Info("primaryKnown", "group", g.cfg.Service, "primary", p.Member, "term", p.AdoptedTerm, "position", p.Durable, "before", g.term)
 	if g.term > 0 {
 		// Confirmations of an earlier term don't apply to this one.
 		g.confirmedAt = time.Time{}
 	}
 	g.history = cwroute.PositionHistory{Spacing: historySpacing}
-	g.history.Observe(p.Last, p.At)
+	g.history.Observe(p.Durable, p.At)
 	// The members were fenced before the change was recorded in the row, so the time at
 	// which the row was read can serve as termLearntAt. The row of an earlier change
 	// doesn't count, even if it names the same member.
 	recorded := g.row.Done && g.row.Primary == p.Member && g.termWhenRowSeen == g.term
-	g.term, g.termLearntAt, g.termStart = p.Adopted, now, p.Last
-	g.observeTerm(p.Adopted, now)
+	g.term, g.termLearntAt, g.termStart = p.AdoptedTerm, now, p.Durable
+	g.observeTerm(p.AdoptedTerm, now)
 	if recorded {
 		g.termLearntAt = g.rowSeenAt
 	}
@@ -207,7 +207,7 @@
 
 // upstreamAge returns how long a replica has lacked records that its primary is known
 // to have, or to have had when it stopped answering. The caller holds mu.
-func (g *Group) upstreamAge(id cwgroup.MemberID, received cwgroup.Mark, now time.Time) time.Duration {
+func (g *Group) upstreamAge(id cwgroup.MemberID, received cwgroup.LogPosition, now time.Time) time.Duration {
 	s := g.logProgress[id]
 	if s == nil {
 		return 0
@@ -217,7 +217,7 @@
 	}
 	p, ok := g.sup.View().Primary()
 	silent := !g.primarySilentSince.IsZero()
-	if ok && p.Reachable && !silent && s.received.AtLeast(p.Last) {
+	if ok && p.Reachable && !silent && s.received.AtLeast(p.Durable) {
 		s.behindSince = time.Time{}
 		return 0
 	}
--- a/internal/proxy/cwlead/order.go
+++ b/internal/proxy/cwlead/order.go
@@ -51,7 +51,7 @@
 	}
 	ev.Failed = err != nil
 	g.cfg.Log.Info("order", "group", g.cfg.Service, "order", o.Kind, "target", o.Member, "term", o.Term, "claim", o.Claim,
-		"position", ev.Status.Last, "cause", err)
+		"position", ev.Status.Durable, "cause", err)
 	return ev
 }
 
@@ -176,7 +176,7 @@
 	if err != nil {
 		return cwgroup.Status{}, err
 	}
-	return cwgroup.Status{Member: o.Member, Adopted: o.Term, Before: before, Claim: o.Claim, Last: h.Received}, nil
+	return cwgroup.Status{Member: o.Member, AdoptedTerm: o.Term, PriorTerm: before, Claim: o.Claim, Durable: h.Received}, nil
 }
 
 func (g *Group) promote(ctx context.Context, o cwfailover.Command) error {
--- a/internal/proxy/cwlead/place.go
+++ b/internal/proxy/cwlead/place.go
@@ -37,7 +37,7 @@
 	Term    cwgroup.Term
 	Primary bool
 	// Floor is the mark that the member's log must hold before it serves the read.
-	Floor cwgroup.Mark
+	Floor cwgroup.LogPosition
 	// Evidence describes why the place is fresh enough for the read.
 	Evidence Evidence
 }
@@ -73,7 +73,7 @@
 		return refuse("none is known")
 	case !p.Reachable:
 		return refuse(string(p.Member) + " does not answer")
-	case g.claimInProgress(now) && g.row.Term > p.Adopted:
+	case g.claimInProgress(now) && g.row.Term > p.AdoptedTerm:
 		return refuse("it is being replaced")
 	}
 	m, ok := g.members[p.Member]
@@ -118,7 +118,7 @@
 	if err != nil {
 		return Place{}, err
 	}
-	return Place{Member: *m, Term: p.Adopted, Primary: true}, nil
+	return Place{Member: *m, Term: p.AdoptedTerm, Primary: true}, nil
 }
 
 // Confirmed returns the primary once a confirmation covers everything that was
@@ -141,7 +141,7 @@
 			g.requestConfirmation()
 		}
 		if validFor > 0 {
-			return Place{Member: *m, Term: p.Adopted, Primary: true, Evidence: evidence}, nil
+			return Place{Member: *m, Term: p.AdoptedTerm, Primary: true, Evidence: evidence}, nil
 		}
 		if !g.awaitChange(ctx, changed, deadline.Sub(now)) {
 			return Place{}, &NoPrimaryError{Group: g.cfg.Service, Why: "no second member confirms it", RetryAfter: typicalDetectionTime}
@@ -173,7 +173,7 @@
 	// MaxAge is the maximum age of the data that the caller accepts.
 	MaxAge time.Duration
 	// Seen is the mark of the session's last write.
-	Seen cwgroup.Mark
+	Seen cwgroup.LogPosition
 	// Tried holds the members that refused the read.
 	Tried []cwgroup.MemberID
 }
@@ -228,14 +228,14 @@
 // A mark of an earlier term may lie on a branch that was rolled back, which no log will
 // hold again. Everything of that term that was kept lies below termStart, so such a
 // mark is replaced by termStart.
-func (g *Group) readFloor(rd Read) (cwgroup.Mark, Evidence, bool) {
+func (g *Group) readFloor(rd Read) (cwgroup.LogPosition, Evidence, bool) {
 	aged, at, ok := g.history.FirstSince(rd.Came.Add(-rd.MaxAge))
 	if !ok || at.After(g.confirmedAt) {
-		return cwgroup.Mark{}, Evidence{}, false
+		return cwgroup.LogPosition{}, Evidence{}, false
 	}
 	evidence := g.newEvidence(BasisPrimary, at)
 	seen := rd.Seen
-	if seen.Term < g.term && seen != (cwgroup.Mark{}) {
+	if seen.Term < g.term && seen != (cwgroup.LogPosition{}) {
 		seen = g.termStart
 	}
 	if seen.AtLeast(aged) {
@@ -253,7 +253,7 @@
 
 // chooseMember returns the member that is expected to answer the read first. The caller
 // holds mu.
-func (g *Group) chooseMember(rd Read, floor cwgroup.Mark, now time.Time) (Place, bool) {
+func (g *Group) chooseMember(rd Read, floor cwgroup.LogPosition, now time.Time) (Place, bool) {
 	v := g.sup.View()
 	primary, _ := v.Primary()
 	var options []cwroute.ReadTarget
@@ -272,12 +272,12 @@
 	if !ok {
 		return Place{}, false
 	}
-	return Place{Member: *g.members[o.Member], Term: primary.Adopted, Primary: o.Member == primary.Member, Floor: floor}, true
+	return Place{Member: *g.members[o.Member], Term: primary.AdoptedTerm, Primary: o.Member == primary.Member, Floor: floor}, true
 }
 
 // catchUp returns the expected time until a member's data holds the floor. The caller
 // holds mu.
-func (g *Group) catchUp(rep cwgroup.Report, leads bool, floor cwgroup.Mark, now time.Time) time.Duration {
+func (g *Group) catchUp(rep cwgroup.Report, leads bool, floor cwgroup.LogPosition, now time.Time) time.Duration {
 	if leads || !rep.At.IsZero() && rep.Applied.AtLeast(floor) {
 		return 0
 	}
--- a/internal/proxy/cwlead/quorum.go
+++ b/internal/proxy/cwlead/quorum.go
@@ -20,7 +20,7 @@
 // asked after the acknowledgement, the most advanced of their logs has the record; and
 // if none of them led a later term by then, nothing had been acknowledged in a later
 // term.
-func (g *Group) quorumFloor(rd Read) (cwgroup.Mark, bool) {
+func (g *Group) quorumFloor(rd Read) (cwgroup.LogPosition, bool) {
 	m, ok := cwroute.QuorumReadMark(g.sup.View(), rd.freshAsOf(), func(id cwgroup.MemberID) bool {
 		_, restarted := g.restarts[id]
 		return !restarted
--- a/internal/proxy/cwlead/replaced_test.go
+++ b/internal/proxy/cwlead/replaced_test.go
@@ -16,7 +16,7 @@
 
 // reportHealthAt lets a member answer a health check sent now, one millisecond later,
 // with its log at the given mark.
-func (b *testGroup) reportHealthAt(id cwgroup.MemberID, role cwgroup.Role, term cwgroup.Term, received cwgroup.Mark) {
+func (b *testGroup) reportHealthAt(id cwgroup.MemberID, role cwgroup.Role, term cwgroup.Term, received cwgroup.LogPosition) {
 	asked := b.clock.Now()
 	b.clock.Advance(time.Millisecond)
 	b.observeHealth(id, cwstatement.Health{Role: role, Term: term, Received: received}, asked)
@@ -26,8 +26,8 @@
 func (b *testGroup) changeToB() {
 	b.reportHealth("a", cwgroup.RolePrimary, 1, 100)
 	b.reportHealth("c", cwgroup.RoleReplica, 1, 100)
-	b.reportHealthAt("b", cwgroup.RolePrimary, 2, cwgroup.Mark{Term: 2, Position: 120})
-	b.reportHealthAt("c", cwgroup.RoleReplica, 2, cwgroup.Mark{Term: 2, Position: 120})
+	b.reportHealthAt("b", cwgroup.RolePrimary, 2, cwgroup.LogPosition{Term: 2, Index: 120})
+	b.reportHealthAt("c", cwgroup.RoleReplica, 2, cwgroup.LogPosition{Term: 2, Index: 120})
 	b.assertConfirmed(true)
 }
 
@@ -73,7 +73,7 @@
 		b.reportHealth("a", cwgroup.RolePrimary, 1, 100)
 		b.reportHealth("c", cwgroup.RoleReplica, 1, 100)
 		b.assertPrimary("a")
-		b.reportHealthAt("c", cwgroup.RoleReplica, 2, cwgroup.Mark{Term: 1, Position: 100})
+		b.reportHealthAt("c", cwgroup.RoleReplica, 2, cwgroup.LogPosition{Term: 1, Index: 100})
 		b.assertPrimary("")
 	})
 }
@@ -98,12 +98,12 @@
 	b.changeToB()
 	b.clock.Advance(100 * time.Millisecond)
 	asked := b.clock.Now()
-	b.Saw("a", cwgroup.Mark{Term: 2, Position: 122}, false, asked)
+	b.Saw("a", cwgroup.LogPosition{Term: 2, Index: 122}, false, asked)
 	b.clock.Advance(time.Millisecond)
-	b.reportHealthAt("b", cwgroup.RolePrimary, 2, cwgroup.Mark{Term: 2, Position: 150})
-	b.reportHealthAt("c", cwgroup.RoleReplica, 2, cwgroup.Mark{Term: 2, Position: 150})
+	b.reportHealthAt("b", cwgroup.RolePrimary, 2, cwgroup.LogPosition{Term: 2, Index: 150})
+	b.reportHealthAt("c", cwgroup.RoleReplica, 2, cwgroup.LogPosition{Term: 2, Index: 150})
 	b.clock.Advance(time.Second)
 	place, err := b.Replica(context.Background(), Read{Came: b.clock.Now(), MaxAge: b.clock.Since(asked)}, b.clock.Now())
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, place.Floor, qt.Equals, cwgroup.Mark{Term: 2, Position: 150})
+	qt.Assert(t, place.Floor, qt.Equals, cwgroup.LogPosition{Term: 2, Index: 150})
 }
--- a/internal/proxy/cwlead/restart.go
+++ b/internal/proxy/cwlead/restart.go
@@ -35,7 +35,7 @@
 	fenceUnchecked bool
 	// requiredMark is the log position that the member must reach again: that of the
 	// primary at the restart. It is zero once the member has reached it.
-	requiredMark cwgroup.Mark
+	requiredMark cwgroup.LogPosition
 }
 
 // EmptyError reports a restarted member whose log lacks records that it may have had
@@ -43,7 +43,7 @@
 type EmptyError struct {
 	Member cwgroup.MemberID
 	// Has is the end of its log, Owed the position that it must reach.
-	Has, Owed cwgroup.Mark
+	Has, Owed cwgroup.LogPosition
 }
 
 func (e *EmptyError) Error() string {
@@ -67,8 +67,8 @@
 func (g *Group) recordRestart(id cwgroup.MemberID, reason string) {
 	now := g.cfg.Clock.Now()
 	rs := restart{detectedAt: now, fenceUnchecked: true, requiredMark: g.restarts[id].requiredMark}
-	if p, ok := g.sup.View().Primary(); ok && p.Last.AtLeast(rs.requiredMark) {
-		rs.requiredMark = p.Last
+	if p, ok := g.sup.View().Primary(); ok && p.Durable.AtLeast(rs.requiredMark) {
+		rs.requiredMark = p.Durable
 	}
 	g.cfg.Log.Warn("targetRestarted", "group", g.cfg.Service, "target", id, "why", reason, "owed", rs.requiredMark)
 	g.restarts[id] = rs
@@ -91,7 +91,7 @@
 // same term, and records the new position. Only a restart shortens a log within a term.
 // The answer to a request that was sent before the last answer arrived is not compared,
 // since the two may have overtaken each other. The caller holds mu.
-func (g *Group) logShrank(id cwgroup.MemberID, term cwgroup.Term, received cwgroup.Mark, sentAt time.Time) bool {
+func (g *Group) logShrank(id cwgroup.MemberID, term cwgroup.Term, received cwgroup.LogPosition, sentAt time.Time) bool {
 	s := g.logProgress[id]
 	if s == nil || sentAt.Before(s.reportedAt) {
 		return false
@@ -111,11 +111,11 @@
 	if r.At.Before(rs.detectedAt) {
 		return r, false
 	}
-	if r.Last.AtLeast(rs.requiredMark) {
-		rs.requiredMark = cwgroup.Mark{}
+	if r.Durable.AtLeast(rs.requiredMark) {
+		rs.requiredMark = cwgroup.LogPosition{}
 		g.restarts[r.Member] = rs
 	}
-	incomplete := rs.requiredMark != cwgroup.Mark{}
+	incomplete := rs.requiredMark != cwgroup.LogPosition{}
 	switch {
 	case r.Role == cwgroup.RolePrimary && rs.fenceUnchecked:
 		return r, false
@@ -124,7 +124,7 @@
 		// them.
 		r.Role = cwgroup.RoleFenced
 	case rs.fenceUnchecked:
-		r.Adopted = 0
+		r.AdoptedTerm = 0
 	case !incomplete:
 		delete(g.restarts, r.Member)
 	}
@@ -171,7 +171,7 @@
 
 // checkFencedLog returns an *EmptyError if a fenced member restarted and lacks earlier
 // records, unless it has lacked them for missingRecordsTimeout.
-func (g *Group) checkFencedLog(id cwgroup.MemberID, received cwgroup.Mark) error {
+func (g *Group) checkFencedLog(id cwgroup.MemberID, received cwgroup.LogPosition) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	rs, ok := g.restarts[id]
--- a/internal/proxy/cwlead/restart_test.go
+++ b/internal/proxy/cwlead/restart_test.go
@@ -50,10 +50,10 @@
 
 // reportHealth lets a member answer a health check sent now, one millisecond later,
 // with its log at a position of term 1.
-func (b *testGroup) reportHealth(id cwgroup.MemberID, role cwgroup.Role, term cwgroup.Term, received cwgroup.Position) {
+func (b *testGroup) reportHealth(id cwgroup.MemberID, role cwgroup.Role, term cwgroup.Term, received cwgroup.LogIndex) {
 	asked := b.clock.Now()
 	b.clock.Advance(time.Millisecond)
-	b.observeHealth(id, cwstatement.Health{Role: role, Term: term, Received: cwgroup.Mark{Term: 1, Position: received}}, asked)
+	b.observeHealth(id, cwstatement.Health{Role: role, Term: term, Received: cwgroup.LogPosition{Term: 1, Index: received}}, asked)
 }
 
 // awaitFenceCheck waits until the row has been checked after a restart of c, or, if
@@ -188,7 +188,7 @@
 		b := newTestGroup(t)
 		asked := b.clock.Now()
 		b.reportHealth("c", cwgroup.RoleReplica, 1, 100)
-		b.observeHealth("c", cwstatement.Health{Term: 1, Received: cwgroup.Mark{Term: 1, Position: 90}}, asked)
+		b.observeHealth("c", cwstatement.Health{Term: 1, Received: cwgroup.LogPosition{Term: 1, Index: 90}}, asked)
 		qt.Assert(t, b.restarts, qt.HasLen, 0)
 	})
 }
@@ -205,7 +205,7 @@
 	done := make(chan cwack.Outcome, 1)
 	b.mu.Lock()
 	b.tracker.Add(cwack.Wait{
-		Mark: cwgroup.Mark{Term: 1, Position: 101}, Deadline: b.clock.Now().Add(time.Hour),
+		Mark: cwgroup.LogPosition{Term: 1, Index: 101}, Deadline: b.clock.Now().Add(time.Hour),
 		Done: func(o cwack.Outcome) { done <- o },
 	})
 	b.mu.Unlock()
@@ -226,11 +226,11 @@
 	b.reportHealth("a", cwgroup.RolePrimary, 1, 100)
 	b.reportHealth("c", cwgroup.RoleReplica, 1, 100)
 	b.listMembers(time.UnixMilli(900))
-	has := func(n cwgroup.Position) error { return b.checkFencedLog("c", cwgroup.Mark{Term: 1, Position: n}) }
+	has := func(n cwgroup.LogIndex) error { return b.checkFencedLog("c", cwgroup.LogPosition{Term: 1, Index: n}) }
 	var empty *EmptyError
 	qt.Assert(t, errors.As(has(99), &empty), qt.IsTrue)
 	qt.Assert(t, has(100), qt.IsNil)
-	qt.Assert(t, b.checkFencedLog("b", cwgroup.Mark{Term: 1, Position: 7}), qt.IsNil)
+	qt.Assert(t, b.checkFencedLog("b", cwgroup.LogPosition{Term: 1, Index: 7}), qt.IsNil)
 	b.clock.Advance(missingRecordsTimeout)
 	qt.Assert(t, has(99), qt.IsNil)
 }
@@ -241,7 +241,7 @@
 func TestRestartedPrimary(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
-		has   cwgroup.Position
+		has   cwgroup.LogIndex
 		leads bool
 	}{{"with its log", 100, true}, {"without its log", 0, false}} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/proxy/cwlead/suspect_test.go
+++ b/internal/proxy/cwlead/suspect_test.go
@@ -18,7 +18,7 @@
 func TestReplicasAreCheckedOnFirstSuspicion(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
-		received cwgroup.Position
+		received cwgroup.LogIndex
 		lost     bool
 	}{{"replicas hear nothing either", 100, true}, {"replicas still hear the primary", 101, false}} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/proxy/cwnode/status.go
+++ b/internal/proxy/cwnode/status.go
@@ -121,7 +121,7 @@
 		Target: string(id), Group: v.Name(), Role: r.Role.String(),
 		Reachable: r.Reachable && n.cfg.Clock.Since(r.At) <= cwroute.MaxReportAge,
 		Stopping:  n.catalogue.Stopping(id),
-		Mark:      r.Last.String(), Applied: r.Applied.String(),
+		Mark:      r.Durable.String(), Applied: r.Applied.String(),
 	}
 	if p, ok := n.pools[id]; ok {
 		s := p.Stats()
--- a/internal/proxy/cwport/handover.go
+++ b/internal/proxy/cwport/handover.go
@@ -31,7 +31,7 @@
 	// Values are the session's settings.
 	Values map[string]string
 	// Seen is what the session has written in the group.
-	Seen cwgroup.Mark
+	Seen cwgroup.LogPosition
 	// Elapsed is how long ago the statement came.
 	Elapsed time.Duration
 }
@@ -46,7 +46,7 @@
 type Handed struct {
 	Answer cwstatement.Response
 	// Wrote is the mark of a commit of this statement; zero if it was none.
-	Wrote cwgroup.Mark
+	Wrote cwgroup.LogPosition
 	// Elsewhere is true if nothing ran because of the holder's own state, and
 	// another one may serve the statement.
 	Elsewhere bool
--- a/internal/proxy/cwwatch/group.go
+++ b/internal/proxy/cwwatch/group.go
@@ -206,9 +206,9 @@
 	voteChanged := g.sup.AddReport(cwgroup.Report{Status: r.Status, At: now, Reachable: true}, r.Following, now)
 	if p, ok := g.sup.View().Primary(); ok && p.Member == r.Member && r.Role == cwgroup.RolePrimary {
 		if at, ok := cwroute.ConfirmedAt(g.sup.View(), p, sentAt); ok && !sentAt.IsZero() {
-			g.history.Observe(r.Last, at)
+			g.history.Observe(r.Durable, at)
 		}
-		g.lag.ObservePrimary(r.Last, now)
+		g.lag.ObservePrimary(r.Durable, now)
 	} else {
 		g.lag.ObserveReplica(r.Member, r.Applied, now)
 	}
@@ -298,7 +298,7 @@
 		gap := now.Sub(g.writesBlockedSince)
 		g.writesBlockedSince = time.Time{}
 		g.failoverGaps = append(g.failoverGaps, gap)
-		g.cfg.Log.Info("writesResumed", "group", g.cfg.Group.Name, "primary", p.Member, "term", p.Adopted, "gapMs", gap.Milliseconds())
+		g.cfg.Log.Info("writesResumed", "group", g.cfg.Group.Name, "primary", p.Member, "term", p.AdoptedTerm, "gapMs", gap.Milliseconds())
 	}
 }
 
--- a/internal/proxy/cwwatch/orders.go
+++ b/internal/proxy/cwwatch/orders.go
@@ -42,7 +42,7 @@
 	g.cfg.Log.Info("primaryChanged", "group", r.Plan.Group, "term", r.Plan.Term, "before", r.OldPrimary.Member,
 		"after", r.NewPrimary, "planned", r.Planned, "tookMs", r.Duration.Milliseconds())
 	g.cfg.Journal.Record("primaryChanged", r.Plan.Group,
-		fmt.Sprintf("%s term %d", r.OldPrimary.Member, r.OldPrimary.Adopted), fmt.Sprintf("%s term %d", r.NewPrimary, r.Plan.Term))
+		fmt.Sprintf("%s term %d", r.OldPrimary.Member, r.OldPrimary.AdoptedTerm), fmt.Sprintf("%s term %d", r.NewPrimary, r.Plan.Term))
 }
 
 // executeOrder executes one order of the supervisor and returns the outcome as an
--- a/internal/proxy/cwwatch/place.go
+++ b/internal/proxy/cwwatch/place.go
@@ -35,14 +35,14 @@
 // positionAnswer is the result of one query, valid once done is closed.
 type positionAnswer struct {
 	done chan struct{}
-	mark cwgroup.Mark
+	mark cwgroup.LogPosition
 	err  error
 }
 
 // Tip returns the primary's position at some moment after the call at which it was
 // certainly still the primary. The error is a refusal: no primary could be confirmed,
 // or ctx ended.
-func (g *Group) Tip(ctx context.Context) (cwgroup.Mark, error) {
+func (g *Group) Tip(ctx context.Context) (cwgroup.LogPosition, error) {
 	g.mu.Lock()
 	if g.positionQuery.next == nil {
 		g.positionQuery.next = &positionAnswer{done: make(chan struct{})}
@@ -57,7 +57,7 @@
 	case <-answer.done:
 		return answer.mark, answer.err
 	case <-ctx.Done():
-		return cwgroup.Mark{}, noPrimary()
+		return cwgroup.LogPosition{}, noPrimary()
 	}
 }
 
@@ -80,7 +80,7 @@
 
 // queryPosition asks every member at once and returns the primary's position as soon as
 // a majority has confirmed its term.
-func (g *Group) queryPosition() (cwgroup.Mark, error) {
+func (g *Group) queryPosition() (cwgroup.LogPosition, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), positionTimeout)
 	defer cancel()
 	results := make(chan cwgroup.Status, len(g.feeds))
@@ -95,11 +95,11 @@
 		if s := <-results; s.Member != "" {
 			answers = append(answers, s)
 		}
-		if m, ok := cwgroup.Confirmed(answers, len(g.feeds)); ok {
+		if m, ok := cwgroup.ConfirmedPosition(answers, len(g.feeds)); ok {
 			return m, nil
 		}
 	}
-	return cwgroup.Mark{}, noPrimary()
+	return cwgroup.LogPosition{}, noPrimary()
 }
 
 // noPrimary returns the refusal of a statement that has not run because there is no
@@ -242,7 +242,7 @@
 
 // AwaitMajority waits until a majority of the members holds the record at m, the
 // outcome can no longer be determined, or the contract's AckTimeout has passed.
-func (g *Group) AwaitMajority(m cwgroup.Mark) cwack.Outcome {
+func (g *Group) AwaitMajority(m cwgroup.LogPosition) cwack.Outcome {
 	now := g.cfg.Clock.Now()
 	done := make(chan cwack.Outcome, 1)
 	g.mu.Lock()
@@ -264,12 +264,12 @@
 // observeCommit treats the mark that the primary returned with a commit as a report,
 // since it is the earliest information about the primary's position. The caller holds
 // mu.
-func (g *Group) observeCommit(m cwgroup.Mark, now time.Time) {
+func (g *Group) observeCommit(m cwgroup.LogPosition, now time.Time) {
 	p, ok := g.sup.View().Primary()
-	if !ok || p.Adopted != m.Term || p.Last.AtLeast(m) {
+	if !ok || p.AdoptedTerm != m.Term || p.Durable.AtLeast(m) {
 		return
 	}
-	p.Last, p.Applied, p.At = m, m, now
+	p.Durable, p.Applied, p.At = m, m, now
 	g.sup.AddReport(p, "", now)
 	g.lag.ObservePrimary(m, now)
 }
--- a/internal/standin/cwdatabase/member.go
+++ b/internal/standin/cwdatabase/member.go
@@ -88,7 +88,7 @@
 	// log has the record of position i at log[i-1].
 	log []record
 	// applied is the position up to which engine has the records.
-	applied cwgroup.Position
+	applied cwgroup.LogIndex
 	follow  string
 	leader  cwgroup.MemberID
 	// heard is when this replica last heard from its primary.
@@ -128,11 +128,11 @@
 	m.changed = make(chan struct{})
 }
 
-func (m *Member) markAt(p cwgroup.Position) cwgroup.Mark {
+func (m *Member) markAt(p cwgroup.LogIndex) cwgroup.LogPosition {
 	if p == 0 {
-		return cwgroup.Mark{}
+		return cwgroup.LogPosition{}
 	}
-	return cwgroup.Mark{Term: m.log[p-1].Term, Position: p}
+	return cwgroup.LogPosition{Term: m.log[p-1].Term, Index: p}
 }
 
 // Status returns what the member reports about itself.
@@ -144,13 +144,13 @@
 
 func (m *Member) statusLocked() cwgroup.Status {
 	s := cwgroup.Status{
-		Member:     m.cfg.ID,
-		Role:       m.role,
-		Adopted:    m.adopted,
-		Claim:      m.claim,
-		Last:       m.markAt(cwgroup.Position(len(m.log))),
-		Applied:    m.markAt(m.applied),
-		OpenWrites: m.open,
+		Member:      m.cfg.ID,
+		Role:        m.role,
+		AdoptedTerm: m.adopted,
+		Claim:       m.claim,
+		Durable:     m.markAt(cwgroup.LogIndex(len(m.log))),
+		Applied:     m.markAt(m.applied),
+		OpenWrites:  m.open,
 	}
 	if m.role != cwgroup.RolePrimary {
 		s.UpstreamAge = time.Since(m.heard)
@@ -324,7 +324,7 @@
 }
 
 // commit ends the open transaction and appends its record.
-func (m *Member) commit(term cwgroup.Term, stmts []statement) (cwgroup.Mark, error) {
+func (m *Member) commit(term cwgroup.Term, stmts []statement) (cwgroup.LogPosition, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	defer func() {
@@ -334,20 +334,20 @@
 	ctx := context.Background()
 	if m.role != cwgroup.RolePrimary || m.adopted != term {
 		_, _ = m.engine.write.ExecContext(ctx, "ROLLBACK")
-		return cwgroup.Mark{}, &NotPrimaryError{Role: m.role}
+		return cwgroup.LogPosition{}, &NotPrimaryError{Role: m.role}
 	}
 	if _, err := m.engine.write.ExecContext(ctx, "COMMIT"); err != nil {
 		_, _ = m.engine.write.ExecContext(ctx, "ROLLBACK")
-		return cwgroup.Mark{}, Error.Wrap(err)
+		return cwgroup.LogPosition{}, Error.Wrap(err)
 	}
 	if len(stmts) == 0 {
-		return m.markAt(cwgroup.Position(len(m.log))), nil
+		return m.markAt(cwgroup.LogIndex(len(m.log))), nil
 	}
 	if err := m.engine.apply(ctx, stmts); err != nil {
-		return cwgroup.Mark{}, err
+		return cwgroup.LogPosition{}, err
 	}
 	m.log = append(m.log, record{Term: term, Stmts: stmts})
-	m.applied = cwgroup.Position(len(m.log))
+	m.applied = cwgroup.LogIndex(len(m.log))
 	m.notify()
 	return m.markAt(m.applied), nil
 }
@@ -372,7 +372,7 @@
 	_ = oldWrite.Close()
 	_ = oldWorking.Close()
 	_ = oldCommitted.Close()
-	m.applied = cwgroup.Position(len(m.log))
+	m.applied = cwgroup.LogIndex(len(m.log))
 	return nil
 }
 
--- a/internal/standin/cwdatabase/member_test.go
+++ b/internal/standin/cwdatabase/member_test.go
@@ -78,7 +78,7 @@
 	_, err = conn.Exec(ctx, "SELEC 1")
 	assertState(c, err, "42601")
 
-	waitFor(c, "replication", func() bool { return replica.Status().Applied == primary.Status().Last })
+	waitFor(c, "replication", func() bool { return replica.Status().Applied == primary.Status().Durable })
 	rc := dial(c, replica)
 	c.Assert(rc.QueryRow(ctx, "SELECT count(*) FROM round").Scan(&n), qt.IsNil)
 	c.Assert(n, qt.Equals, int64(2))
@@ -119,7 +119,7 @@
 	conn := dial(c, primary)
 	_, err := conn.Exec(ctx, "CREATE TABLE round (id bigint PRIMARY KEY)")
 	c.Assert(err, qt.IsNil)
-	waitFor(c, "replication", func() bool { return replica.Status().Applied == primary.Status().Last })
+	waitFor(c, "replication", func() bool { return replica.Status().Applied == primary.Status().Durable })
 	replica.SetFaults(Faults{StreamLag: time.Hour})
 	_, err = conn.Exec(ctx, "INSERT INTO round VALUES (1)")
 	c.Assert(err, qt.IsNil)
@@ -130,7 +130,7 @@
 	c.Assert(err, qt.IsNil)
 	_, err = primary.followOrder(2, "x", "b", replica.Addr())
 	c.Assert(err, qt.IsNil)
-	waitFor(c, "the tail being cut", func() bool { return primary.Status().Applied == replica.Status().Last })
+	waitFor(c, "the tail being cut", func() bool { return primary.Status().Applied == replica.Status().Durable })
 	var n int64
 	c.Assert(dial(c, primary).QueryRow(ctx, "SELECT count(*) FROM round").Scan(&n), qt.IsNil)
 	c.Assert(n, qt.Equals, int64(0))
@@ -146,7 +146,7 @@
 	for _, tc := range []struct {
 		name             string
 		primary, replica []record
-		want             cwgroup.Position
+		want             cwgroup.LogIndex
 	}{
 		{"empty replica", log(1, 1), log(), 0},
 		{"behind", log(1, 1, 1), log(1, 1), 2},
@@ -155,7 +155,7 @@
 		{"equal", log(1, 2), log(1, 2), 2},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			req := streamRequest{Last: cwgroup.Position(len(tc.replica)), Epochs: epochsOf(tc.replica)}
+			req := streamRequest{Last: cwgroup.LogIndex(len(tc.replica)), Epochs: epochsOf(tc.replica)}
 			qt.Assert(t, commonPrefix(tc.primary, req), qt.Equals, tc.want)
 		})
 	}
--- a/internal/standin/cwdatabase/replicate.go
+++ b/internal/standin/cwdatabase/replicate.go
@@ -24,19 +24,19 @@
 	Member  cwgroup.MemberID
 	Adopted cwgroup.Term
 	Claim   cwgroup.ClaimID
-	Last    cwgroup.Position
+	Last    cwgroup.LogIndex
 	Epochs  []epoch
 }
 
 // epoch is the run of records of one term.
 type epoch struct {
 	Term  cwgroup.Term
-	First cwgroup.Position
+	First cwgroup.LogIndex
 }
 
 // streamPart is what a primary sends. The first part has TruncateTo set.
 type streamPart struct {
-	TruncateTo *cwgroup.Position
+	TruncateTo *cwgroup.LogIndex
 	Records    []record
 }
 
@@ -44,7 +44,7 @@
 	var out []epoch
 	for i, r := range log {
 		if len(out) == 0 || out[len(out)-1].Term != r.Term {
-			out = append(out, epoch{Term: r.Term, First: cwgroup.Position(i + 1)})
+			out = append(out, epoch{Term: r.Term, First: cwgroup.LogIndex(i + 1)})
 		}
 	}
 	return out
@@ -53,11 +53,11 @@
 // commonPrefix returns how much of a replica's log is in the primary's: the
 // longest prefix whose terms agree. Two logs that have the same term at a
 // position are the same up to there, since one primary wrote each term.
-func commonPrefix(log []record, req streamRequest) cwgroup.Position {
+func commonPrefix(log []record, req streamRequest) cwgroup.LogIndex {
 	end := req.Last
 	for i := len(req.Epochs) - 1; i >= 0; i-- {
 		e := req.Epochs[i]
-		p := min(end, cwgroup.Position(len(log)))
+		p := min(end, cwgroup.LogIndex(len(log)))
 		for ; p >= e.First; p-- {
 			if log[p-1].Term == e.Term {
 				return p
@@ -101,7 +101,7 @@
 			if err := c.sendPart(streamPart{Records: records}); err != nil {
 				return err
 			}
-			next += cwgroup.Position(len(records))
+			next += cwgroup.LogIndex(len(records))
 		}
 		select {
 		case <-changed:
@@ -158,7 +158,7 @@
 		Member:  m.cfg.ID,
 		Adopted: m.adopted,
 		Claim:   m.claim,
-		Last:    cwgroup.Position(len(m.log)),
+		Last:    cwgroup.LogIndex(len(m.log)),
 		Epochs:  epochsOf(m.log),
 	}
 	m.mu.Unlock()
@@ -233,7 +233,7 @@
 			return err
 		}
 	} else {
-		upTo := cwgroup.Position(len(m.log))
+		upTo := cwgroup.LogIndex(len(m.log))
 		time.AfterFunc(m.faults.ApplyLag, func() { m.applyLater(ctx, term, upTo) })
 	}
 	m.notify()
@@ -241,7 +241,7 @@
 }
 
 // cutTail drops the records after p. The data is made anew if it had them.
-func (m *Member) cutTail(ctx context.Context, p cwgroup.Position) error {
+func (m *Member) cutTail(ctx context.Context, p cwgroup.LogIndex) error {
 	m.log = m.log[:p:p]
 	if m.applied <= p {
 		return nil
@@ -259,7 +259,7 @@
 	return nil
 }
 
-func (m *Member) applyLater(ctx context.Context, term cwgroup.Term, upTo cwgroup.Position) {
+func (m *Member) applyLater(ctx context.Context, term cwgroup.Term, upTo cwgroup.LogIndex) {
 	if m.lockWriter(ctx) != nil {
 		return
 	}
@@ -269,7 +269,7 @@
 	if m.adopted != term || m.role != cwgroup.RoleReplica {
 		return
 	}
-	for m.applied < min(upTo, cwgroup.Position(len(m.log))) {
+	for m.applied < min(upTo, cwgroup.LogIndex(len(m.log))) {
 		if m.engine.replicate(ctx, m.log[m.applied].Stmts) != nil {
 			return
 		}
--- a/internal/standin/cwreplica/log.go
+++ b/internal/standin/cwreplica/log.go
@@ -9,7 +9,7 @@
 
 // record is one committed transaction.
 type record struct {
-	mark   cwgroup.Mark
+	mark   cwgroup.LogPosition
 	writes map[string]string
 }
 
@@ -62,15 +62,15 @@
 	return Log{}
 }
 
-func markOf(log []record) cwgroup.Mark {
+func markOf(log []record) cwgroup.LogPosition {
 	if len(log) == 0 {
-		return cwgroup.Mark{Term: 1}
+		return cwgroup.LogPosition{Term: 1}
 	}
 	return log[len(log)-1].mark
 }
 
 // received returns where the log ends that the member has received.
-func (m *Member) received() cwgroup.Mark { return markOf(m.log) }
+func (m *Member) received() cwgroup.LogPosition { return markOf(m.log) }
 
 // visible returns the log that reads see.
 func (m *Member) visible(now time.Time) []record {
@@ -109,18 +109,18 @@
 
 // append adds a transaction of the member's own.
 func (m *Member) append(writes map[string]string, now time.Time) {
-	next := cwgroup.Mark{Term: m.term, Position: m.received().Position + 1}
+	next := cwgroup.LogPosition{Term: m.term, Index: m.received().Index + 1}
 	m.log = append(m.log, record{mark: next, writes: maps.Clone(writes)})
 	m.receivedAt = append(m.receivedAt, now)
 	m.apply(now)
 }
 
-func holds(log []record, floor cwgroup.Mark) bool {
-	if floor.Position == 0 {
+func holds(log []record, floor cwgroup.LogPosition) bool {
+	if floor.Index == 0 {
 		return true
 	}
 	// Positions count from 1.
-	i := int(floor.Position) - 1
+	i := int(floor.Index) - 1
 	return i < len(log) && log[i].mark == floor
 }
 
--- a/internal/tool/cwdemo/bench.go
+++ b/internal/tool/cwdemo/bench.go
@@ -297,8 +297,8 @@
 func (b *Bench) Primary() int {
 	best, term := -1, cwgroup.Term(0)
 	for i, d := range b.Databases[:len(hosts)] {
-		if s := d.Status(); s.Role == cwgroup.RolePrimary && s.Adopted > term {
-			best, term = i, s.Adopted
+		if s := d.Status(); s.Role == cwgroup.RolePrimary && s.AdoptedTerm > term {
+			best, term = i, s.AdoptedTerm
 		}
 	}
 	return best
--- a/internal/wire/cwhandover/handover.go
+++ b/internal/wire/cwhandover/handover.go
@@ -83,12 +83,12 @@
 
 func micros(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
 
-func markOf(b markBody) cwgroup.Mark {
-	return cwgroup.Mark{Term: cwgroup.Term(b.Term), Position: cwgroup.Position(b.Position)}
+func markOf(b markBody) cwgroup.LogPosition {
+	return cwgroup.LogPosition{Term: cwgroup.Term(b.Term), Index: cwgroup.LogIndex(b.Position)}
 }
 
-func bodyOfMark(m cwgroup.Mark) markBody {
-	return markBody{Term: uint64(m.Term), Position: uint64(m.Position)}
+func bodyOfMark(m cwgroup.LogPosition) markBody {
+	return markBody{Term: uint64(m.Term), Position: uint64(m.Index)}
 }
 
 func bodyOfHand(h cwport.Handover) handBody {
--- a/internal/wire/cwhandover/handover_test.go
+++ b/internal/wire/cwhandover/handover_test.go
@@ -33,7 +33,7 @@
 		Statement: cwstatement.Statement{ID: "5c0e", Verb: cwstatement.Execute, Name: "s1", Args: "1a4 \u00e9\"x"},
 		Prepared:  &cwport.Prepared{Shape: "q2c", Writes: true},
 		Values:    map[string]string{"lang": "es"},
-		Seen:      cwgroup.Mark{Term: 3, Position: 1207},
+		Seen:      cwgroup.LogPosition{Term: 3, Index: 1207},
 		Elapsed:   3 * time.Millisecond,
 	}
 }
@@ -49,7 +49,7 @@
 	t.Run("an answer", func(t *testing.T) {
 		want := cwport.Handed{
 			Answer: cwstatement.Response{Rows: []string{"a", "b c"}, Proof: "7.1f3", Code: cwstatement.Busy, Detail: "why", State: cwstatement.InFailedTransaction},
-			Wrote:  cwgroup.Mark{Term: 3, Position: 9}, Elsewhere: true,
+			Wrote:  cwgroup.LogPosition{Term: 3, Index: 9}, Elsewhere: true,
 		}
 		got, err := bodyOfHanded(want).handed()
 		qt.Assert(t, err, qt.IsNil)
--- a/internal/wire/cwtarget/status.go
+++ b/internal/wire/cwtarget/status.go
@@ -45,7 +45,7 @@
 // FormatStatus writes a report as key=value pairs.
 func FormatStatus(r Report) string {
 	return fmt.Sprintf("member=%s role=%s adopted=%d claim=%s last=%s applied=%s upstreamAgeMs=%d openWrites=%d following=%s",
-		r.Member, r.Role, r.Adopted, r.Claim, r.Last, r.Applied, r.UpstreamAge.Milliseconds(), r.OpenWrites, r.Following)
+		r.Member, r.Role, r.AdoptedTerm, r.Claim, r.Durable, r.Applied, r.UpstreamAge.Milliseconds(), r.OpenWrites, r.Following)
 }
 
 // StatusError reports a status that cannot be read.
@@ -78,13 +78,13 @@
 		r.Role = parseRole(value)
 	case "adopted":
 		n, err = strconv.ParseUint(value, 10, 63)
-		r.Adopted = cwgroup.Term(n)
+		r.AdoptedTerm = cwgroup.Term(n)
 	case "claim":
 		r.Claim = cwgroup.ClaimID(value)
 	case "last":
-		r.Last, err = cwgroup.ParseMark(value)
+		r.Durable, err = cwgroup.ParseLogPosition(value)
 	case "applied":
-		r.Applied, err = cwgroup.ParseMark(value)
+		r.Applied, err = cwgroup.ParseLogPosition(value)
 	case "upstreamAgeMs":
 		n, err = strconv.ParseUint(value, 10, 40)
 		r.UpstreamAge = time.Duration(n) * time.Millisecond
--- a/internal/wire/cwtarget/status_test.go
+++ b/internal/wire/cwtarget/status_test.go
@@ -12,8 +12,8 @@
 func TestStatusRoundTrip(t *testing.T) {
 	r := Report{
 		Status: cwgroup.Status{
-			Member: "hire-1-2", Role: cwgroup.RoleFenced, Adopted: 7, Claim: "entry-1-x-2",
-			Last: cwgroup.Mark{Term: 6, Position: 99}, Applied: cwgroup.Mark{Term: 6, Position: 90},
+			Member: "hire-1-2", Role: cwgroup.RoleFenced, AdoptedTerm: 7, Claim: "entry-1-x-2",
+			Durable: cwgroup.LogPosition{Term: 6, Index: 99}, Applied: cwgroup.LogPosition{Term: 6, Index: 90},
 			UpstreamAge: 40 * time.Millisecond, OpenWrites: 3,
 		},
 		Following: "hire-1-1",
