--- a/cicadawalk.go
+++ b/cicadawalk.go
@@ -65,7 +65,7 @@
 	// Tracker holds the writes that wait for a majority.
 	Tracker = cwack.Tracker
 	// Wait is one write that waits.
-	Wait = cwack.Wait
+	Wait = cwack.PendingWrite
 	// Outcome is how a wait ended.
 	Outcome = cwack.Outcome
 )
--- a/example_test.go
+++ b/example_test.go
@@ -28,10 +28,10 @@
 
 	wrote := cicadawalk.Mark{Term: 1, Index: 7}
 	var tracker cicadawalk.Tracker
-	tracker.Add(cicadawalk.Wait{Mark: wrote, Deadline: now.Add(time.Second), Done: func(o cicadawalk.Outcome) {
+	tracker.Add(cicadawalk.Wait{Position: wrote, Deadline: now.Add(time.Second), Notify: func(o cicadawalk.Outcome) {
 		fmt.Println("write:", o)
 	}})
-	tracker.Observe(sup.View(), now)
+	tracker.Update(sup.View(), now)
 
 	token := cicadawalk.Token{}.WithMark("g", wrote)
 	read := cicadawalk.Read{Floor: cicadawalk.FloorOf(token, "g")}
--- a/internal/core/cwack/ack.go
+++ b/internal/core/cwack/ack.go
@@ -41,8 +41,8 @@
 	return [...]string{"pending", "acknowledged", "superseded", "timedOut"}[o]
 }
 
-// Judge returns the outcome of a write at mark m, as seen in v at time now.
-func Judge(v cwgroup.View, m cwgroup.LogPosition, deadline, now time.Time) Outcome {
+// OutcomeOf returns the outcome of a write at mark m, as seen in v at time now.
+func OutcomeOf(v cwgroup.View, m cwgroup.LogPosition, deadline, now time.Time) Outcome {
 	// The write of a replaced primary is not acknowledged even if a majority is
 	// reported to have it: the report may be older than the replacement.
 	if v.Superseded(m.Term) || v.Term() > m.Term {
@@ -57,34 +57,34 @@
 	return Pending
 }
 
-// Wait is a write that waits for acknowledgement.
-type Wait struct {
-	Mark     cwgroup.LogPosition
+// PendingWrite is a write that waits for acknowledgement.
+type PendingWrite struct {
+	Position cwgroup.LogPosition
 	Deadline time.Time
-	// Done is called once with the outcome. The package holds no lock during the
-	// call; Done must not block.
-	Done func(Outcome)
+	// Notify is called once with the outcome. The package holds no lock during the
+	// call; Notify must not block.
+	Notify func(Outcome)
 }
 
 // Tracker holds the waiting writes of one group. The zero Tracker is empty. It is
 // not safe for concurrent use; the caller must hold a lock.
 type Tracker struct {
-	waits []Wait
+	waits []PendingWrite
 }
 
 // Add adds a waiting write.
-func (t *Tracker) Add(w Wait) { t.waits = append(t.waits, w) }
+func (t *Tracker) Add(w PendingWrite) { t.waits = append(t.waits, w) }
 
 // Len returns the number of waiting writes.
 func (t *Tracker) Len() int { return len(t.waits) }
 
-// Observe ends the waits whose outcome is determined by v and now, and calls their
+// Update ends the waits whose outcome is determined by v and now, and calls their
 // Done.
-func (t *Tracker) Observe(v cwgroup.View, now time.Time) {
+func (t *Tracker) Update(v cwgroup.View, now time.Time) {
 	remaining := t.waits[:0]
 	for _, w := range t.waits {
-		if o := Judge(v, w.Mark, w.Deadline, now); o != Pending {
-			w.Done(o)
+		if o := OutcomeOf(v, w.Position, w.Deadline, now); o != Pending {
+			w.Notify(o)
 			continue
 		}
 		remaining = append(remaining, w)
@@ -98,6 +98,6 @@
 	waits := t.waits
 	t.waits = nil
 	for _, w := range waits {
-		w.Done(TimedOut)
+		w.Notify(TimedOut)
 	}
 }
--- a/internal/core/cwack/ack_test.go
+++ b/internal/core/cwack/ack_test.go
@@ -30,17 +30,17 @@
 	var tr Tracker
 	got := map[cwgroup.LogIndex]Outcome{}
 	add := func(term cwgroup.Term, p cwgroup.LogIndex, d time.Duration) {
-		tr.Add(Wait{Mark: cwgroup.LogPosition{Term: term, Index: p}, Deadline: now.Add(d), Done: func(o Outcome) { got[p] = o }})
+		tr.Add(PendingWrite{Position: cwgroup.LogPosition{Term: term, Index: p}, Deadline: now.Add(d), Notify: func(o Outcome) { got[p] = o }})
 	}
 	add(1, 5, time.Second)
 	add(1, 6, time.Second)
 	add(1, 7, time.Millisecond)
-	tr.Observe(testView(1, 7, 5, 3), now)
+	tr.Update(testView(1, 7, 5, 3), now)
 	qt.Assert(t, got, qt.DeepEquals, map[cwgroup.LogIndex]Outcome{5: Acknowledged})
-	tr.Observe(testView(1, 7, 5, 3), now.Add(time.Millisecond))
+	tr.Update(testView(1, 7, 5, 3), now.Add(time.Millisecond))
 	qt.Assert(t, got[7], qt.Equals, TimedOut)
 	// The primary is replaced; a late report of the old term must not count.
-	tr.Observe(testView(2, 9, 9, 3), now)
+	tr.Update(testView(2, 9, 9, 3), now)
 	qt.Assert(t, got[6], qt.Equals, Superseded)
 	qt.Assert(t, tr.Len(), qt.Equals, 0)
 }
--- a/internal/core/cwproof/ledger_test.go
+++ b/internal/core/cwproof/ledger_test.go
@@ -98,12 +98,12 @@
 		l.told(r, tombstone, mark)
 		return
 	}
-	p.tracker.Add(cwack.Wait{Mark: mark, Deadline: l.w.now.Add(5 * time.Second), Done: func(o cwack.Outcome) {
+	p.tracker.Add(cwack.PendingWrite{Position: mark, Deadline: l.w.now.Add(5 * time.Second), Notify: func(o cwack.Outcome) {
 		if o == cwack.Acknowledged {
 			l.told(r, tombstone, mark)
 		}
 	}})
-	p.tracker.Observe(p.sup.View(), l.w.now)
+	p.tracker.Update(p.sup.View(), l.w.now)
 }
 
 func (l *ledger) told(r *request, tombstone bool, mark cwgroup.LogPosition) {
--- a/internal/core/cwproof/proxy_test.go
+++ b/internal/core/cwproof/proxy_test.go
@@ -69,7 +69,7 @@
 	} else {
 		p.lagging.ObserveReplica(s.Member, s.Applied, p.w.now)
 	}
-	p.tracker.Observe(p.sup.View(), p.w.now)
+	p.tracker.Update(p.sup.View(), p.w.now)
 }
 
 // probe asks a member for its status. One that is down refuses at once.
@@ -123,7 +123,7 @@
 			p.unreachable(m.id())
 		}
 	}
-	p.tracker.Observe(p.sup.View(), p.w.now)
+	p.tracker.Update(p.sup.View(), p.w.now)
 	orders := p.sup.Tick(p.w.now, p.conditions())
 	if r, ok := p.sup.TakeResult(p.w.now, p.conditions()); ok && r.Changed() {
 		p.changes++
--- a/internal/proxy/cwlead/ack.go
+++ b/internal/proxy/cwlead/ack.go
@@ -18,7 +18,7 @@
 		g.mu.Unlock()
 		return cwack.Acknowledged
 	}
-	g.tracker.Add(cwack.Wait{Mark: m, Deadline: now.Add(AckTimeout), Done: func(o cwack.Outcome) { done <- o }})
+	g.tracker.Add(cwack.PendingWrite{Position: m, Deadline: now.Add(AckTimeout), Notify: func(o cwack.Outcome) { done <- o }})
 	g.resolveAckWaits(now)
 	start := !g.pollingAcks && g.tracker.Len() > 0
 	g.pollingAcks = g.pollingAcks || start
@@ -36,7 +36,7 @@
 	if now.Sub(g.termLearntAt) < Lease && g.termStart.Term > 0 && g.term > 1 {
 		return
 	}
-	g.tracker.Observe(g.sup.View(), now)
+	g.tracker.Update(g.sup.View(), now)
 }
 
 // pollForAcks asks replicas for their log positions while commits wait for an
--- a/internal/proxy/cwlead/restart_test.go
+++ b/internal/proxy/cwlead/restart_test.go
@@ -204,9 +204,9 @@
 	b.listMembers(time.UnixMilli(900))
 	done := make(chan cwack.Outcome, 1)
 	b.mu.Lock()
-	b.tracker.Add(cwack.Wait{
-		Mark: cwgroup.LogPosition{Term: 1, Index: 101}, Deadline: b.clock.Now().Add(time.Hour),
-		Done: func(o cwack.Outcome) { done <- o },
+	b.tracker.Add(cwack.PendingWrite{
+		Position: cwgroup.LogPosition{Term: 1, Index: 101}, Deadline: b.clock.Now().Add(time.Hour),
+		Notify: func(o cwack.Outcome) { done <- o },
 	})
 	b.mu.Unlock()
 	b.reportHealth("a", cwgroup.RolePrimary, 1, 101)
--- a/internal/proxy/cwwatch/group.go
+++ b/internal/proxy/cwwatch/group.go
@@ -162,7 +162,7 @@
 	g.mu.Lock()
 	c.OpenWrites = g.openWrites
 	c.MembersCheckTerm, c.WithoutTable = g.contract.ChecksTerm, g.contract.FailoverWithoutTable
-	g.tracker.Observe(g.sup.View(), now)
+	g.tracker.Update(g.sup.View(), now)
 	g.measureGap(now)
 	orders := g.sup.Tick(now, c)
 	result, ended := g.sup.TakeResult(now, c)
@@ -212,7 +212,7 @@
 	} else {
 		g.lag.ObserveReplica(r.Member, r.Applied, now)
 	}
-	g.tracker.Observe(g.sup.View(), now)
+	g.tracker.Update(g.sup.View(), now)
 	g.notify()
 	g.mu.Unlock()
 	g.publish(voteChanged)
--- a/internal/proxy/cwwatch/place.go
+++ b/internal/proxy/cwwatch/place.go
@@ -251,12 +251,12 @@
 		return cwack.TimedOut
 	}
 	g.observeCommit(m, now)
-	g.tracker.Add(cwack.Wait{
-		Mark:     m,
+	g.tracker.Add(cwack.PendingWrite{
+		Position: m,
 		Deadline: now.Add(g.contract.AckTimeout),
-		Done:     func(o cwack.Outcome) { done <- o },
+		Notify:   func(o cwack.Outcome) { done <- o },
 	})
-	g.tracker.Observe(g.sup.View(), now)
+	g.tracker.Update(g.sup.View(), now)
 	g.mu.Unlock()
 	return <-done
 }
