--- a/internal/core/cwrequest/request.go
+++ b/internal/core/cwrequest/request.go
@@ -30,22 +30,22 @@
 const MaxAnswerLen = 64 << 10
 
 // KeyError reports an invalid request key.
-type KeyError struct{ Why string }
+type KeyError struct{ Reason string }
 
-func (e *KeyError) Error() string { return "request key " + e.Why }
+func (e *KeyError) Error() string { return "request key " + e.Reason }
 
 // CheckKey checks a key received from a caller. It returns a *KeyError if the key
 // is empty, longer than MaxKeyLen or contains control characters.
 func CheckKey(key string) error {
 	if key == "" {
-		return &KeyError{Why: "is empty"}
+		return &KeyError{Reason: "is empty"}
 	}
 	if len(key) > MaxKeyLen {
-		return &KeyError{Why: fmt.Sprintf("is longer than %d bytes", MaxKeyLen)}
+		return &KeyError{Reason: fmt.Sprintf("is longer than %d bytes", MaxKeyLen)}
 	}
 	for _, c := range key {
 		if c < 0x20 || c == 0x7f {
-			return &KeyError{Why: "has control characters"}
+			return &KeyError{Reason: "has control characters"}
 		}
 	}
 	return nil
@@ -56,19 +56,19 @@
 	// CreateTable creates the table if it does not exist.
 	CreateTable = `CREATE TABLE IF NOT EXISTS cicadawalk_requests (` +
 		`key text PRIMARY KEY, digest text NOT NULL, state text NOT NULL, answer text NOT NULL)`
-	// Insert takes the key, the digest and a state that applies until Finish, which
+	// InsertKey takes the key, the digest and a state that applies until Finish, which
 	// runs in the same transaction.
-	Insert = `INSERT INTO cicadawalk_requests (key, digest, state, answer) VALUES ($1, $2, $3, '')`
-	// Finish takes the key and the encoded response.
-	Finish = `UPDATE cicadawalk_requests SET state = 'done', answer = $2 WHERE key = $1`
-	// Lookup takes the key.
-	Lookup = `SELECT digest, state, answer FROM cicadawalk_requests WHERE key = $1`
-	// Bury inserts a tombstone. It takes the key, the digest and the state from
+	InsertKey = `INSERT INTO cicadawalk_requests (key, digest, state, answer) VALUES ($1, $2, $3, '')`
+	// RecordAnswer takes the key and the encoded response.
+	RecordAnswer = `UPDATE cicadawalk_requests SET state = 'done', answer = $2 WHERE key = $1`
+	// SelectKey takes the key.
+	SelectKey = `SELECT digest, state, answer FROM cicadawalk_requests WHERE key = $1`
+	// InsertTombstone inserts a tombstone. It takes the key, the digest and the state from
 	// Tombstone.
-	Bury = `INSERT INTO cicadawalk_requests (key, digest, state, answer) VALUES ($1, $2, $3, '')`
-	// Unbury deletes a tombstone. It takes the key and the tombstone's state. A
+	InsertTombstone = `INSERT INTO cicadawalk_requests (key, digest, state, answer) VALUES ($1, $2, $3, '')`
+	// DeleteTombstone deletes a tombstone. It takes the key and the tombstone's state. A
 	// repeated request runs it first in its own transaction.
-	Unbury = `DELETE FROM cicadawalk_requests WHERE key = $1 AND state = $2`
+	DeleteTombstone = `DELETE FROM cicadawalk_requests WHERE key = $1 AND state = $2`
 )
 
 // StateDone is the state of a request that has committed.
@@ -77,8 +77,8 @@
 // tombstonePrefix is the prefix of the states of tombstones.
 const tombstonePrefix = "buried:"
 
-// Tombstone returns the state of a tombstone; id must be unique.
-func Tombstone(id string) string { return tombstonePrefix + id }
+// TombstoneState returns the state of a tombstone; id must be unique.
+func TombstoneState(id string) string { return tombstonePrefix + id }
 
 // Digest returns a digest of a request, made of its statements and arguments. It is
 // used to detect that a key is reused for another request. It is the hexadecimal
@@ -100,24 +100,24 @@
 	Answer string
 }
 
-// Verdict is the meaning of a row for a request.
-type Verdict uint8
+// RowMeaning is the meaning of a row for a request.
+type RowMeaning uint8
 
 // The possible verdicts.
 const (
 	// Absent means that there is no row for the key.
-	Absent Verdict = iota
+	Absent RowMeaning = iota
 	// Replay means that the request has committed; send Row.Answer again.
 	Replay
-	// Buried means that an earlier attempt certainly did not run and never will.
+	// Tombstoned means that an earlier attempt certainly did not run and never will.
 	// The request may run and replace the tombstone, whose state is Row.State.
-	Buried
+	Tombstoned
 	// Mismatch means that the key belongs to another request.
 	Mismatch
 )
 
-// Judge returns the verdict on a row for the request with the given digest.
-func Judge(r Row, digest string) Verdict {
+// Classify returns the verdict on a row for the request with the given digest.
+func Classify(r Row, digest string) RowMeaning {
 	switch {
 	case !r.Found:
 		return Absent
@@ -126,6 +126,6 @@
 	case r.State == StateDone:
 		return Replay
 	default:
-		return Buried
+		return Tombstoned
 	}
 }
--- a/internal/core/cwrequest/request_test.go
+++ b/internal/core/cwrequest/request_test.go
@@ -11,14 +11,14 @@
 	for _, tc := range []struct {
 		name string
 		row  Row
-		want Verdict
+		want RowMeaning
 	}{
 		{"no row", Row{}, Absent},
 		{"done", Row{Found: true, Digest: "d", State: StateDone}, Replay},
 		{"other request, done", Row{Found: true, Digest: "x", State: StateDone}, Mismatch},
-		{"tombstone", Row{Found: true, Digest: "d", State: Tombstone("1")}, Buried},
+		{"tombstone", Row{Found: true, Digest: "d", State: TombstoneState("1")}, Tombstoned},
 	} {
-		t.Run(tc.name, func(t *testing.T) { qt.Assert(t, Judge(tc.row, "d"), qt.Equals, tc.want) })
+		t.Run(tc.name, func(t *testing.T) { qt.Assert(t, Classify(tc.row, "d"), qt.Equals, tc.want) })
 	}
 }
 
--- a/internal/proxy/cwfront/keyed.go
+++ b/internal/proxy/cwfront/keyed.go
@@ -111,7 +111,7 @@
 func (k *keyed) commit(r route, start int) (again bool, err error) {
 	s := k.s
 	encoded := base64.StdEncoding.EncodeToString(s.out[start:])
-	res, err := s.exec(r, fill(cwrequest.Finish, k.key, encoded)+"; COMMIT")
+	res, err := s.exec(r, fill(cwrequest.RecordAnswer, k.key, encoded)+"; COMMIT")
 	if err != nil {
 		s.out = s.out[:start]
 		if cwtarget.ServerCode(err) != "" {
@@ -141,9 +141,9 @@
 	}
 	query := "BEGIN; "
 	if k.grave != "" {
-		query += fill(cwrequest.Unbury, k.key, k.grave) + "; "
+		query += fill(cwrequest.DeleteTombstone, k.key, k.grave) + "; "
 	}
-	_, err := s.exec(r, query+fill(cwrequest.Insert, k.key, k.digest, "open"))
+	_, err := s.exec(r, query+fill(cwrequest.InsertKey, k.key, k.digest, "open"))
 	return err
 }
 
@@ -186,12 +186,12 @@
 	if err != nil {
 		return true, cwrefusal.NotRun(cwrefusal.SerializationFailure, retryAfter, "the request could not begin")
 	}
-	switch cwrequest.Judge(row, k.digest) {
+	switch cwrequest.Classify(row, k.digest) {
 	case cwrequest.Replay:
 		return false, s.replay(r, row)
 	case cwrequest.Mismatch:
 		return false, cwrefusal.NotRun(cwrefusal.DuplicateRequest, 0, "this request key belongs to another request")
-	case cwrequest.Buried:
+	case cwrequest.Tombstoned:
 		k.grave = row.State
 	}
 	return true, cwrefusal.NotRun(cwrefusal.SerializationFailure, retryAfter, "another attempt of this request is in progress")
@@ -287,7 +287,7 @@
 		s.finishOwn(r, err)
 		return false, err
 	}
-	verdict := cwrequest.Judge(row, digest)
+	verdict := cwrequest.Classify(row, digest)
 	if verdict == cwrequest.Absent {
 		err := s.bury(r, key, digest)
 		return err == nil, notRunAfterAll(err)
@@ -305,7 +305,7 @@
 		s.server.Metrics.Replays.Inc()
 		s.out = append(s.out, answer...)
 		return true, nil
-	case cwrequest.Buried:
+	case cwrequest.Tombstoned:
 		return true, notRunAfterAll(nil)
 	}
 	return true, cwrefusal.NotRun(cwrefusal.DuplicateRequest, 0, "this request key belongs to another request")
@@ -320,8 +320,8 @@
 
 // bury writes a tombstone and waits until it is kept.
 func (s *session) bury(r route, key, digest string) error {
-	id := cwrequest.Tombstone(fmt.Sprintf("%d-%d", s.key.pid, s.server.Clock.Now().UnixNano()))
-	res, err := s.exec(r, fill(cwrequest.Bury, key, digest, id))
+	id := cwrequest.TombstoneState(fmt.Sprintf("%d-%d", s.key.pid, s.server.Clock.Now().UnixNano()))
+	res, err := s.exec(r, fill(cwrequest.InsertTombstone, key, digest, id))
 	s.finishOwn(r, err)
 	if err != nil {
 		return err
@@ -335,7 +335,7 @@
 
 // lookup reads the row of a key at the route's member.
 func (s *session) lookup(r route, key string) (cwrequest.Row, error) {
-	res, err := s.exec(r, fill(cwrequest.Lookup, key))
+	res, err := s.exec(r, fill(cwrequest.SelectKey, key))
 	if cwtarget.ServerCode(err) == "42P01" {
 		// No request with a key has committed in this group yet. Make the table,
 		// so that a tombstone can be written.
--- a/internal/proxy/cwfront/transaction.go
+++ b/internal/proxy/cwfront/transaction.go
@@ -44,7 +44,7 @@
 	}
 	start := len(s.out)
 	if u.ends && tx.key != "" && tx.status == 'T' {
-		if _, err := s.exec(r, fill(cwrequest.Finish, tx.key, "")); err != nil {
+		if _, err := s.exec(r, fill(cwrequest.RecordAnswer, tx.key, "")); err != nil {
 			u.ends = false
 			s.loseTransaction(u, err)
 			return
