--- a/internal/proxy/cwclaim/claim.go
+++ b/internal/proxy/cwclaim/claim.go
@@ -35,9 +35,9 @@
 	Done     bool   `json:"done"`
 }
 
-// Service returns the name of the group whose row has the key. The second result is
+// GroupOfKey returns the name of the group whose row has the key. The second result is
 // false for keys of other rows.
-func Service(key string) (string, bool) { return strings.CutPrefix(key, KeyPrefix) }
+func GroupOfKey(key string) (string, bool) { return strings.CutPrefix(key, KeyPrefix) }
 
 // Decode decodes the value of a group's row, which is JSON.
 func Decode(value []byte) (cwfailover.Row, error) {
@@ -68,8 +68,8 @@
 	})
 }
 
-// Claims executes the table commands of a cwfailover.Owner for one group.
-type Claims struct {
+// Store executes the table commands of a cwfailover.Owner for one group.
+type Store struct {
 	Table cwplatform.Table
 	// Group is the group's name.
 	Group string
@@ -82,13 +82,13 @@
 // Result is the outcome of a command, with the ETag of the row as it was read.
 type Result struct {
 	Outcome cwfailover.RowOutcome
-	// Tag changes with each write of the row and is empty if there is no row.
-	Tag string
+	// ETag changes with each write of the row and is empty if there is no row.
+	ETag string
 }
 
-// Send executes one command. It reads the row first; the outcome is RowUnavailable
+// Execute executes one command. It reads the row first; the outcome is RowUnavailable
 // if that fails.
-func (c Claims) Send(ctx context.Context, o cwfailover.Command) Result {
+func (c Store) Execute(ctx context.Context, o cwfailover.Command) Result {
 	row, tag, err := c.Read(ctx)
 	if err != nil {
 		return Result{Outcome: cwfailover.RowUnavailable}
@@ -96,12 +96,12 @@
 	isOwnClaim := row.Claim == o.Claim
 	switch {
 	case o.Kind == cwfailover.ReadClaim && isOwnClaim:
-		return Result{Outcome: cwfailover.RowConfirmed, Tag: tag}
+		return Result{Outcome: cwfailover.RowConfirmed, ETag: tag}
 	case o.Kind == cwfailover.ReadClaim,
 		o.Kind == cwfailover.RecordReplacedTerm && !isOwnClaim,
 		o.Kind == cwfailover.WriteClaim && !isOwnClaim && !c.MayClaim(row, o.Term),
 		o.Kind == cwfailover.RecordPrimary && row.Term > o.Term:
-		return Result{Outcome: cwfailover.RowConflict, Tag: tag}
+		return Result{Outcome: cwfailover.RowConflict, ETag: tag}
 	}
 	next := cwfailover.Row{Term: o.Term, Claim: o.Claim, Owner: c.Self, Primary: row.Primary, ReplacedTerm: row.ReplacedTerm, GroupSize: row.GroupSize}
 	if o.Kind != cwfailover.WriteClaim {
@@ -110,13 +110,13 @@
 	if o.Kind == cwfailover.RecordPrimary {
 		next.Primary, next.Done = o.Primary, true
 	}
-	return Result{Outcome: c.writeRow(ctx, next, tag), Tag: tag}
+	return Result{Outcome: c.writeRow(ctx, next, tag), ETag: tag}
 }
 
-// WriteAgain writes a known row again if the table has lost it in a restore. The
+// RestoreRow writes a known row again if the table has lost it in a restore. The
 // outcome is RowConflict if the table has not lost it or if another claim is in
 // progress.
-func (c Claims) WriteAgain(ctx context.Context, known cwfailover.Row) cwfailover.RowOutcome {
+func (c Store) RestoreRow(ctx context.Context, known cwfailover.Row) cwfailover.RowOutcome {
 	row, tag, err := c.Read(ctx)
 	switch {
 	case err != nil:
@@ -138,7 +138,7 @@
 
 // Read returns the group's row and its ETag. If there is no row, it returns a row
 // that is done and an empty tag. The error is that of the table or of decoding.
-func (c Claims) Read(ctx context.Context) (cwfailover.Row, string, error) {
+func (c Store) Read(ctx context.Context) (cwfailover.Row, string, error) {
 	row, err := c.Table.Get(ctx, KeyPrefix+c.Group)
 	var notFound *cwplatform.NotFoundError
 	if errors.As(err, &notFound) {
@@ -151,7 +151,7 @@
 	return r, row.ETag, err
 }
 
-func (c Claims) writeRow(ctx context.Context, r cwfailover.Row, tag string) cwfailover.RowOutcome {
+func (c Store) writeRow(ctx context.Context, r cwfailover.Row, tag string) cwfailover.RowOutcome {
 	value, err := encode(r)
 	if err != nil {
 		return cwfailover.RowUnavailable
--- a/internal/proxy/cwengine/members_test.go
+++ b/internal/proxy/cwengine/members_test.go
@@ -18,14 +18,14 @@
 // updateRow passes the group's row in the table to an engine.
 func (env *testEnv) updateRow(e *Engine) {
 	env.c.Helper()
-	row, _, err := cwclaim.Claims{Table: env.table, Group: testService}.Read(context.Background())
+	row, _, err := cwclaim.Store{Table: env.table, Group: testService}.Read(context.Background())
 	env.c.Assert(err, qt.IsNil)
 	e.SetRow(testService, row)
 }
 
 // replacedByB reports whether the last change of primary in the group's row was to b.
 func (env *testEnv) replacedByB() bool {
-	row, _, err := cwclaim.Claims{Table: env.table, Group: testService}.Read(context.Background())
+	row, _, err := cwclaim.Store{Table: env.table, Group: testService}.Read(context.Background())
 	return err == nil && row.Done && row.Primary == "b"
 }
 
--- a/internal/proxy/cwinstance/instance.go
+++ b/internal/proxy/cwinstance/instance.go
@@ -275,7 +275,7 @@
 	in.peers.Rows(rows, whole)
 	in.members.Rows(rows, whole)
 	for _, r := range rows {
-		service, ok := cwclaim.Service(r.Key)
+		service, ok := cwclaim.GroupOfKey(r.Key)
 		if !ok || r.Removed {
 			continue
 		}
--- a/internal/proxy/cwlead/order.go
+++ b/internal/proxy/cwlead/order.go
@@ -56,13 +56,13 @@
 }
 
 func (g *Group) executeRowOrder(ctx context.Context, o cwfailover.Command) cwfailover.RowOutcome {
-	claims := cwclaim.Claims{Table: g.cfg.Table, Group: g.cfg.Service, Self: g.cfg.Self, MayClaim: g.mayClaim}
-	r := claims.Send(ctx, o)
+	claims := cwclaim.Store{Table: g.cfg.Table, Group: g.cfg.Service, Self: g.cfg.Self, MayClaim: g.mayClaim}
+	r := claims.Execute(ctx, o)
 	readsBack := o.Kind == cwfailover.ReadClaim || o.Kind == cwfailover.RecordReplacedTerm
 	if !readsBack || r.Outcome != cwfailover.RowConfirmed {
 		return r.Outcome
 	}
-	version, err := strconv.ParseUint(r.Tag, 10, 64)
+	version, err := strconv.ParseUint(r.ETag, 10, 64)
 	if err != nil {
 		g.cfg.Log.Error("rowWithoutVersion", "group", g.cfg.Service, "cause", err)
 		return cwfailover.RowUnavailable
--- a/internal/proxy/cwlead/reachability.go
+++ b/internal/proxy/cwlead/reachability.go
@@ -86,7 +86,7 @@
 func (g *Group) runRowRead() {
 	ctx, cancel := context.WithTimeout(context.Background(), rowTimeout)
 	defer cancel()
-	row, _, err := cwclaim.Claims{Table: g.cfg.Table, Group: g.cfg.Service}.Read(ctx)
+	row, _, err := cwclaim.Store{Table: g.cfg.Table, Group: g.cfg.Service}.Read(ctx)
 	if err != nil {
 		g.cfg.Log.Debug("rowNotRead", "group", g.cfg.Service, "cause", err)
 	}
--- a/internal/proxy/cwlead/restart.go
+++ b/internal/proxy/cwlead/restart.go
@@ -144,7 +144,7 @@
 func (g *Group) checkFenceInRow(id cwgroup.MemberID, detectedAt time.Time) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), rowTimeout)
 	defer cancel()
-	row, _, err := cwclaim.Claims{Table: g.cfg.Table, Group: g.cfg.Service}.Read(ctx)
+	row, _, err := cwclaim.Store{Table: g.cfg.Table, Group: g.cfg.Service}.Read(ctx)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if rs, ok := g.restarts[id]; !ok || rs.detectedAt != detectedAt || g.closed {
--- a/internal/proxy/cwlead/restore.go
+++ b/internal/proxy/cwlead/restore.go
@@ -61,7 +61,7 @@
 func (g *Group) runRowRestore(row cwfailover.Row, restored time.Time) {
 	ctx, cancel := context.WithTimeout(context.Background(), rowTimeout)
 	defer cancel()
-	outcome := cwclaim.Claims{Table: g.cfg.Table, Group: g.cfg.Service, Self: g.cfg.Self}.WriteAgain(ctx, row)
+	outcome := cwclaim.Store{Table: g.cfg.Table, Group: g.cfg.Service, Self: g.cfg.Self}.RestoreRow(ctx, row)
 	switch outcome {
 	case cwfailover.RowConfirmed:
 		g.cfg.Log.Info("claimWrittenAgain", "group", g.cfg.Service, "term", row.Term, "claim", row.Claim, "keeper", row.Owner, "done", row.Done)
--- a/internal/proxy/cwwatch/orders.go
+++ b/internal/proxy/cwwatch/orders.go
@@ -57,7 +57,7 @@
 	}
 	switch o.Kind {
 	case cwfailover.WriteClaim, cwfailover.ReadClaim, cwfailover.RecordReplacedTerm, cwfailover.RecordPrimary:
-		ev.RowOutcome = g.claims().Send(ctx, o).Outcome
+		ev.RowOutcome = g.claims().Execute(ctx, o).Outcome
 		return ev
 	}
 	r, err := g.sendMemberOrder(ctx, o)
@@ -69,8 +69,8 @@
 	return ev
 }
 
-func (g *Group) claims() cwclaim.Claims {
-	return cwclaim.Claims{Table: g.cfg.Table, Group: g.cfg.Group.Name, Self: g.cfg.Self, MayClaim: g.mayClaim}
+func (g *Group) claims() cwclaim.Store {
+	return cwclaim.Store{Table: g.cfg.Table, Group: g.cfg.Group.Name, Self: g.cfg.Self, MayClaim: g.mayClaim}
 }
 
 // mayClaim reports whether the row may be claimed for a term.
