--- a/internal/proxy/cwengine/members_test.go
+++ b/internal/proxy/cwengine/members_test.go
@@ -156,8 +156,8 @@
 	}
 	e.ChangeListings([]cwport.Listing{listing("c", true)}, nil)
 	e.ChangeListings([]cwport.Listing{listing("d", false)}, nil)
-	env.c.Assert(e.Members()[testService].Of, qt.Equals, 3)
+	env.c.Assert(e.Members()[testService].StableSize, qt.Equals, 3)
 	e.ChangeListings(nil, []cwgroup.MemberID{"c"})
-	env.c.Assert(e.Members()[testService].Of, qt.Equals, 3)
+	env.c.Assert(e.Members()[testService].StableSize, qt.Equals, 3)
 	env.c.Assert(e.Members()[testService].Members, qt.HasLen, 3)
 }
--- a/internal/proxy/cwengine/membership.go
+++ b/internal/proxy/cwengine/membership.go
@@ -159,8 +159,8 @@
 		if !p.held {
 			continue
 		}
-		c := cwmembers.Count{Members: append(e.listings.forService(service), absent[service]...), Of: e.memberships[service].StableSize()}
-		if len(c.Members) > 0 && len(c.Members) >= c.Of {
+		c := cwmembers.Count{Members: append(e.listings.forService(service), absent[service]...), StableSize: e.memberships[service].StableSize()}
+		if len(c.Members) > 0 && len(c.Members) >= c.StableSize {
 			out[service] = c
 		}
 	}
--- a/internal/proxy/cwinstance/instance.go
+++ b/internal/proxy/cwinstance/instance.go
@@ -82,7 +82,7 @@
 	cfg     Config
 	engine  *cwengine.Engine
 	peers   *cwpeers.Peers
-	members *cwmembers.Record
+	members *cwmembers.Recorder
 	path    *cwlead.RemotePath
 	metrics *cwengine.Metrics
 	dir     *cwdirectory.Directory
@@ -97,11 +97,11 @@
 		Table: cfg.Table, Dial: dialPeer, Clock: cfg.Clock, Log: cfg.Log, FirstStart: cfg.FirstStart, Path: in.path,
 	}
 	in.peers.Changed = in.rehold
-	in.members = &cwmembers.Record{Table: cfg.Table, Clock: cfg.Clock, Log: cfg.Log, Place: in.place, Groups: in.groups}
+	in.members = &cwmembers.Recorder{Table: cfg.Table, Clock: cfg.Clock, Log: cfg.Log, HolderRank: in.place, GroupCount: in.groups}
 	in.dir = &cwdirectory.Directory{
 		Waits: cfg.Waits, GoneAfter: cfg.GoneAfter, Source: cfg.Source, Sink: in, Clock: cfg.Clock, Log: cfg.Log,
 		Feeders: in.peers, Decoder: cfg.Decoder, Stale: cfg.Stale,
-		Remembered: in.members.Remembered,
+		Remembered: in.members.RecordedMembers,
 		Counts: cwdirectory.Counts{
 			StoreQuestions: in.metrics.StoreQuestions, FeederAnswers: in.metrics.FeederAnswers, Told: in.metrics.NewsTold,
 			Restores: in.metrics.StoreRestores, Outdated: in.metrics.StoreOutdated,
@@ -111,7 +111,7 @@
 	engine := cwengine.Config{
 		Clock: cfg.Clock, Log: cfg.Log, Grace: cfg.Grace, Metrics: in.metrics, NewGroup: in.newGroup,
 		Name: cfg.Name, Seed: cfg.Seed, Holders: in.peers, Path: in.path,
-		KeyBound: cfg.KeyBound, Confirmed: in.dir.Confirmed, Recorded: in.members.Recorded,
+		KeyBound: cfg.KeyBound, Confirmed: in.dir.Confirmed, Recorded: in.members.RecordedSize,
 		FirstStart: cfg.FirstStart,
 	}
 	if cfg.Quota.Window > 0 {
@@ -273,7 +273,7 @@
 // Rows implements cwdirectory.Sink.
 func (in *Instance) Rows(rows []cwport.Row, whole bool) {
 	in.peers.Rows(rows, whole)
-	in.members.Rows(rows, whole)
+	in.members.ObserveRows(rows, whole)
 	for _, r := range rows {
 		service, ok := cwclaim.GroupOfKey(r.Key)
 		if !ok || r.Removed {
--- a/internal/proxy/cwmembers/members.go
+++ b/internal/proxy/cwmembers/members.go
@@ -52,22 +52,22 @@
 	writeTimeout = 2 * time.Second
 )
 
-// Record keeps the rows of the groups up to date. Set the exported fields before
+// Recorder keeps the rows of the groups up to date. Set the exported fields before
 // calling Run. Its methods are safe for concurrent use.
-type Record struct {
+type Recorder struct {
 	Table cwplatform.Table
 	Clock clockwork.Clock
 	Log   *log.Logger
 	// Counted returns the members of each group, by service; nil while the store
 	// doesn't report which targets exist.
 	Counted func() map[string]Count
-	// Place returns this instance's rank among the holders of a group, and false if it
+	// HolderRank returns this instance's rank among the holders of a group, and false if it
 	// doesn't hold the group. A negative rank counts as the first, 0.
-	Place func(service string) (int, bool)
-	// Groups returns the number of groups, held or not. Record calls Groups, Counted
+	HolderRank func(service string) (int, bool)
+	// GroupCount returns the number of groups, held or not. Record calls GroupCount, Counted
 	// and Place without holding its lock, because their implementations may call
 	// methods of Record.
-	Groups func() int
+	GroupCount func() int
 
 	mu   sync.Mutex
 	rows map[string]groupRow
@@ -81,8 +81,8 @@
 // Count is the members of a group as an instance counts them.
 type Count struct {
 	Members []cwport.Listing
-	// Of is the number of members without those that are about to be exchanged.
-	Of int
+	// StableSize is the number of members without those that are about to be exchanged.
+	StableSize int
 }
 
 // groupRow is a group's row as last read.
@@ -97,9 +97,9 @@
 	unreadable bool
 }
 
-// Rows passes in rows of the table that belong to this product. whole is true if these
+// ObserveRows passes in rows of the table that belong to this product. whole is true if these
 // are all of them.
-func (r *Record) Rows(rows []cwport.Row, whole bool) {
+func (r *Recorder) ObserveRows(rows []cwport.Row, whole bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.rows == nil || whole {
@@ -125,8 +125,8 @@
 	}
 }
 
-// Remembered returns the members of all groups according to their rows.
-func (r *Record) Remembered() []cwport.Listing {
+// RecordedMembers returns the members of all groups according to their rows.
+func (r *Recorder) RecordedMembers() []cwport.Listing {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []cwport.Listing
@@ -136,9 +136,9 @@
 	return out
 }
 
-// Recorded returns the number of members of a service's group according to its row,
+// RecordedSize returns the number of members of a service's group according to its row,
 // without those that are about to be exchanged; zero if there is no row.
-func (r *Record) Recorded(service string) int {
+func (r *Recorder) RecordedSize(service string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.rows[service].stableSize
@@ -146,7 +146,7 @@
 
 // Run keeps the rows of the groups that this instance holds up to date until ctx ends.
 // It always returns nil.
-func (r *Record) Run(ctx context.Context) error {
+func (r *Recorder) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		select {
 		case <-r.Clock.After(compareInterval):
@@ -167,7 +167,7 @@
 }
 
 // dropUncounted removes the differences of groups that are no longer counted here.
-func (r *Record) dropUncounted(counted map[string]Count) {
+func (r *Recorder) dropUncounted(counted map[string]Count) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	maps.DeleteFunc(r.differsSince, func(service string, _ time.Time) bool {
@@ -183,13 +183,13 @@
 // rewrite it with only the members that it finds. Other starting instances then count
 // too few members until a holder that knows more gets its turn. A holder that counts
 // more members than the row therefore doesn't wait for its rank.
-func (r *Record) writeDue(service string, c Count) (tag string, due bool) {
-	rank, held := r.Place(service)
-	groups := r.Groups()
+func (r *Recorder) writeDue(service string, c Count) (tag string, due bool) {
+	rank, held := r.HolderRank(service)
+	groups := r.GroupCount()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now, w := r.Clock.Now(), r.rows[service]
-	equal := !w.unreadable && c.Of == w.stableSize && slices.EqualFunc(sortedByID(c.Members), sortedByID(w.members), sameRecorded)
+	equal := !w.unreadable && c.StableSize == w.stableSize && slices.EqualFunc(sortedByID(c.Members), sortedByID(w.members), sameRecorded)
 	if !held || r.rows == nil || equal {
 		delete(r.differsSince, service)
 		return "", false
@@ -236,7 +236,7 @@
 	switch {
 	case w.etag == "":
 		return missingRowDelay
-	case c.Of > w.stableSize:
+	case c.StableSize > w.stableSize:
 		return 0
 	}
 	return rankDelay
@@ -244,7 +244,7 @@
 
 // writeRow writes a group's row. If another instance was first, or if the answer is
 // lost, the actual row arrives with the next rows passed to Rows.
-func (r *Record) writeRow(ctx context.Context, service string, c Count, tag string) {
+func (r *Recorder) writeRow(ctx context.Context, service string, c Count, tag string) {
 	value, err := encode(c)
 	if err != nil {
 		r.Log.Error("membersNotWritten", "group", service, "cause", err)
@@ -264,7 +264,7 @@
 		r.Log.Warn("membersNotWritten", "group", service, "cause", err)
 		return
 	}
-	r.Log.Info("membersWritten", "group", service, "members", len(c.Members), "of", c.Of)
+	r.Log.Info("membersWritten", "group", service, "members", len(c.Members), "of", c.StableSize)
 }
 
 func sortedByID(members []cwport.Listing) []cwport.Listing {
@@ -290,7 +290,7 @@
 func encode(c Count) ([]byte, error) {
 	var out []memberJSON
 	for _, l := range sortedByID(c.Members) {
-		out = append(out, memberJSON{ID: string(l.ID), Address: l.Address, DataCentre: l.DataCentre, Slots: l.Slots, StableSize: c.Of})
+		out = append(out, memberJSON{ID: string(l.ID), Address: l.Address, DataCentre: l.DataCentre, Slots: l.Slots, StableSize: c.StableSize})
 	}
 	return json.Marshal(out)
 }
--- a/internal/proxy/cwmembers/members_test.go
+++ b/internal/proxy/cwmembers/members_test.go
@@ -25,7 +25,7 @@
 	row         cwport.Row
 	writes      int
 	unavailable bool
-	records     []*Record
+	records     []*Recorder
 }
 
 func (s *fakeTable) Get(context.Context, string) (cwplatform.Row, error) {
@@ -46,7 +46,7 @@
 	s.writes++
 	s.row = cwport.Row{Key: c.Put[0].Key, Value: c.Put[0].Value, Version: s.row.Version + 1}
 	for _, r := range s.records {
-		r.Rows([]cwport.Row{s.row}, false)
+		r.ObserveRows([]cwport.Row{s.row}, false)
 	}
 	return nil
 }
@@ -80,7 +80,7 @@
 	if c.members == nil {
 		return nil
 	}
-	return map[string]Count{"s": {Members: c.members, Of: len(c.members)}}
+	return map[string]Count{"s": {Members: c.members, StableSize: len(c.members)}}
 }
 
 // runRecords runs the records of instances that hold the group at the given ranks,
@@ -97,11 +97,11 @@
 		for _, rank := range ranks {
 			n := &countedMembers{}
 			n.set("a", "b", "c")
-			r := &Record{
+			r := &Recorder{
 				Table: s, Clock: clockwork.NewRealClock(), Log: log.New(io.Discard), Counted: n.get,
-				Place: func(string) (int, bool) { return rank, rank >= 0 }, Groups: func() int { return 1 },
+				HolderRank: func(string) (int, bool) { return rank, rank >= 0 }, GroupCount: func() int { return 1 },
 			}
-			r.Rows(nil, true)
+			r.ObserveRows(nil, true)
 			s.records, all = append(s.records, r), append(all, n)
 			wg.Go(func() { c.Check(r.Run(ctx), qt.IsNil) })
 		}
@@ -109,19 +109,19 @@
 	})
 }
 
-func rememberedIDs(r *Record) (ids []string) {
-	for _, l := range sortedByID(r.Remembered()) {
+func rememberedIDs(r *Recorder) (ids []string) {
+	for _, l := range sortedByID(r.RecordedMembers()) {
 		ids = append(ids, string(l.ID))
 	}
 	return ids
 }
 
-func TestRecord(t *testing.T) {
+func TestRecorder(t *testing.T) {
 	t.Run("counted members are written once and read back unchanged", func(t *testing.T) {
 		runRecords(t, func(c *qt.C, s *fakeTable, all []*countedMembers) {
 			time.Sleep(time.Minute)
 			c.Assert(s.writes, qt.Equals, 1)
-			c.Assert(sortedByID(s.records[2].Remembered()), qt.DeepEquals, all[0].get()["s"].Members)
+			c.Assert(sortedByID(s.records[2].RecordedMembers()), qt.DeepEquals, all[0].get()["s"].Members)
 		}, 0, 1, -1)
 	})
 	t.Run("a member is added and another removed", func(t *testing.T) {
@@ -158,7 +158,7 @@
 			all[0].set()
 			time.Sleep(time.Second)
 			c.Assert(rememberedIDs(s.records[2]), qt.DeepEquals, []string{"a", "b", "c"})
-			c.Assert(s.records[2].Recorded("s"), qt.Equals, 3)
+			c.Assert(s.records[2].RecordedSize("s"), qt.Equals, 3)
 		}, 0, 1, 2)
 	})
 	t.Run("a failed write is repeated", func(t *testing.T) {
@@ -175,7 +175,7 @@
 			time.Sleep(5 * time.Second)
 			s.mu.Lock()
 			s.row = cwport.Row{Key: KeyPrefix + "s", Value: []byte("?"), Version: 9}
-			s.records[0].Rows([]cwport.Row{s.row}, false)
+			s.records[0].ObserveRows([]cwport.Row{s.row}, false)
 			s.mu.Unlock()
 			c.Assert(rememberedIDs(s.records[0]), qt.DeepEquals, []string{"a", "b", "c"})
 			time.Sleep(3 * time.Second)
@@ -201,16 +201,16 @@
 
 // Guards against a deadlock between the record and an engine that calls it from a
 // callback.
-func TestNobodyIsAskedWithTheLockHeld(t *testing.T) {
-	r := &Record{Clock: clockwork.NewRealClock(), Log: log.New(io.Discard)}
-	ask := func() { r.Recorded("s") }
-	r.Groups = func() int { ask(); return 1000 }
-	r.Place = func(string) (int, bool) { ask(); return 0, true }
-	r.Rows(nil, true)
+func TestCallbacksRunWithoutTheLock(t *testing.T) {
+	r := &Recorder{Clock: clockwork.NewRealClock(), Log: log.New(io.Discard)}
+	ask := func() { r.RecordedSize("s") }
+	r.GroupCount = func() int { ask(); return 1000 }
+	r.HolderRank = func(string) (int, bool) { ask(); return 0, true }
+	r.ObserveRows(nil, true)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		r.writeDue("s", Count{Members: []cwport.Listing{{ID: "a"}}, Of: 1})
+		r.writeDue("s", Count{Members: []cwport.Listing{{ID: "a"}}, StableSize: 1})
 	}()
 	select {
 	case <-done:
@@ -223,12 +223,12 @@
 func TestFirstRowIsWrittenByOneHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for rank, wait := range []time.Duration{0, rankDelay, 2 * rankDelay} {
-			r := &Record{
-				Clock: clockwork.NewRealClock(), Log: log.New(io.Discard), Groups: func() int { return 1000 },
-				Place: func(string) (int, bool) { return rank, true },
+			r := &Recorder{
+				Clock: clockwork.NewRealClock(), Log: log.New(io.Discard), GroupCount: func() int { return 1000 },
+				HolderRank: func(string) (int, bool) { return rank, true },
 			}
-			r.Rows(nil, true)
-			c := Count{Members: []cwport.Listing{{ID: "a"}}, Of: 1}
+			r.ObserveRows(nil, true)
+			c := Count{Members: []cwport.Listing{{ID: "a"}}, StableSize: 1}
 			r.writeDue("s", c)
 			time.Sleep(wait + firstRowDelay("s", 1000) - time.Millisecond)
 			_, due := r.writeDue("s", c)
@@ -243,18 +243,18 @@
 // Guards against delaying a lost row as if it were the group's first one.
 func TestLostRowIsRewrittenAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := Count{Members: []cwport.Listing{{ID: "a"}}, Of: 1}
-		r := &Record{
-			Clock: clockwork.NewRealClock(), Log: log.New(io.Discard), Groups: func() int { return 100_000 },
-			Place: func(string) (int, bool) { return 0, true },
+		c := Count{Members: []cwport.Listing{{ID: "a"}}, StableSize: 1}
+		r := &Recorder{
+			Clock: clockwork.NewRealClock(), Log: log.New(io.Discard), GroupCount: func() int { return 100_000 },
+			HolderRank: func(string) (int, bool) { return 0, true },
 		}
-		r.Rows(nil, true)
+		r.ObserveRows(nil, true)
 		_, due := r.writeDue("s", c)
 		qt.Assert(t, due, qt.IsFalse, qt.Commentf("the first row is delayed"))
-		r.Rows([]cwport.Row{{Key: KeyPrefix + "s", Value: []byte(`[{"id":"a","of":1}]`), Version: 3}}, false)
+		r.ObserveRows([]cwport.Row{{Key: KeyPrefix + "s", Value: []byte(`[{"id":"a","of":1}]`), Version: 3}}, false)
 		_, due = r.writeDue("s", c)
 		qt.Assert(t, due, qt.IsFalse, qt.Commentf("the row is present"))
-		r.Rows(nil, true)
+		r.ObserveRows(nil, true)
 		_, due = r.writeDue("s", c)
 		qt.Assert(t, due, qt.IsTrue)
 	})
