--- a/internal/proxy/cwfront/keyed.go
+++ b/internal/proxy/cwfront/keyed.go
@@ -226,7 +226,7 @@
 func (s *session) settled(r route) error {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	tip, err := s.group.Tip(ctx)
+	tip, err := s.group.PrimaryPosition(ctx)
 	if err != nil {
 		return err
 	}
--- a/internal/proxy/cwfront/relay.go
+++ b/internal/proxy/cwfront/relay.go
@@ -199,7 +199,7 @@
 // target is asked over its control connection whether it is busy for this one.
 func (w *watchdog) check() error {
 	now := w.s.server.Clock.Now()
-	if w.route.primary && !w.s.group.StillLeads(w.route.term) {
+	if w.route.primary && !w.s.group.MayStillLead(w.route.term) {
 		return &lostError{why: "the primary was replaced"}
 	}
 	if now.After(w.route.deadline) {
--- a/internal/proxy/cwfront/run.go
+++ b/internal/proxy/cwfront/run.go
@@ -263,7 +263,7 @@
 		if err != nil || d.Action != cwroute.AskPrimary {
 			return d, err
 		}
-		mark, err := s.group.Tip(ctx)
+		mark, err := s.group.PrimaryPosition(ctx)
 		if err != nil {
 			return d, err
 		}
@@ -295,7 +295,7 @@
 	}
 	p, ok := s.group.View().Primary()
 	if !ok || !p.Durable.AtLeast(f.Mark) {
-		tip, err := s.group.Tip(ctx)
+		tip, err := s.group.PrimaryPosition(ctx)
 		if err != nil {
 			// Without a primary the floor stays unchecked; placing the read
 			// bounds the wait.
--- a/internal/proxy/cwnode/catalogue.go
+++ b/internal/proxy/cwnode/catalogue.go
@@ -253,18 +253,18 @@
 	}
 	ctx, cancel := context.WithCancel(n.run)
 	live := cwwatch.New(cwwatch.Config{
-		Self:     n.instanceID(),
-		Service:  e.Service,
-		Group:    g,
-		Contract: e.Contract,
-		Distance: n.distance,
-		Clock:    n.cfg.Clock,
-		Log:      n.cfg.Log,
-		Table:    n.cfg.Table,
-		Watchers: n,
-		Journal:  n.journal,
-		Pools:    n,
-		Seed:     n.cfg.Seed,
+		Self:      n.instanceID(),
+		Service:   e.Service,
+		Group:     g,
+		Contract:  e.Contract,
+		Distance:  n.distance,
+		Clock:     n.cfg.Clock,
+		Log:       n.cfg.Log,
+		Table:     n.cfg.Table,
+		Watchers:  n,
+		Journal:   n.journal,
+		Pools:     n,
+		ClaimSeed: n.cfg.Seed,
 	})
 	n.groups[g.Name] = &runningGroup{Group: live, spec: g, cancel: cancel}
 	return func() {
@@ -333,7 +333,7 @@
 
 func (n *Node) takeGaps() {
 	for _, g := range n.groupList() {
-		for _, gap := range g.TakeGaps() {
+		for _, gap := range g.TakeFailoverGaps() {
 			n.gap.Update(gap.Seconds())
 		}
 	}
--- a/internal/proxy/cwnode/node.go
+++ b/internal/proxy/cwnode/node.go
@@ -281,7 +281,7 @@
 	}
 }
 
-// Live implements cwwatch.Watchers.
+// Live implements cwwatch.PeerWatchers.
 func (n *Node) Live() []string {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
--- a/internal/proxy/cwnode/peers.go
+++ b/internal/proxy/cwnode/peers.go
@@ -117,7 +117,7 @@
 	}
 }
 
-// Publish implements cwwatch.Watchers: a vote that changed is told at once.
+// Publish implements cwwatch.PeerWatchers: a vote that changed is told at once.
 func (n *Node) Publish() { n.beat(n.run) }
 
 // Heartbeat implements cwpeer.Handler.
--- a/internal/proxy/cwwatch/group.go
+++ b/internal/proxy/cwwatch/group.go
@@ -29,8 +29,8 @@
 // tick is the interval at which a group re-evaluates decisions that depend on time.
 const tick = 25 * time.Millisecond
 
-// Watchers connects a group to the other proxies that watch it.
-type Watchers interface {
+// PeerWatchers connects a group to the other proxies that watch it.
+type PeerWatchers interface {
 	// Live returns the ids of the instances that the platform lists as live, this one
 	// included. The slice is never modified, and the same slice is returned until the
 	// list changes.
@@ -65,11 +65,11 @@
 	Clock    clockwork.Clock
 	Log      *log.Logger
 	Table    cwplatform.Table
-	Watchers Watchers
+	Watchers PeerWatchers
 	Journal  Journal
 	Pools    Pools
-	// Seed makes claim ids unique; it must differ between processes.
-	Seed string
+	// ClaimSeed makes claim ids unique; it must differ between processes.
+	ClaimSeed string
 }
 
 // Group tracks the state of one group at this proxy, places its statements and carries
@@ -96,7 +96,7 @@
 	// writesBlockedSince is the time since which no write could be placed; zero while
 	// writes can be placed.
 	writesBlockedSince time.Time
-	// failoverGaps holds the gaps since the last call of TakeGaps.
+	// failoverGaps holds the gaps since the last call of TakeFailoverGaps.
 	failoverGaps []time.Duration
 }
 
@@ -106,7 +106,7 @@
 		cfg:      cfg,
 		contract: cfg.Contract,
 		feeds:    make(map[cwgroup.MemberID]*cwtarget.Feed),
-		sup:      cwfailover.NewSupervisor(cfg.Self, cfg.Seed, cfg.Group.Name, cfg.Group.MemberIDs()),
+		sup:      cwfailover.NewSupervisor(cfg.Self, cfg.ClaimSeed, cfg.Group.Name, cfg.Group.MemberIDs()),
 		changed:  make(chan struct{}),
 	}
 	for _, t := range cfg.Group.Targets {
@@ -302,8 +302,8 @@
 	}
 }
 
-// TakeGaps returns the durations of the failover gaps that ended since the last call.
-func (g *Group) TakeGaps() []time.Duration {
+// TakeFailoverGaps returns the durations of the failover gaps that ended since the last call.
+func (g *Group) TakeFailoverGaps() []time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	out := g.failoverGaps
--- a/internal/proxy/cwwatch/place.go
+++ b/internal/proxy/cwwatch/place.go
@@ -39,10 +39,10 @@
 	err  error
 }
 
-// Tip returns the primary's position at some moment after the call at which it was
+// PrimaryPosition returns the primary's position at some moment after the call at which it was
 // certainly still the primary. The error is a refusal: no primary could be confirmed,
 // or ctx ended.
-func (g *Group) Tip(ctx context.Context) (cwgroup.LogPosition, error) {
+func (g *Group) PrimaryPosition(ctx context.Context) (cwgroup.LogPosition, error) {
 	g.mu.Lock()
 	if g.positionQuery.next == nil {
 		g.positionQuery.next = &positionAnswer{done: make(chan struct{})}
@@ -274,9 +274,9 @@
 	g.lag.ObservePrimary(m, now)
 }
 
-// StillLeads reports whether the primary of the term may still lead. A caller that
+// MayStillLead reports whether the primary of the term may still lead. A caller that
 // waits for its answer should stop waiting once this returns false.
-func (g *Group) StillLeads(t cwgroup.Term) bool {
+func (g *Group) MayStillLead(t cwgroup.Term) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return !g.sup.View().Superseded(t) && g.sup.View().Term() <= t
