--- a/internal/proxy/cwengine/access.go
+++ b/internal/proxy/cwengine/access.go
@@ -9,7 +9,7 @@
 
 // Limits of the use of keys.
 const (
-	// keyBoundPercent is the percentage of Config.KeyBound that the desired state
+	// keyBoundPercent is the percentage of Config.KeyRevocationBound that the desired state
 	// may reach in age while callers with keys are still served. The rest allows for
 	// a local clock that runs slower than the store's.
 	keyBoundPercent = 90
@@ -89,10 +89,10 @@
 // certainly had nothing newer than the catalogue in force. That includes time during
 // which the process was suspended.
 func (e *Engine) keysStale(at time.Time) bool {
-	if e.cfg.KeyBound == 0 || e.cfg.Confirmed == nil {
+	if e.cfg.KeyRevocationBound == 0 || e.cfg.CatalogueConfirmedAt == nil {
 		return false
 	}
-	return at.Sub(e.cfg.Confirmed()) > e.cfg.KeyBound*keyBoundPercent/100
+	return at.Sub(e.cfg.CatalogueConfirmedAt()) > e.cfg.KeyRevocationBound*keyBoundPercent/100
 }
 
 // workspaceOf returns the workspace of a caller of an entry, or the answer that
--- a/internal/proxy/cwengine/access_test.go
+++ b/internal/proxy/cwengine/access_test.go
@@ -35,8 +35,8 @@
 }
 
 func (env *keyedEnv) configureKeys(cfg *Config) {
-	cfg.KeyBound = keyBound
-	cfg.Confirmed = func() time.Time {
+	cfg.KeyRevocationBound = keyBound
+	cfg.CatalogueConfirmedAt = func() time.Time {
 		if at := env.confirmed.Load(); at != 0 {
 			return time.Unix(0, at)
 		}
@@ -86,7 +86,7 @@
 	c.Assert(a.Code, qt.Equals, cwstatement.Unauthorised, qt.Commentf("%s", a.Detail))
 }
 
-func TestKeys(t *testing.T) {
+func TestWorkspaceKeys(t *testing.T) {
 	t.Run("an unknown key opens no session", func(t *testing.T) {
 		env := newKeyedEnv(t)
 		for _, key := range []string{"", "x", "n1 "} {
@@ -132,7 +132,7 @@
 
 // Guards against a revoked key that stays usable through open sessions, because the key
 // was checked only when they began.
-func TestKeyThatIsTakenAway(t *testing.T) {
+func TestRevokedKey(t *testing.T) {
 	t.Run("its open session is refused", func(t *testing.T) {
 		env := newKeyedEnv(t)
 		s := env.caller("n1")
@@ -176,7 +176,7 @@
 // Guards against a revoked key that stays usable at an instance that is cut off from the
 // store, or was suspended, and has not learned of the revocation. The instance must not
 // rely on a catalogue older than the bound for keys.
-func TestKeysAreNotTrustedForLong(t *testing.T) {
+func TestStaleCatalogueRefusesKeys(t *testing.T) {
 	env := newKeyedEnv(t)
 	s := env.caller("n1")
 	assertOK(env.c, s.ask(cwstatement.Begin, "BEGIN"))
@@ -207,7 +207,7 @@
 // Checks what counts as an operation. With a quota of three operations, a transaction of
 // many statements is one of them. The fourth operation is refused without having run, at
 // once and with a retry delay.
-func TestOperationsAreCounted(t *testing.T) {
+func TestQuotaCountsOperations(t *testing.T) {
 	env := newKeyedEnv(t)
 	m := &testMeter{}
 	m.remaining.Store(3)
@@ -231,12 +231,12 @@
 }
 
 // Guards against a deadlock between a probe and a change of the list of targets.
-func TestProbeAsksWithoutTheLockHeld(t *testing.T) {
+func TestProbeDoesNotDeadlockWithTargetChanges(t *testing.T) {
 	env := newTestEnv(t, cwcatalogue.ReadNewest)
 	var mu sync.Mutex
 	e := env.engineWithConfig("x", func(cfg *Config) {
-		cfg.KeyBound = time.Hour
-		cfg.Confirmed = func() time.Time {
+		cfg.KeyRevocationBound = time.Hour
+		cfg.CatalogueConfirmedAt = func() time.Time {
 			mu.Lock()
 			defer mu.Unlock()
 			return env.clock.Now()
--- a/internal/proxy/cwengine/engine.go
+++ b/internal/proxy/cwengine/engine.go
@@ -43,10 +43,10 @@
 
 // Timing of the shutdown and of accepting connections.
 const (
-	// LeaveAfter is the time between the start of a shutdown and the closing of
+	// DrainDelay is the time between the start of a shutdown and the closing of
 	// idle sessions: the load balancer needs two probes, one second apart, to
 	// notice that this instance accepts no new callers.
-	LeaveAfter = 2500 * time.Millisecond
+	DrainDelay = 2500 * time.Millisecond
 	// acceptRetryDelay is the wait after a failed accept. It prevents a busy loop
 	// when the process runs out of file descriptors.
 	acceptRetryDelay = 20 * time.Millisecond
@@ -58,29 +58,29 @@
 	Log   *log.Logger
 	// NewGroup creates the group of a service.
 	NewGroup func(service string) *cwlead.Group
-	// Grace is the time between the start of a shutdown and the exit of the process.
-	Grace time.Duration
+	// GracePeriod is the time between the start of a shutdown and the exit of the process.
+	GracePeriod time.Duration
 	// Metrics may be nil; New creates metrics then.
 	Metrics *Metrics
 	// Name is the name of this instance, unique among all instances.
 	Name string
-	// Seed is different for each run of an instance. It makes the names of its
+	// RunID is different for each run of an instance. It makes the names of its
 	// transactions unique.
-	Seed string
+	RunID string
 	// Holders tells which instances hold a group. If it is nil, this instance holds
 	// all groups.
 	Holders cwport.Holders
 	// Path is the connectivity state that all groups share; if it is nil, New
 	// creates one.
 	Path *cwlead.RemotePath
-	// KeyBound is the time within which a revoked key must be out of use; zero
+	// KeyRevocationBound is the time within which a revoked key must be out of use; zero
 	// means no bound. Confirmed returns a time at which the store certainly had
 	// nothing newer than the catalogue in force.
-	KeyBound  time.Duration
-	Confirmed func() time.Time
-	// Recorded returns the size of a service's group according to the stored row
+	KeyRevocationBound   time.Duration
+	CatalogueConfirmedAt func() time.Time
+	// RecordedSize returns the size of a service's group according to the stored row
 	// of its members, or zero if there is no such row. It may be nil.
-	Recorded func(service string) int
+	RecordedSize func(service string) int
 	// FirstStart is true if no instance has run before, so that no stored or
 	// remembered group sizes can exist.
 	FirstStart bool
@@ -316,9 +316,9 @@
 	delete(e.sessions, s)
 }
 
-// Sessions returns the number of open sessions, including transactions and
+// SessionCount returns the number of open sessions, including transactions and
 // statements that other instances have forwarded here.
-func (e *Engine) Sessions() int {
+func (e *Engine) SessionCount() int {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
 	return len(e.sessions) + len(e.forwardedTransactions) + int(e.forwardedInFlight.Load())
@@ -326,19 +326,19 @@
 
 // Drain ends the sessions of an instance that shuts down. It reports the instance as
 // not ready, closes idle sessions once the load balancer has had time to notice
-// (LeaveAfter, or half of the grace period if that is shorter), and sessions that are
+// (DrainDelay, or half of the grace period if that is shorter), and sessions that are
 // idle inside a transaction after 6/10 of the grace period. It returns once all
 // sessions have ended, or after 5/6 of the grace period.
 func (e *Engine) Drain() {
 	began := e.cfg.Clock.Now()
 	e.draining.Store(true)
-	e.cfg.Log.Info("draining", "sessions", e.Sessions())
-	e.cfg.Clock.Sleep(min(LeaveAfter, e.cfg.Grace/2))
-	for e.Sessions() > 0 && e.cfg.Clock.Since(began) < e.cfg.Grace*5/6 {
-		e.closeIdleSessions(e.cfg.Clock.Since(began) >= e.cfg.Grace*6/10)
+	e.cfg.Log.Info("draining", "sessions", e.SessionCount())
+	e.cfg.Clock.Sleep(min(DrainDelay, e.cfg.GracePeriod/2))
+	for e.SessionCount() > 0 && e.cfg.Clock.Since(began) < e.cfg.GracePeriod*5/6 {
+		e.closeIdleSessions(e.cfg.Clock.Since(began) >= e.cfg.GracePeriod*6/10)
 		e.cfg.Clock.Sleep(drainPollInterval)
 	}
-	e.cfg.Log.Info("drained", "sessions", e.Sessions(), "tookMs", e.cfg.Clock.Since(began).Milliseconds())
+	e.cfg.Log.Info("drained", "sessions", e.SessionCount(), "tookMs", e.cfg.Clock.Since(began).Milliseconds())
 }
 
 // drainPollInterval is the time between two checks of the remaining sessions.
--- a/internal/proxy/cwengine/failover_test.go
+++ b/internal/proxy/cwengine/failover_test.go
@@ -78,7 +78,7 @@
 // Guards against callers that are refused for as long as their data centre is isolated,
 // although other data centres could serve them. Their instance stayed ready and kept their
 // connections.
-func TestIsolatedInstanceSendsCallersAway(t *testing.T) {
+func TestIsolatedInstanceClosesIdleSessions(t *testing.T) {
 	env := newTestEnv(t, cwcatalogue.ReadNewest)
 	e := env.engine("x")
 	env.waitForPrimary(e)
@@ -92,7 +92,7 @@
 		s.tryAsk(cwstatement.Read, "READ i")
 		return !e.Ready()
 	})
-	env.eventually("idle sessions are closed", func() bool { return e.Sessions() == 0 })
+	env.eventually("idle sessions are closed", func() bool { return e.SessionCount() == 0 })
 
 	env.group.Cut("x", "b", false)
 	env.eventually("the instance is ready again", e.Ready)
@@ -116,7 +116,7 @@
 // platform's table for a while when the primary is lost. One of them promotes another
 // member; until that member leads, the others promoted again, one after the other, and the
 // holders acted in turns.
-func TestChangeOfPrimaryIsGivenTime(t *testing.T) {
+func TestPrimaryIsReplacedOnce(t *testing.T) {
 	env := newTestEnv(t, cwcatalogue.ReadNewest)
 	env.group.SetPromotionTakes(time.Second, env.clock)
 	var engines []*Engine
@@ -140,7 +140,7 @@
 // Guards against late suspicion of a primary that neither refuses nor answers. Writes stalled
 // for the whole time limit of the first statement before the primary was even suspected;
 // with a limit of 60 s, for a minute.
-func TestDarkPrimaryIsSuspectedEarly(t *testing.T) {
+func TestUnresponsivePrimaryIsSuspectedEarly(t *testing.T) {
 	env := newTestEnv(t, cwcatalogue.ReadNewest)
 	env.entry.Contract.StatementTimeout = time.Minute
 	e := env.engine("x")
@@ -174,7 +174,7 @@
 // next attempt numbered its claim one higher and fenced the replicas for that number. The new
 // primary led the term before it, so the third member kept waiting for a later term, and no
 // write was acknowledged for ten seconds.
-func TestFailedAttemptLeavesNoMemberBehind(t *testing.T) {
+func TestFailedPromotionLeavesNoMemberBehind(t *testing.T) {
 	env, s := newSessionBeforeLostPrimary(t)
 	// The first attempt can fence only one of the two members it needs.
 	env.group.RefuseFences("c", 1)
@@ -185,7 +185,7 @@
 
 // Guards against an attempt to replace the primary that fails as a whole because a busy
 // replica refuses the fencing order. The next attempt may begin only two seconds later.
-func TestBusyMemberIsOrderedAgain(t *testing.T) {
+func TestBusyMemberIsFencedAgain(t *testing.T) {
 	env, s := newSessionBeforeLostPrimary(t)
 	env.group.BusyAtFences("c", 3)
 	env.eventually("a write is acknowledged by the new primary", func() bool {
@@ -203,22 +203,22 @@
 // was not ready, because the members of each group were tried one after the other, each after
 // a statement had timed out. One unanswered statement, while nothing arrives from other data
 // centres, must be enough to report it, and two probes to close idle sessions.
-func TestSilenceFromOtherDataCentresIsSeenAtOnce(t *testing.T) {
+func TestSilentDataCentresAreDetectedEarly(t *testing.T) {
 	env := newTestEnv(t, cwcatalogue.ReadNewest)
 	e := env.engine("x")
 	env.waitForPrimary(e)
 	s, resting := env.session(e), env.session(e)
 	assertOK(env.c, s.ask(cwstatement.Write, "WRITE i 1"))
 	assertRead(env.c, resting.ask(cwstatement.Read, "READ i"), "1")
-	env.c.Assert(e.Probe(), qt.IsTrue)
+	env.c.Assert(e.AnswerProbe(), qt.IsTrue)
 
 	for _, id := range []string{"b", "c"} {
 		env.group.SetDark(memberID(id), true, env.clock)
 	}
 	go s.tryAsk(cwstatement.Write, "WRITE i 2")
 	env.eventually("the path is suspected", e.cfg.Path.Suspected)
-	env.c.Assert(e.Probe(), qt.IsFalse)
-	env.c.Assert(e.Probe(), qt.IsFalse)
+	env.c.Assert(e.AnswerProbe(), qt.IsFalse)
+	env.c.Assert(e.AnswerProbe(), qt.IsFalse)
 	env.eventually("idle sessions are closed", func() bool {
 		select {
 		case <-resting.gone:
--- a/internal/proxy/cwengine/fallback_test.go
+++ b/internal/proxy/cwengine/fallback_test.go
@@ -95,7 +95,7 @@
 // Guards against an instance that holds a group, loses its path to the primary and
 // refuses its callers for as long as that lasts, although another instance that it
 // knows reaches every member. Such an instance must forward statements to the other one.
-func TestInstanceAsksForHelp(t *testing.T) {
+func TestInstanceForwardsWithoutPathToPrimary(t *testing.T) {
 	for _, rule := range []cwcatalogue.ReadRule{cwcatalogue.ReadNewest, cwcatalogue.ReadOwnWrites} {
 		t.Run(string(rule), func(t *testing.T) {
 			env, s := newFallbackSession(t, rule)
--- a/internal/proxy/cwengine/groups.go
+++ b/internal/proxy/cwengine/groups.go
@@ -154,9 +154,9 @@
 	}
 }
 
-// Rehold determines again which groups this instance holds, after the list of
+// RefreshHolders determines again which groups this instance holds, after the list of
 // instances has changed.
-func (e *Engine) Rehold() {
+func (e *Engine) RefreshHolders() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.cfg.Holders == nil {
@@ -209,8 +209,8 @@
 	return g.Group, true
 }
 
-// Groups returns the number of groups in the catalogue, running or not.
-func (e *Engine) Groups() int {
+// GroupCount returns the number of groups in the catalogue, running or not.
+func (e *Engine) GroupCount() int {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
 	return len(e.plans)
@@ -253,10 +253,10 @@
 	return cwholder.TargetCapacity{}
 }
 
-// Place returns the rank of this instance among the holders of a group, counted from
+// HolderRank returns the rank of this instance among the holders of a group, counted from
 // 0, and false if it does not hold the group. The rank is 0 where every instance
 // holds every group.
-func (e *Engine) Place(group string) (int, bool) {
+func (e *Engine) HolderRank(group string) (int, bool) {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
 	p := e.plans[group]
--- a/internal/proxy/cwengine/groups_test.go
+++ b/internal/proxy/cwengine/groups_test.go
@@ -26,7 +26,7 @@
 // Checks that an instance with many groups, none of which it holds, starts a group when
 // a caller uses it, and starts no others. A group that starts must know the claim that
 // was reported before.
-func TestGroupsAreMadeWhenTheyAreUsed(t *testing.T) {
+func TestGroupsStartOnFirstUse(t *testing.T) {
 	env := newTestEnv(t, cwcatalogue.ReadNewest)
 	front := env.engineWithHolders("front", &forwardingHolders{})
 	c := cwcatalogue.Catalogue{Revision: 2, Entries: []cwcatalogue.Entry{env.entry}}
@@ -59,7 +59,7 @@
 
 // Guards against an instance that starts a group only to forward its statements. Callers
 // may use hundreds of groups that other instances hold.
-func TestHandingOverMakesNoGroup(t *testing.T) {
+func TestForwardingStartsNoGroup(t *testing.T) {
 	env := newTestEnv(t, cwcatalogue.ReadNewest)
 	h := &testHolder{name: "holder", engine: env.engine("holder")}
 	env.waitForPrimary(h.engine)
@@ -146,7 +146,7 @@
 		c.Revision++
 		front.SetCatalogue(c)
 	}, 0)
-	assertCalls("another list of instances", front.Rehold, groups-1)
+	assertCalls("another list of instances", front.RefreshHolders, groups-1)
 }
 
 // Guards against an instance that never stops a group of which it has run a statement.
--- a/internal/proxy/cwengine/handover_test.go
+++ b/internal/proxy/cwengine/handover_test.go
@@ -91,14 +91,14 @@
 		env.c.Assert(env.group.Value("i"), qt.Equals, "")
 		assertOK(env.c, s.ask(cwstatement.Commit, "COMMIT"))
 		env.c.Assert(env.group.Value("i"), qt.Equals, "1")
-		env.c.Assert(h.engine.Sessions(), qt.Equals, 0)
+		env.c.Assert(h.engine.SessionCount(), qt.Equals, 0)
 	})
 	t.Run("a transaction that is rolled back", func(t *testing.T) {
 		env, s, h := newForwardingSession(t, cwcatalogue.ReadNewest)
 		assertOK(env.c, s.ask(cwstatement.Begin, "BEGIN"))
 		assertOK(env.c, s.ask(cwstatement.Write, "WRITE i 1"))
 		assertOK(env.c, s.ask(cwstatement.Rollback, "ROLLBACK"))
-		env.eventually("the holder has rolled back", func() bool { return h.engine.Sessions() == 0 })
+		env.eventually("the holder has rolled back", func() bool { return h.engine.SessionCount() == 0 })
 		assertRead(env.c, s.ask(cwstatement.Read, "READ i"), "")
 	})
 	t.Run("settings and prepared statements", func(t *testing.T) {
@@ -128,14 +128,14 @@
 		env.c.Assert(a.Code, qt.Equals, cwstatement.NotPrepared)
 		env.c.Assert(a.State, qt.Equals, cwstatement.InFailedTransaction)
 		assertNothingKept(env.c, s.ask(cwstatement.Commit, "COMMIT"))
-		env.eventually("the holder has rolled back", func() bool { return h.engine.Sessions() == 0 })
+		env.eventually("the holder has rolled back", func() bool { return h.engine.SessionCount() == 0 })
 		env.c.Assert(env.group.Value("i"), qt.Equals, "")
 	})
 }
 
 // Guards against a write that runs twice: it ran at the holder, and the holder failed
 // before it answered. The caller must be told that the outcome is unknown.
-func TestLostHandoverOfAWriteIsNotRepeated(t *testing.T) {
+func TestForwardedWriteIsNotRetried(t *testing.T) {
 	env, s, h := newForwardingSession(t, cwcatalogue.ReadNewest)
 	h.startDroppingAnswers()
 	a := s.ask(cwstatement.Write, "WRITE i 1")
@@ -153,7 +153,7 @@
 		h.startDroppingAnswers()
 		assertNothingKept(env.c, s.ask(cwstatement.Write, "WRITE i 2"))
 		assertNothingKept(env.c, s.ask(cwstatement.Commit, "COMMIT"))
-		env.eventually("the holder has rolled back", func() bool { return h.engine.Sessions() == 0 })
+		env.eventually("the holder has rolled back", func() bool { return h.engine.SessionCount() == 0 })
 		env.c.Assert(env.group.Value("i"), qt.Equals, "")
 	})
 	t.Run("at the commit", func(t *testing.T) {
@@ -214,7 +214,7 @@
 	r, err := h.Hand(context.Background(), hand)
 	env.c.Assert(err, qt.IsNil)
 	assertOK(env.c, r.Answer)
-	env.eventually("the transaction is over", func() bool { return h.engine.Sessions() == 0 })
+	env.eventually("the transaction is over", func() bool { return h.engine.SessionCount() == 0 })
 	hand.Begin, hand.Statement = cwstatement.Unknown, cwstatement.Statement{ID: "c", Verb: cwstatement.Commit, Text: "COMMIT"}
 	r, err = h.Hand(context.Background(), hand)
 	env.c.Assert(err, qt.IsNil)
@@ -225,14 +225,14 @@
 // Guards against two transactions with the same name. After the caller's instance has lost
 // power and restarted, a transaction of its previous run may still be open at the holder. A
 // new one of the same name replaced it there, and its connection was never released.
-func TestNamesOfTransactionsDifferBetweenLives(t *testing.T) {
-	a, b := New(Config{Name: "front", Seed: "1"}), New(Config{Name: "front", Seed: "2"})
+func TestTransactionNamesDifferBetweenRuns(t *testing.T) {
+	a, b := New(Config{Name: "front", RunID: "1"}), New(Config{Name: "front", RunID: "2"})
 	qt.Assert(t, a.nextTransactionName(), qt.Not(qt.Equals), b.nextTransactionName())
 }
 
 // Checks that a forwarded transaction is rolled back when the connection of the caller's
 // instance ends.
-func TestHeldTransactionEndsWithItsConnection(t *testing.T) {
+func TestForwardedTransactionEndsWithItsConnection(t *testing.T) {
 	env, s, h := newForwardingSession(t, cwcatalogue.ReadNewest)
 	assertOK(env.c, s.ask(cwstatement.Begin, "BEGIN"))
 	assertOK(env.c, s.ask(cwstatement.Write, "WRITE i 1"))
@@ -284,7 +284,7 @@
 // Guards against slow detection of isolation when packets are lost silently. The holder
 // detects it after a second. An instance that forwards statements to it had to detect it
 // by itself, on paths where nothing is refused or answered, and reported it seconds later.
-func TestIsolationIsLearntFromTheHolder(t *testing.T) {
+func TestIsolationIsLearnedFromTheHolder(t *testing.T) {
 	env := newTestEnv(t, cwcatalogue.ReadNewest)
 	h := &testHolder{name: "holder", engine: env.engine("holder")}
 	env.waitForPrimary(h.engine)
--- a/internal/proxy/cwengine/harness_test.go
+++ b/internal/proxy/cwengine/harness_test.go
@@ -89,7 +89,7 @@
 func (env *testEnv) engineWithConfig(name string, change func(*Config)) *Engine {
 	logger, path := log.New(io.Discard), &cwlead.RemotePath{}
 	cfg := Config{
-		Clock: env.clock, Log: logger, Grace: 6 * time.Second, Name: name, Path: path, FirstStart: true,
+		Clock: env.clock, Log: logger, GracePeriod: 6 * time.Second, Name: name, Path: path, FirstStart: true,
 		NewGroup: func(service string) *cwlead.Group {
 			return cwlead.New(cwlead.Config{
 				Self: cwfailover.InstanceID(name), DataCentre: "dc-a", Service: service, Clock: env.clock,
--- a/internal/proxy/cwengine/isolation.go
+++ b/internal/proxy/cwengine/isolation.go
@@ -117,9 +117,9 @@
 	return reached
 }
 
-// Probe answers a health probe of the load balancer: it reports whether callers may
+// AnswerProbe answers a health probe of the load balancer: it reports whether callers may
 // connect.
-func (e *Engine) Probe() bool {
+func (e *Engine) AnswerProbe() bool {
 	ready := e.Ready()
 	if ready {
 		e.failedProbes.Store(0)
@@ -132,7 +132,7 @@
 // handlePathSuspicion is called when no member in another data centre answers any
 // more.
 func (e *Engine) handlePathSuspicion() {
-	e.cfg.Log.Warn("pathSuspected", "sessions", e.Sessions())
+	e.cfg.Log.Warn("pathSuspected", "sessions", e.SessionCount())
 	e.probeOtherDataCentres()
 }
 
@@ -164,8 +164,8 @@
 		return
 	}
 	if isolated {
-		e.cfg.Log.Warn("isolated", "sessions", e.Sessions())
+		e.cfg.Log.Warn("isolated", "sessions", e.SessionCount())
 		return
 	}
-	e.cfg.Log.Info("reconnected", "sessions", e.Sessions())
+	e.cfg.Log.Info("reconnected", "sessions", e.SessionCount())
 }
--- a/internal/proxy/cwengine/members_test.go
+++ b/internal/proxy/cwengine/members_test.go
@@ -31,7 +31,7 @@
 
 // Guards against stale reads after the entry of the running primary has lapsed: a read
 // relied on the answer of a single member.
-func TestMemberThatIsGoneStillCounts(t *testing.T) {
+func TestUnlistedMemberStillCounts(t *testing.T) {
 	for _, rule := range readRules {
 		t.Run(string(rule), func(t *testing.T) {
 			env := newTestEnv(t, rule)
@@ -77,7 +77,7 @@
 
 // Guards against commits at a replaced primary that are confirmed by a member which lost
 // its fence in a restart.
-func TestRowTellsThatAPrimaryWasReplaced(t *testing.T) {
+func TestRowShowsReplacedPrimary(t *testing.T) {
 	env := newTestEnv(t, cwcatalogue.ReadNewest)
 	x, y := env.engine("x"), env.engine("y")
 	env.waitForPrimary(x)
@@ -103,7 +103,7 @@
 
 // Guards against an instance that starts while one member is listed and takes it for the
 // whole group.
-func TestRowTellsHowManyMembersThereAre(t *testing.T) {
+func TestRowHasGroupSize(t *testing.T) {
 	env := newTestEnv(t, cwcatalogue.ReadNewest)
 	replacePrimaryBehindPartition(env, env.engine("y"))
 	env.table.mu.Lock()
@@ -122,7 +122,7 @@
 
 // Guards against an instance that starts after the rows of a group were lost and takes the
 // listed members for the whole group.
-func TestStartWithoutRowsWaitsForThoseWhoKnow(t *testing.T) {
+func TestStartWithoutRowsWaitsForGroupSize(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
 		recorded int64
@@ -134,7 +134,7 @@
 			var recorded atomic.Int64
 			e := env.engineWithConfig("x", func(cfg *Config) {
 				cfg.FirstStart = false
-				cfg.Recorded = func(string) int { return int(recorded.Load()) }
+				cfg.RecordedSize = func(string) int { return int(recorded.Load()) }
 			})
 			s := env.session(e)
 			assertNothingKept(env.c, s.tryAsk(cwstatement.Write, "WRITE i 1"))
--- a/internal/proxy/cwengine/membership.go
+++ b/internal/proxy/cwengine/membership.go
@@ -101,8 +101,8 @@
 // running since then writes the row of the members again.
 func (e *Engine) newlyRecordedSize(service string, started bool) int {
 	r := recordedSize{row: e.rows[service].GroupSize}
-	if e.cfg.Recorded != nil {
-		r.members = e.cfg.Recorded(service)
+	if e.cfg.RecordedSize != nil {
+		r.members = e.cfg.RecordedSize(service)
 	}
 	before := e.lastRecorded[service]
 	e.lastRecorded[service] = r
--- a/internal/proxy/cwengine/metrics.go
+++ b/internal/proxy/cwengine/metrics.go
@@ -15,22 +15,22 @@
 	// Attempts counts commands that were sent to targets for callers, Retries those
 	// after the first one of a statement.
 	Attempts, Retries *metrics.Counter
-	// HandedOver counts statements forwarded to holders.
-	HandedOver *metrics.Counter
-	// StoreQuestions counts the requests to the platform's store for its rows.
+	// Forwarded counts statements forwarded to holders.
+	Forwarded *metrics.Counter
+	// StoreRequests counts the requests to the platform's store for its rows.
 	// FeederAnswers counts the answers of another instance that were used instead,
-	// and NewsTold the answers to other instances.
-	StoreQuestions, FeederAnswers, NewsTold *metrics.Counter
+	// and FeedAnswersSent the answers to other instances.
+	StoreRequests, FeederAnswers, FeedAnswersSent *metrics.Counter
 	// StoreRestores counts how often the store was found to have been restored from an
-	// older copy, and StoreOutdated its answers that were ignored because newer data was
+	// older copy, and OutdatedStoreAnswers its answers that were ignored because newer data was
 	// known.
-	StoreRestores, StoreOutdated *metrics.Counter
+	StoreRestores, OutdatedStoreAnswers *metrics.Counter
 	// QuotaRefused counts operations over the quota of their workspace, QuotaUnknown
 	// those whose quota could not be checked, and Unauthorised statements and
 	// sessions with an unknown key.
 	QuotaRefused, QuotaUnknown, Unauthorised *metrics.Counter
-	// Startups counts the connections opened to targets.
-	Startups *metrics.Counter
+	// TargetConnections counts the connections opened to targets.
+	TargetConnections *metrics.Counter
 	// AckWait is how long commits waited for a second member, in seconds.
 	AckWait *metrics.Histogram
 	// ReadAge is the maximum possible age of the data of reads, in seconds.
@@ -43,21 +43,21 @@
 func NewMetrics() *Metrics {
 	set := metrics.NewSet()
 	return &Metrics{
-		set:        set,
-		Attempts:   set.NewCounter("cicadawalk_attempts_total"),
-		Retries:    set.NewCounter("cicadawalk_retries_total"),
-		HandedOver: set.NewCounter("cicadawalk_handed_over_total"),
+		set:       set,
+		Attempts:  set.NewCounter("cicadawalk_attempts_total"),
+		Retries:   set.NewCounter("cicadawalk_retries_total"),
+		Forwarded: set.NewCounter("cicadawalk_handed_over_total"),
 
-		StoreQuestions: set.NewCounter("cicadawalk_store_questions_total"),
-		FeederAnswers:  set.NewCounter("cicadawalk_feeder_answers_total"),
-		NewsTold:       set.NewCounter("cicadawalk_news_told_total"),
-		StoreRestores:  set.NewCounter("cicadawalk_store_restores_total"),
-		StoreOutdated:  set.NewCounter("cicadawalk_store_answers_outdated_total"),
+		StoreRequests:        set.NewCounter("cicadawalk_store_questions_total"),
+		FeederAnswers:        set.NewCounter("cicadawalk_feeder_answers_total"),
+		FeedAnswersSent:      set.NewCounter("cicadawalk_news_told_total"),
+		StoreRestores:        set.NewCounter("cicadawalk_store_restores_total"),
+		OutdatedStoreAnswers: set.NewCounter("cicadawalk_store_answers_outdated_total"),
 
-		QuotaRefused: set.NewCounter("cicadawalk_quota_refused_total"),
-		QuotaUnknown: set.NewCounter("cicadawalk_quota_unknown_total"),
-		Unauthorised: set.NewCounter("cicadawalk_unauthorised_total"),
-		Startups:     set.NewCounter("cicadawalk_target_connections_total"),
+		QuotaRefused:      set.NewCounter("cicadawalk_quota_refused_total"),
+		QuotaUnknown:      set.NewCounter("cicadawalk_quota_unknown_total"),
+		Unauthorised:      set.NewCounter("cicadawalk_unauthorised_total"),
+		TargetConnections: set.NewCounter("cicadawalk_target_connections_total"),
 
 		AckWait:   set.NewHistogram("cicadawalk_ack_wait_seconds"),
 		ReadAge:   set.NewHistogram("cicadawalk_read_age_seconds"),
@@ -65,21 +65,21 @@
 	}
 }
 
-// ShowAge adds a gauge of the maximum possible age of the desired state in force, in
+// AddAgeGauge adds a gauge of the maximum possible age of the desired state in force, in
 // seconds. It must be called at most once.
-func (m *Metrics) ShowAge(age func() float64) {
+func (m *Metrics) AddAgeGauge(age func() float64) {
 	m.set.NewGauge("cicadawalk_desired_state_age_seconds", age)
 }
 
-// ShowRevision adds a gauge of the revision of the desired state in force, by which
+// AddRevisionGauge adds a gauge of the revision of the desired state in force, by which
 // instances can be compared. It must be called at most once.
-func (m *Metrics) ShowRevision(revision func() float64) {
+func (m *Metrics) AddRevisionGauge(revision func() float64) {
 	m.set.NewGauge("cicadawalk_desired_revision", revision)
 }
 
-// ShowEra adds a gauge of the newest known era of the platform's store. It must be
+// AddEraGauge adds a gauge of the newest known era of the platform's store. It must be
 // called at most once.
-func (m *Metrics) ShowEra(era func() float64) { m.set.NewGauge("cicadawalk_store_era", era) }
+func (m *Metrics) AddEraGauge(era func() float64) { m.set.NewGauge("cicadawalk_store_era", era) }
 
 // countStatement counts the answer to a statement.
 func (m *Metrics) countStatement(v cwstatement.Verb, c cwstatement.Code) {
--- a/internal/proxy/cwengine/quorum_test.go
+++ b/internal/proxy/cwengine/quorum_test.go
@@ -29,7 +29,7 @@
 // Guards against reads that are refused for as long as the primary is lost and the platform's
 // store is unavailable. Two members that have the data are reachable, and nothing can have
 // been written since.
-func TestReadsGoOnWithoutAPrimary(t *testing.T) {
+func TestReadsContinueWithoutAPrimary(t *testing.T) {
 	for _, rule := range readRules {
 		t.Run(string(rule), func(t *testing.T) {
 			env, _, s := newSessionWithoutStore(t, rule)
--- a/internal/proxy/cwengine/remote.go
+++ b/internal/proxy/cwengine/remote.go
@@ -69,7 +69,7 @@
 	end := newLimits(h.Entry.Contract, began).deadline.Add(forwardTimeoutSlack)
 	ctx, cancel := context.WithTimeout(context.Background(), end.Sub(e.cfg.Clock.Now()))
 	defer cancel()
-	e.cfg.Metrics.HandedOver.Inc()
+	e.cfg.Metrics.Forwarded.Inc()
 	r, err := to.Hand(ctx, h)
 	if err != nil {
 		e.cfg.Log.Info("answerLost", "id", h.Statement.ID, "group", h.Entry.Groups[0].Name, "holder", to.Name(),
@@ -284,5 +284,5 @@
 
 // nextTransactionName returns a transaction name that is unique among all instances.
 func (e *Engine) nextTransactionName() string {
-	return e.cfg.Name + "/" + e.cfg.Seed + "/" + strconv.FormatUint(e.transactionSeq.Add(1), 10)
+	return e.cfg.Name + "/" + e.cfg.RunID + "/" + strconv.FormatUint(e.transactionSeq.Add(1), 10)
 }
--- a/internal/proxy/cwinstance/instance.go
+++ b/internal/proxy/cwinstance/instance.go
@@ -103,15 +103,15 @@
 		Feeders: in.peers, Decoder: cfg.Decoder, Stale: cfg.Stale,
 		Remembered: in.members.RecordedMembers,
 		Counts: cwdirectory.Counts{
-			StoreQuestions: in.metrics.StoreQuestions, FeederAnswers: in.metrics.FeederAnswers, Told: in.metrics.NewsTold,
-			Restores: in.metrics.StoreRestores, Outdated: in.metrics.StoreOutdated,
+			StoreQuestions: in.metrics.StoreRequests, FeederAnswers: in.metrics.FeederAnswers, Told: in.metrics.FeedAnswersSent,
+			Restores: in.metrics.StoreRestores, Outdated: in.metrics.OutdatedStoreAnswers,
 		},
 	}
 	in.members.Counted = in.counted
 	engine := cwengine.Config{
-		Clock: cfg.Clock, Log: cfg.Log, Grace: cfg.Grace, Metrics: in.metrics, NewGroup: in.newGroup,
-		Name: cfg.Name, Seed: cfg.Seed, Holders: in.peers, Path: in.path,
-		KeyBound: cfg.KeyBound, Confirmed: in.dir.Confirmed, Recorded: in.members.RecordedSize,
+		Clock: cfg.Clock, Log: cfg.Log, GracePeriod: cfg.Grace, Metrics: in.metrics, NewGroup: in.newGroup,
+		Name: cfg.Name, RunID: cfg.Seed, Holders: in.peers, Path: in.path,
+		KeyRevocationBound: cfg.KeyBound, CatalogueConfirmedAt: in.dir.Confirmed, RecordedSize: in.members.RecordedSize,
 		FirstStart: cfg.FirstStart,
 	}
 	if cfg.Quota.Window > 0 {
@@ -122,9 +122,9 @@
 		engine.Meter = in.meter
 	}
 	in.engine = cwengine.New(engine)
-	in.metrics.ShowAge(in.age)
-	in.metrics.ShowRevision(func() float64 { return float64(in.engine.Revision()) })
-	in.metrics.ShowEra(func() float64 { return float64(in.dir.Era()) })
+	in.metrics.AddAgeGauge(in.age)
+	in.metrics.AddRevisionGauge(func() float64 { return float64(in.engine.Revision()) })
+	in.metrics.AddEraGauge(func() float64 { return float64(in.dir.Era()) })
 	return in
 }
 
@@ -155,11 +155,11 @@
 }
 
 // place returns this instance's place among the holders of a service's group.
-func (in *Instance) place(service string) (int, bool) { return in.engine.Place(service) }
+func (in *Instance) place(service string) (int, bool) { return in.engine.HolderRank(service) }
 
-func (in *Instance) groups() int { return in.engine.Groups() }
+func (in *Instance) groups() int { return in.engine.GroupCount() }
 
-func (in *Instance) rehold() { in.engine.Rehold() }
+func (in *Instance) rehold() { in.engine.RefreshHolders() }
 
 func dialPeer(ctx context.Context, name, address string) (cwpeers.Conn, error) {
 	return cwhandover.Dial(ctx, name, address)
@@ -173,7 +173,7 @@
 
 // Dial implements cwport.Dialer.
 func (d dialer) Dial(ctx context.Context, to cwport.Endpoint, workspace string) (cwport.Target, error) {
-	d.metrics.Startups.Inc()
+	d.metrics.TargetConnections.Inc()
 	return d.Dialer.Dial(ctx, to, workspace)
 }
 
@@ -249,7 +249,7 @@
 }
 
 func (in *Instance) ready(w http.ResponseWriter, _ *http.Request) {
-	if !in.engine.Probe() {
+	if !in.engine.AnswerProbe() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
