--- a/internal/proxy/cwinstance/fleet_test.go
+++ b/internal/proxy/cwinstance/fleet_test.go
@@ -44,7 +44,7 @@
 func newFleet(instances, groups int) *fleet {
 	f := &fleet{instances: instances, groups: groups}
 	for i := range instances {
-		f.add(cwport.Own, cwpeers.KeyOf(cwholder.Instance{ID: instanceName(i), DataCentre: centreName(i)}), fields{"address": fmt.Sprintf("10.1.0.%d:7440", i), "dataCentre": centreName(i)})
+		f.add(cwport.Own, cwpeers.InstanceKey(cwholder.Instance{ID: instanceName(i), DataCentre: centreName(i)}), fields{"address": fmt.Sprintf("10.1.0.%d:7440", i), "dataCentre": centreName(i)})
 	}
 	for g := range groups {
 		var members []fields
--- a/internal/proxy/cwinstance/instance.go
+++ b/internal/proxy/cwinstance/instance.go
@@ -96,7 +96,7 @@
 		Self:  cwholder.Instance{ID: cfg.Name, DataCentre: cfg.DataCentre, Address: cfg.Peers},
 		Table: cfg.Table, Dial: dialPeer, Clock: cfg.Clock, Log: cfg.Log, FirstStart: cfg.FirstStart, Path: in.path,
 	}
-	in.peers.Changed = in.rehold
+	in.peers.OnChange = in.rehold
 	in.members = &cwmembers.Recorder{Table: cfg.Table, Clock: cfg.Clock, Log: cfg.Log, HolderRank: in.place, GroupCount: in.groups}
 	in.dir = &cwdirectory.Directory{
 		Waits: cfg.Waits, GoneAfter: cfg.GoneAfter, Source: cfg.Source, Sink: in, Clock: cfg.Clock, Log: cfg.Log,
@@ -272,7 +272,7 @@
 
 // Rows implements cwdirectory.Sink.
 func (in *Instance) Rows(rows []cwport.Row, whole bool) {
-	in.peers.Rows(rows, whole)
+	in.peers.ApplyRows(rows, whole)
 	in.members.ObserveRows(rows, whole)
 	for _, r := range rows {
 		service, ok := cwclaim.GroupOfKey(r.Key)
--- a/internal/proxy/cwpeers/feeder_test.go
+++ b/internal/proxy/cwpeers/feeder_test.go
@@ -34,7 +34,7 @@
 	n := &fakeNetwork{unresponsive: map[string]bool{}, rows: map[string][]byte{}, refused: map[string]bool{}}
 	clock := clockwork.NewFakeClockAt(time.Unix(1000, 0))
 	p := &Peers{Self: self, Table: n, Dial: n.dial, Clock: clock, Log: log.New(io.Discard)}
-	p.Rows(rows, true)
+	p.ApplyRows(rows, true)
 	c := runPeers(t, p, clock)
 	return c, p, n, clock
 }
@@ -53,7 +53,7 @@
 func TestFeeder(t *testing.T) {
 	t.Run("an instance without a row has none", func(t *testing.T) {
 		c, p, _, _ := startFollower(t)
-		p.Rows([]cwport.Row{{Key: KeyOf(p.Self), Removed: true}}, false)
+		p.ApplyRows([]cwport.Row{{Key: InstanceKey(p.Self), Removed: true}}, false)
 		f, root := p.Feeder()
 		c.Assert(f, qt.IsNil)
 		c.Assert(root, qt.IsFalse)
@@ -64,11 +64,11 @@
 		p.mu.Lock()
 		for name := range p.placement.Instances() {
 			if name != p.Self.ID {
-				rows = append(rows, cwport.Row{Key: KeyOf(instance(name, "z")), Removed: true})
+				rows = append(rows, cwport.Row{Key: InstanceKey(instance(name, "z")), Removed: true})
 			}
 		}
 		p.mu.Unlock()
-		p.Rows(rows, false)
+		p.ApplyRows(rows, false)
 		_, root := p.Feeder()
 		c.Assert(root, qt.IsTrue)
 	})
@@ -86,7 +86,7 @@
 // Guards against a feeder that freezes while its row stays: the instance must find
 // another feeder, and return to the first when it answers again. Otherwise all
 // instances below it would ask the store.
-func TestSilentFeederIsReplaced(t *testing.T) {
+func TestUnresponsiveFeederIsReplaced(t *testing.T) {
 	c, p, n, clock := startFollower(t)
 	first := awaitFeeder(c, p, clock)
 	n.withLock(func() { n.unresponsive[first.Name()], n.refused[first.Name()] = true, true })
--- a/internal/proxy/cwpeers/link.go
+++ b/internal/proxy/cwpeers/link.go
@@ -45,7 +45,7 @@
 	onDialEnded func()
 	// path is told of answers and missing answers; nil if the remote instance is in this
 	// data centre.
-	path Path
+	path PathMonitor
 
 	mu sync.Mutex
 	// conn is the open connection; nil if there is none.
--- a/internal/proxy/cwpeers/ondemand_test.go
+++ b/internal/proxy/cwpeers/ondemand_test.go
@@ -47,7 +47,7 @@
 		self := all[slices.IndexFunc(all, func(i cwholder.Instance) bool { return !slices.Contains(holders, i) })]
 		path := &pathRecorder{}
 		p := &Peers{Self: self, Table: n, Dial: n.dial, Clock: clockwork.NewRealClock(), Log: log.New(io.Discard), Path: path}
-		p.Rows(rows, true)
+		p.ApplyRows(rows, true)
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan error)
 		go func() { done <- p.Run(ctx) }()
@@ -230,15 +230,15 @@
 func TestUnchangedRowsDoNotNotify(t *testing.T) {
 	c := qt.New(t)
 	notified := 0
-	p := &Peers{Self: instance("a", "z"), Clock: clockwork.NewFakeClock(), Log: log.New(io.Discard), Changed: func() { notified++ }}
+	p := &Peers{Self: instance("a", "z"), Clock: clockwork.NewFakeClock(), Log: log.New(io.Discard), OnChange: func() { notified++ }}
 	rows := []cwport.Row{row(instance("a", "z")), row(instance("b", "z"))}
-	p.Rows(rows, true)
+	p.ApplyRows(rows, true)
 	c.Assert(notified, qt.Equals, 1)
-	p.Rows(rows[1:], false)
-	p.Rows(rows, true)
+	p.ApplyRows(rows[1:], false)
+	p.ApplyRows(rows, true)
 	p.notifyChanged()
 	c.Assert(notified, qt.Equals, 1)
-	p.Rows([]cwport.Row{row(instance("b", "y"))}, false)
+	p.ApplyRows([]cwport.Row{row(instance("b", "y"))}, false)
 	p.notifyChanged()
 	c.Assert(notified, qt.Equals, 2)
 }
@@ -253,7 +253,7 @@
 		for i := range n {
 			rows = append(rows, row(instance(fmt.Sprint("i", i), "z")))
 		}
-		p.Rows(rows, true)
+		p.ApplyRows(rows, true)
 		qt.Assert(t, bytes.Count(lines.Bytes(), []byte("\n")) <= maxSingleLogLines, qt.IsTrue, qt.Commentf("%d instances", n))
 	}
 }
--- a/internal/proxy/cwpeers/peers.go
+++ b/internal/proxy/cwpeers/peers.go
@@ -50,8 +50,8 @@
 	Close() error
 }
 
-// Path records whether other data centres can be reached over the network.
-type Path interface {
+// PathMonitor records whether other data centres can be reached over the network.
+type PathMonitor interface {
 	// RecordAnswer records that an answer arrived from another data centre at now.
 	RecordAnswer(now time.Time)
 	// RecordOverdue records that a message sent to another data centre at the given
@@ -73,14 +73,14 @@
 	// Tree decides from which instance each instance of a data centre receives the
 	// changes of the store.
 	Tree cwfeed.DistributionTree
-	// Changed is called after the holders of groups may have changed; it may be nil.
-	Changed func()
+	// OnChange is called after the holders of groups may have changed; it may be nil.
+	OnChange func()
 	// FirstStart is true if the deployment starts for the first time, so that no
 	// instance has a row yet.
 	FirstStart bool
 	// Path is told of answers and missing answers on connections to other data
 	// centres; it may be nil.
-	Path Path
+	Path PathMonitor
 
 	mu sync.Mutex
 	// dirty is true if the set of instances has changed since Changed was last called.
--- a/internal/proxy/cwpeers/peers_test.go
+++ b/internal/proxy/cwpeers/peers_test.go
@@ -139,7 +139,7 @@
 
 // row returns the row of an instance as the table has it.
 func row(i cwholder.Instance) cwport.Row {
-	return cwport.Row{Key: KeyOf(i), Value: []byte(`{"address":"` + i.Address + `","dataCentre":"` + i.DataCentre + `"}`), Version: 5}
+	return cwport.Row{Key: InstanceKey(i), Value: []byte(`{"address":"` + i.Address + `","dataCentre":"` + i.DataCentre + `"}`), Version: 5}
 }
 
 // startNonHolder runs the Peers of an instance that does not hold group "g", which two
@@ -161,7 +161,7 @@
 		}
 	}
 	p := &Peers{Self: self, Table: n, Dial: n.dial, Clock: clock, Log: log.New(io.Discard)}
-	p.Rows(rows, true)
+	p.ApplyRows(rows, true)
 	runPeers(t, p, clock)
 	return c, p, n, clock
 }
@@ -245,7 +245,7 @@
 	t.Run("one whose row was removed is not used", func(t *testing.T) {
 		c, p, _, clock := startNonHolder(t)
 		first := awaitHolder(c, p, clock)
-		p.Rows([]cwport.Row{{Key: KeyOf(instance(first.Name(), "z")), Removed: true}}, false)
+		p.ApplyRows([]cwport.Row{{Key: InstanceKey(instance(first.Name(), "z")), Removed: true}}, false)
 		// Without the removed instance, this one may hold the group itself.
 		h, ok := p.Holder("g", scarceDemand, nil)
 		c.Assert(!ok || h.Name() != first.Name(), qt.IsTrue)
@@ -286,20 +286,20 @@
 	t.Run("a removed row is written, however often that fails", func(t *testing.T) {
 		c, p, n, clock := startNonHolder(t)
 		n.withLock(func() { n.commitFails = true })
-		p.Rows([]cwport.Row{{Key: KeyOf(p.Self), Removed: true}}, false)
+		p.ApplyRows([]cwport.Row{{Key: InstanceKey(p.Self), Removed: true}}, false)
 		clock.Sleep(3 * registerInterval)
 		n.withLock(func() { n.commitFails = false })
 		eventually(c, clock, func() bool {
 			n.mu.Lock()
 			defer n.mu.Unlock()
-			return n.rows[KeyOf(p.Self)] != nil
+			return n.rows[InstanceKey(p.Self)] != nil
 		})
 	})
 }
 
 // Guards against instances that are alive but count as gone because a restore of the
 // store has lost their rows.
-func TestRowsThatARestoreLostAreKeptForAWhile(t *testing.T) {
+func TestInstancesMissingAfterRestoreAreKept(t *testing.T) {
 	// without returns the rows of all instances but one.
 	without := func(name string) (rest []cwport.Row) {
 		for _, other := range []string{"a", "b", "c", "d", "e"} {
@@ -312,9 +312,9 @@
 	t.Run("the instance writes its row again", func(t *testing.T) {
 		c, p, _, clock := startNonHolder(t)
 		first := awaitHolder(c, p, clock)
-		p.Rows(without(first.Name()), true)
+		p.ApplyRows(without(first.Name()), true)
 		clock.Sleep(2 * registerInterval)
-		p.Rows([]cwport.Row{row(instance(first.Name(), "z"))}, false)
+		p.ApplyRows([]cwport.Row{row(instance(first.Name(), "z"))}, false)
 		for range 10 {
 			h, ok := p.Holder("g", scarceDemand, nil)
 			c.Assert(ok, qt.IsTrue)
@@ -327,7 +327,7 @@
 	t.Run("the instance is gone", func(t *testing.T) {
 		c, p, _, clock := startNonHolder(t)
 		first := awaitHolder(c, p, clock)
-		p.Rows(without(first.Name()), true)
+		p.ApplyRows(without(first.Name()), true)
 		h, ok := p.Holder("g", scarceDemand, nil)
 		c.Assert(ok, qt.IsTrue)
 		c.Assert(h.Name(), qt.Equals, first.Name())
@@ -338,11 +338,11 @@
 	})
 	t.Run("this instance writes its own row again", func(t *testing.T) {
 		c, p, n, clock := startNonHolder(t)
-		p.Rows(without(p.Self.ID), true)
+		p.ApplyRows(without(p.Self.ID), true)
 		eventually(c, clock, func() bool {
 			n.mu.Lock()
 			defer n.mu.Unlock()
-			return n.rows[KeyOf(p.Self)] != nil
+			return n.rows[InstanceKey(p.Self)] != nil
 		})
 	})
 }
@@ -352,11 +352,11 @@
 func TestRowChangesAreBatched(t *testing.T) {
 	c := qt.New(t)
 	notified := 0
-	p := &Peers{Self: instance("a", "z"), Clock: clockwork.NewFakeClock(), Log: log.New(io.Discard), Changed: func() { notified++ }}
-	p.Rows(nil, true)
+	p := &Peers{Self: instance("a", "z"), Clock: clockwork.NewFakeClock(), Log: log.New(io.Discard), OnChange: func() { notified++ }}
+	p.ApplyRows(nil, true)
 	c.Assert(notified, qt.Equals, 1, qt.Commentf("the first rows are reported at once"))
 	for _, name := range []string{"b", "c", "d", "e", "f"} {
-		p.Rows([]cwport.Row{row(instance(name, "z"))}, false)
+		p.ApplyRows([]cwport.Row{row(instance(name, "z"))}, false)
 	}
 	c.Assert(notified, qt.Equals, 1)
 	p.notifyChanged()
@@ -369,7 +369,7 @@
 // write that it sends to another instance, on a connection that was cut together with
 // those to the targets, has an unknown outcome though it could have been refused as not
 // run.
-func TestHelpFromOthers(t *testing.T) {
+func TestIsolatedHolderAsksOthersForHelp(t *testing.T) {
 	c, p, n, clock := startNonHolder(t)
 	plenty := cwholder.TargetCapacity{Connections: 100, Slots: 2}
 	_, ok := p.Holder("g", plenty, nil)
--- a/internal/proxy/cwpeers/rows.go
+++ b/internal/proxy/cwpeers/rows.go
@@ -11,19 +11,19 @@
 	"cicadawalk.example/cicadawalk/internal/wire/cwplatform"
 )
 
-// KeyPrefix is the prefix of the keys of instance rows in the table. The data centre, a
+// InstanceKeyPrefix is the prefix of the keys of instance rows in the table. The data centre, a
 // slash and the instance's name follow.
-const KeyPrefix = "instance/"
+const InstanceKeyPrefix = "instance/"
 
-// KeyOf returns the key of an instance's row in the table.
-func KeyOf(i cwholder.Instance) string { return rowKey(i.DataCentre, i.ID) }
+// InstanceKey returns the key of an instance's row in the table.
+func InstanceKey(i cwholder.Instance) string { return rowKey(i.DataCentre, i.ID) }
 
-func rowKey(dataCentre, name string) string { return KeyPrefix + dataCentre + "/" + name }
+func rowKey(dataCentre, name string) string { return InstanceKeyPrefix + dataCentre + "/" + name }
 
 // instanceOfKey returns the name of the instance whose row has the key; false if the
 // key is not that of an instance row.
 func instanceOfKey(key string) (string, bool) {
-	rest, ok := strings.CutPrefix(key, KeyPrefix)
+	rest, ok := strings.CutPrefix(key, InstanceKeyPrefix)
 	if !ok {
 		return "", false
 	}
@@ -53,9 +53,9 @@
 	DataCentre string `json:"dataCentre"`
 }
 
-// Rows applies rows of the table; whole is true if these are all rows, otherwise they
-// are changes. Rows of other kinds are ignored.
-func (p *Peers) Rows(rows []cwport.Row, whole bool) {
+// ApplyRows applies rows of the table; whole is true if these are all rows, otherwise they
+// are changes. ApplyRows of other kinds are ignored.
+func (p *Peers) ApplyRows(rows []cwport.Row, whole bool) {
 	p.applyRows(rows, whole)
 	if whole {
 		p.notifyChanged()
@@ -73,8 +73,8 @@
 	dirty := p.dirty
 	p.dirty = false
 	p.mu.Unlock()
-	if dirty && p.Changed != nil {
-		p.Changed()
+	if dirty && p.OnChange != nil {
+		p.OnChange()
 	}
 }
 
@@ -237,7 +237,7 @@
 	p.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, registerTimeout)
 	defer cancel()
-	key := KeyOf(p.Self)
+	key := InstanceKey(p.Self)
 	err = p.Table.Commit(ctx, cwplatform.Change{
 		Expect: []cwplatform.Expect{{Key: key, ETag: etag}},
 		Put:    []cwplatform.Put{{Key: key, Value: value}},
--- a/internal/proxy/cwpeers/start_test.go
+++ b/internal/proxy/cwpeers/start_test.go
@@ -59,7 +59,7 @@
 	return &rowTable{fakeNetwork: &fakeNetwork{unresponsive: map[string]bool{}, rows: map[string][]byte{}, refused: map[string]bool{}}}
 }
 
-func (t *rowTable) put(i cwholder.Instance) { t.rows[KeyOf(i)] = row(i).Value }
+func (t *rowTable) put(i cwholder.Instance) { t.rows[InstanceKey(i)] = row(i).Value }
 
 // connectedFeeder has the feeder connected and then returns the result of Feeder.
 func connectedFeeder(p *Peers) (cwport.Feeder, bool) {
