--- a/internal/proxy/cwdirectory/ask.go
+++ b/internal/proxy/cwdirectory/ask.go
@@ -79,7 +79,7 @@
 // of three members would count as the whole group, or one as its majority, and a read
 // could be served by a member that lacks what the missing ones acknowledged. This
 // instance has never seen their entries, so it cannot know that they are missing. It
-// waits for MinGoneAfter, in which the entries are written again, and reads the list
+// waits for MinRemovalDelay, in which the entries are written again, and reads the list
 // anew.
 func (d *Directory) acceptAnswer(ctx context.Context, p *poll, b cwport.Batch) bool {
 	if p.unavailable {
@@ -88,8 +88,8 @@
 	d.setUnavailable(p.topic, false)
 	p.unavailable, p.retryPause = false, minRetryPause
 	if p.mayHaveLapsed {
-		d.Log.Info("targetsAwaited", "listed", len(b.Listed), "waitMs", MinGoneAfter.Milliseconds())
-		d.sleep(ctx, MinGoneAfter)
+		d.Log.Info("targetsAwaited", "listed", len(b.Listed), "waitMs", MinRemovalDelay.Milliseconds())
+		d.sleep(ctx, MinRemovalDelay)
 		p.mayHaveLapsed = false
 		return false
 	}
@@ -107,7 +107,7 @@
 // the store is unavailable.
 func (d *Directory) queryStore(ctx context.Context, p *poll) (cwport.Batch, time.Time, error) {
 	t, sent := p.topic, d.Clock.Now()
-	inc(d.Counts.StoreQuestions)
+	inc(d.Counts.StoreRequests)
 	if p.needSnapshot {
 		ctx, cancel := context.WithTimeout(ctx, snapshotTimeout)
 		defer cancel()
@@ -149,7 +149,7 @@
 func (d *Directory) pollWait(t cwport.Topic) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	configured := [cwport.TopicCount]time.Duration{cwport.Desired: d.Waits.Desired, cwport.Targets: d.Waits.Targets, cwport.Own: ownPollWait}[t]
+	configured := [cwport.TopicCount]time.Duration{cwport.Desired: d.PollWaits.Desired, cwport.Targets: d.PollWaits.Targets, cwport.Own: ownPollWait}[t]
 	switch {
 	case d.source != fromStore && !d.storeBehind:
 		// No long poll: a feeder is expected to answer again. While storeBehind is true no
@@ -157,12 +157,12 @@
 		// at once.
 		return 0
 	case t == cwport.Targets && len(d.missingSince) > 0:
-		// An answer after MinGoneAfter is needed to decide whether the entry is back.
-		return min(configured, MinGoneAfter)
-	case d.Clock.Since(d.lastAskedAt) < 2*d.Stale.ages(cwport.Desired).FeederWait():
+		// An answer after MinRemovalDelay is needed to decide whether the entry is back.
+		return min(configured, MinRemovalDelay)
+	case d.Clock.Since(d.lastAskedAt) < 2*d.StaleAfter.ages(cwport.Desired).FeederWait():
 		// Other instances follow this one. The store's next confirmation must reach them
 		// before their data is stale.
-		return min(configured, d.Stale.ages(t).StoreWait())
+		return min(configured, d.StaleAfter.ages(t).StoreWait())
 	}
 	return configured
 }
--- a/internal/proxy/cwdirectory/directory.go
+++ b/internal/proxy/cwdirectory/directory.go
@@ -62,44 +62,44 @@
 	// behalf of all topics; the others follow as soon as it is answered. After a single
 	// failure they retry after minRetryPause.
 	unavailablePause = 1500 * time.Millisecond
-	// MinGoneAfter is the least time between the disappearance of a target's entry and
+	// MinRemovalDelay is the least time between the disappearance of a target's entry and
 	// the removal of the target. Entries that lapsed while the store was unavailable are
 	// written again within about two seconds of its return.
-	MinGoneAfter = 2500 * time.Millisecond
+	MinRemovalDelay = 2500 * time.Millisecond
 )
 
 // Sink receives the state that a Directory follows, in order.
 type Sink interface {
 	// SetCatalogue replaces the desired state.
 	SetCatalogue(c cwcatalogue.Catalogue)
-	// SetListings sets all targets. It is called with a complete list while no targets are
+	// SetTargets sets all targets. It is called with a complete list while no targets are
 	// known.
-	SetListings(all []cwport.Listing)
-	// ChangeListings adds or updates the targets in listed and removes those in removed.
-	ChangeListings(listed []cwport.Listing, removed []cwgroup.MemberID)
-	// Rows applies own rows; whole is true if these are all of them.
-	Rows(rows []cwport.Row, whole bool)
+	SetTargets(all []cwport.Listing)
+	// UpdateTargets adds or updates the targets in listed and removes those in removed.
+	UpdateTargets(listed []cwport.Listing, removed []cwgroup.MemberID)
+	// ApplyRows applies own rows; whole is true if these are all of them.
+	ApplyRows(rows []cwport.Row, whole bool)
 	// SetEra sets the era of the store's data, before any data of that era is passed. A
 	// call after the first means that the store was restored from an older copy.
 	SetEra(era uint64)
 }
 
-// Waits is how long the store may hold a long poll, by topic.
+// PollWaits is how long the store may hold a long poll, by topic.
 //
 // The waits also bound the effect of a lost answer. If a connection stops delivering
 // data without an error, the instance continues with an old desired state, or sends
 // work to a target that is shutting down, until the poll times out. That takes at most
 // the wait plus pollAnswerMargin.
-type Waits struct{ Desired, Targets time.Duration }
+type PollWaits struct{ Desired, Targets time.Duration }
 
 // Directory follows the topics of a Source and passes their state to a Sink. Other
 // instances request changes from it with TellNews. Set the exported fields before Run.
 type Directory struct {
-	Waits Waits
-	// GoneAfter is how long after its entry disappeared a target is removed, counting
+	PollWaits PollWaits
+	// RemovalDelay is how long after its entry disappeared a target is removed, counting
 	// only time in which the store was available without interruption. Lower values than
-	// MinGoneAfter count as MinGoneAfter.
-	GoneAfter time.Duration
+	// MinRemovalDelay count as MinRemovalDelay.
+	RemovalDelay time.Duration
 
 	Source cwport.Source
 	Sink   Sink
@@ -112,14 +112,14 @@
 	// Decoder decodes the rows that a feeder sends, and rows that remain after known
 	// ones were dropped. It is needed only with Feeders.
 	Decoder cwport.Decoder
-	// Stale is the age of each topic's data beyond which the store is asked. It is needed
+	// StaleAfter is the age of each topic's data beyond which the store is asked. It is needed
 	// only with Feeders.
-	Stale Stale
+	StaleAfter StaleAfter
 
-	// Remembered returns the targets that were known before this instance started, as
+	// RememberedTargets returns the targets that were known before this instance started, as
 	// stored in own rows; nil if none are stored. It is called once, after the own rows
 	// were read or ownRowsTimeout has passed.
-	Remembered func() []cwport.Listing
+	RememberedTargets func() []cwport.Listing
 
 	// Counts are the metrics to increment; nil counters are skipped.
 	Counts Counts
@@ -171,13 +171,13 @@
 
 // Counts holds the metrics of a Directory. Nil counters are skipped.
 type Counts struct {
-	// StoreQuestions counts requests to the store, FeederAnswers answers received from
-	// feeders, and Told answers given to other instances.
-	StoreQuestions, FeederAnswers, Told *metrics.Counter
-	// Restores counts the times that the store was found to be restored from an older
-	// copy. Outdated counts complete answers that were ignored because newer data was
+	// StoreRequests counts requests to the store, FeederAnswers answers received from
+	// feeders, and NewsServed answers given to other instances.
+	StoreRequests, FeederAnswers, NewsServed *metrics.Counter
+	// StoreRestores counts the times that the store was found to be restored from an older
+	// copy. OutdatedAnswers counts complete answers that were ignored because newer data was
 	// known.
-	Restores, Outdated *metrics.Counter
+	StoreRestores, OutdatedAnswers *metrics.Counter
 }
 
 // inc increments a counter that may be nil.
@@ -356,7 +356,7 @@
 		d.applyTargets(b, whole)
 	default:
 		if whole || len(b.Rows) > 0 {
-			d.Sink.Rows(b.Rows, whole)
+			d.Sink.ApplyRows(b.Rows, whole)
 		}
 	}
 }
--- a/internal/proxy/cwdirectory/directory_test.go
+++ b/internal/proxy/cwdirectory/directory_test.go
@@ -87,9 +87,9 @@
 	s.revisions = append(s.revisions, c.Revision)
 }
 
-func (s *fakeSink) SetListings(all []cwport.Listing) { s.ChangeListings(all, nil) }
+func (s *fakeSink) SetTargets(all []cwport.Listing) { s.UpdateTargets(all, nil) }
 
-func (s *fakeSink) ChangeListings(listed []cwport.Listing, removed []cwgroup.MemberID) {
+func (s *fakeSink) UpdateTargets(listed []cwport.Listing, removed []cwgroup.MemberID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.lapsed == nil {
@@ -103,8 +103,8 @@
 	}
 }
 
-func (s *fakeSink) Rows([]cwport.Row, bool) {}
-func (s *fakeSink) SetEra(uint64)           {}
+func (s *fakeSink) ApplyRows([]cwport.Row, bool) {}
+func (s *fakeSink) SetEra(uint64)                {}
 
 func (s *fakeSink) has(id cwgroup.MemberID) bool {
 	s.mu.Lock()
@@ -137,7 +137,7 @@
 func startWithLog(t *testing.T, src *fakeSource, l *log.Logger) *fakeSink {
 	out := &fakeSink{present: map[cwgroup.MemberID]bool{}}
 	d := &Directory{
-		Waits: Waits{Desired: 50 * time.Millisecond, Targets: time.Hour}, Source: src, Sink: out,
+		PollWaits: PollWaits{Desired: 50 * time.Millisecond, Targets: time.Hour}, Source: src, Sink: out,
 		Clock: clockwork.NewRealClock(), Log: l,
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -166,7 +166,7 @@
 
 // Guards against an operator's change that is not in force half a minute later, without
 // an error, because its answer was lost on a connection that stopped delivering data.
-func TestLostAnswerIsMadeUpFor(t *testing.T) {
+func TestLostPollAnswerIsRetried(t *testing.T) {
 	src := &fakeSource{changes: func(ctx context.Context, n int, _ time.Duration) (cwport.Batch, error) {
 		if n == 1 {
 			<-ctx.Done()
@@ -180,7 +180,7 @@
 
 // Guards against an instance that keeps an old desired state after the store's return for
 // as long as a long poll lasts, because one was sent just before.
-func TestQuestionsAreShortWhileTheStoreIsAway(t *testing.T) {
+func TestRequestsAreShortWhileStoreUnavailable(t *testing.T) {
 	src := &fakeSource{changes: func(ctx context.Context, n int, _ time.Duration) (cwport.Batch, error) {
 		if n < 4 {
 			return cwport.Batch{}, errUnavailable
@@ -229,7 +229,7 @@
 // Guards against removing targets that are alive when the store becomes available for a
 // moment, which shows that entries have lapsed, and unavailable again. Callers must be
 // served all the while.
-func TestNoTargetIsGoneWhileTheStoreIsAway(t *testing.T) {
+func TestNoTargetIsRemovedWhileStoreUnavailable(t *testing.T) {
 	src := &fakeSource{targets: make(chan cwport.Batch)}
 	out := startDirectory(t, src)
 	eventually(t, "the list is known", func() bool { return out.has("a") })
@@ -240,7 +240,7 @@
 		// A request was in progress when the store became unavailable.
 	case <-time.After(100 * time.Millisecond):
 	}
-	time.Sleep(MinGoneAfter + 2*removalCheckInterval)
+	time.Sleep(MinRemovalDelay + 2*removalCheckInterval)
 	qt.Assert(t, out.has("a"), qt.IsTrue)
 	src.targetsFail.Store(false)
 	eventually(t, "it is removed once the store is available and confirms it", func() bool { return !out.has("a") })
@@ -250,7 +250,7 @@
 // malformed entries into the list of targets, twice a second, under the id of a database
 // and under an unknown id. The database whose entry was overwritten is removed, and is
 // back with its next valid entry.
-func TestForeignEntryIsLoggedOnce(t *testing.T) {
+func TestMalformedEntryIsLoggedOnce(t *testing.T) {
 	src := &fakeSource{targets: make(chan cwport.Batch)}
 	var lines lockedBuffer
 	out := startWithLog(t, src, log.New(&lines))
--- a/internal/proxy/cwdirectory/feed_test.go
+++ b/internal/proxy/cwdirectory/feed_test.go
@@ -42,7 +42,7 @@
 		}
 		for range 5 {
 			d := &Directory{
-				Stale: fleetStale, Source: storeClient{fl.store, restarted}, Decoder: decoder{},
+				StaleAfter: fleetStale, Source: storeClient{fl.store, restarted}, Decoder: decoder{},
 				Sink:    &fakeSink{present: map[cwgroup.MemberID]bool{}},
 				Feeders: delayedPlacement{fleetInstance{fl, restarted}, time.Now().Add(50 * time.Millisecond)},
 			}
@@ -70,7 +70,7 @@
 
 // Guards against a desired state that is applied too late by healthy instances because
 // their feeder is frozen or cannot reach the store.
-func TestDesiredStateIsInForceInTime(t *testing.T) {
+func TestDesiredStateIsAppliedInTime(t *testing.T) {
 	for _, tc := range []struct {
 		name          string
 		injectFault   func(fl *fleet, roots []string)
@@ -105,7 +105,7 @@
 // Guards against every instance polling an unavailable store twice a second: with 195
 // instances, 390 calls a second, all of which are rejected and count towards the rate
 // limit.
-func TestStoreThatIsAwayIsAskedByFew(t *testing.T) {
+func TestUnavailableStoreIsPolledByFew(t *testing.T) {
 	runFleet(t, fleetSize, func(c *qt.C, fl *fleet) {
 		fl.store.setUnavailable(func(string) bool { return true })
 		time.Sleep(20 * time.Second)
@@ -119,7 +119,7 @@
 // Guards against a follower that removes targets that are alive when the store becomes
 // available for a moment, shows that entries lapsed, and becomes unavailable again. It
 // must remove them once the store has confirmed that the entries are missing.
-func TestFollowerKeepsTargetsWhileTheStoreIsAway(t *testing.T) {
+func TestFollowerKeepsTargetsWhileStoreUnavailable(t *testing.T) {
 	runFleet(t, fleetSize, func(c *qt.C, fl *fleet) {
 		fl.store.put(cwport.Targets, "a", false)
 		time.Sleep(5 * time.Second)
--- a/internal/proxy/cwdirectory/fleet_test.go
+++ b/internal/proxy/cwdirectory/fleet_test.go
@@ -23,8 +23,8 @@
 // Waits and ages of the instances in a fleet, as in a deployment with hundreds of
 // instances.
 var (
-	fleetWaits = Waits{Desired: 5 * time.Second, Targets: 8 * time.Second}
-	fleetStale = Stale{Desired: 4200 * time.Millisecond, Targets: 8 * time.Second}
+	fleetWaits = PollWaits{Desired: 5 * time.Second, Targets: 8 * time.Second}
+	fleetStale = StaleAfter{Desired: 4200 * time.Millisecond, Targets: 8 * time.Second}
 )
 
 // maxConfigDelay is the longest time until a desired state is in force.
@@ -231,7 +231,7 @@
 			fl.names = append(fl.names, name)
 			fl.sinks[name] = &fakeSink{present: map[cwgroup.MemberID]bool{}}
 			fl.dirs[name] = &Directory{
-				Waits: fleetWaits, Stale: fleetStale, Source: storeClient{fl.store, name}, Decoder: decoder{}, Sink: fl.sinks[name],
+				PollWaits: fleetWaits, StaleAfter: fleetStale, Source: storeClient{fl.store, name}, Decoder: decoder{}, Sink: fl.sinks[name],
 				Feeders: fleetInstance{fl, name}, Clock: clockwork.NewRealClock(), Log: log.New(io.Discard),
 			}
 		}
@@ -292,7 +292,7 @@
 // runOne runs d while f runs. It sets the waits, clock and log.
 func runOne(t *testing.T, d *Directory, f func(c *qt.C)) {
 	c := qt.New(t)
-	d.Waits, d.Clock, d.Log = fleetWaits, clockwork.NewRealClock(), log.New(io.Discard)
+	d.PollWaits, d.Clock, d.Log = fleetWaits, clockwork.NewRealClock(), log.New(io.Discard)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error)
 	go func() { done <- d.Run(ctx) }()
--- a/internal/proxy/cwdirectory/follow.go
+++ b/internal/proxy/cwdirectory/follow.go
@@ -38,11 +38,11 @@
 	ownStaleAfter = 2 * ownPollWait
 )
 
-// Stale is the age of data from a feeder, by topic, beyond which the store is asked. The
+// StaleAfter is the age of data from a feeder, by topic, beyond which the store is asked. The
 // age counts from the store's last confirmation.
-type Stale struct{ Desired, Targets time.Duration }
+type StaleAfter struct{ Desired, Targets time.Duration }
 
-func (s Stale) ages(t cwport.Topic) cwfeed.Staleness {
+func (s StaleAfter) ages(t cwport.Topic) cwfeed.Staleness {
 	return cwfeed.Staleness{MaxAge: [cwport.TopicCount]time.Duration{cwport.Desired: s.Desired, cwport.Targets: s.Targets, cwport.Own: ownStaleAfter}[t]}
 }
 
@@ -174,11 +174,11 @@
 		d.recordUnsettled(t)
 		return false
 	}
-	return n.Topics[t].Whole && !d.Stale.ages(t).IsStale(a.Confirmed(), d.Clock.Now())
+	return n.Topics[t].Whole && !d.StaleAfter.ages(t).IsStale(a.Confirmed(), d.Clock.Now())
 }
 
 // recordUnsettled makes this instance request the first rows of a topic from the store,
-// and not from a feeder for MinGoneAfter.
+// and not from a feeder for MinRemovalDelay.
 func (d *Directory) recordUnsettled(t cwport.Topic) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -195,11 +195,11 @@
 	defer d.mu.Unlock()
 	q := cwport.NewsQuestion{}
 	if d.source == fromFeeder {
-		q.Wait = d.Stale.ages(cwport.Desired).FeederWait()
+		q.Wait = d.StaleAfter.ages(cwport.Desired).FeederWait()
 	}
 	for _, t := range cwport.Topics {
 		q.After[t] = d.topics[t].version
-		if s := &d.topics[t]; !s.loaded && d.Clock.Since(s.feederUnsettledAt) < MinGoneAfter {
+		if s := &d.topics[t]; !s.loaded && d.Clock.Since(s.feederUnsettledAt) < MinRemovalDelay {
 			// The feeder would answer at once with all rows of the topic, which this
 			// instance cannot use. An instance whose requests the store rejects since its
 			// start would thus ask its feeder in a busy loop, so it excludes the topic.
@@ -234,7 +234,7 @@
 func (d *Directory) untilPollDue(t cwport.Topic) (time.Duration, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	stale := d.Stale.ages(t).MaxAge
+	stale := d.StaleAfter.ages(t).MaxAge
 	s := &d.topics[t]
 	switch {
 	case d.source == fromStore || !s.loaded && !s.feederUnsettledAt.IsZero():
--- a/internal/proxy/cwdirectory/removal.go
+++ b/internal/proxy/cwdirectory/removal.go
@@ -31,11 +31,11 @@
 	d.logTargets(b.Listed)
 	lapsed := d.markMissing(removed, now)
 	if first {
-		d.Sink.SetListings(append(b.Listed, d.addRemembered(now)...))
+		d.Sink.SetTargets(append(b.Listed, d.addRemembered(now)...))
 		return
 	}
 	if changed := slices.Concat(b.Listed, lapsed); len(changed) > 0 {
-		d.Sink.ChangeListings(changed, nil)
+		d.Sink.UpdateTargets(changed, nil)
 	}
 }
 
@@ -80,7 +80,7 @@
 // awaitOwnRows waits before the first list of targets until own rows are known, from
 // which Remembered is derived, or ownRowsTimeout has passed.
 func (d *Directory) awaitOwnRows(ctx context.Context) {
-	if d.Remembered == nil || d.isLoaded(cwport.Targets) {
+	if d.RememberedTargets == nil || d.isLoaded(cwport.Targets) {
 		return
 	}
 	end := d.Clock.After(ownRowsTimeout)
@@ -111,11 +111,11 @@
 // whole groups, two of three members could confirm and promote by themselves, and what
 // the third acknowledged with one of them would be lost.
 func (d *Directory) addRemembered(now time.Time) []cwport.Listing {
-	if d.Remembered == nil {
+	if d.RememberedTargets == nil {
 		return nil
 	}
 	var out []cwport.Listing
-	for _, l := range d.Remembered() {
+	for _, l := range d.RememberedTargets() {
 		if _, ok := d.knownTargets[l.ID]; ok {
 			continue
 		}
@@ -127,9 +127,9 @@
 	return out
 }
 
-// Tells reports whether the list of targets was read and the store currently answers
+// TargetsAvailable reports whether the list of targets was read and the store currently answers
 // requests for it.
-func (d *Directory) Tells() bool {
+func (d *Directory) TargetsAvailable() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return !d.unavailable && d.topics[cwport.Targets].loaded
@@ -203,7 +203,7 @@
 		delete(d.knownTargets, id)
 	}
 	if len(gone) > 0 {
-		d.Sink.ChangeListings(nil, gone)
+		d.Sink.UpdateTargets(nil, gone)
 	}
 }
 
@@ -212,16 +212,16 @@
 //
 // If the store stops answering right after it reported that entries lapsed, the time can
 // be up before any request to it has failed, and targets that are alive would be removed.
-// So the store must also have confirmed, at least MinGoneAfter after an entry
+// So the store must also have confirmed, at least MinRemovalDelay after an entry
 // disappeared, that it is not back.
 func (d *Directory) isGone(id cwgroup.MemberID, missingSince, now time.Time) bool {
-	delay := max(d.GoneAfter, MinGoneAfter)
+	delay := max(d.RemovalDelay, MinRemovalDelay)
 	if d.rememberedOnly[id] {
 		// The entry disappeared before this instance started.
-		delay = MinGoneAfter
+		delay = MinRemovalDelay
 	}
 	if d.unavailable || now.Sub(missingSince) < delay {
 		return false
 	}
-	return d.topics[cwport.Targets].confirmed.Sub(missingSince) >= MinGoneAfter
+	return d.topics[cwport.Targets].confirmed.Sub(missingSince) >= MinRemovalDelay
 }
--- a/internal/proxy/cwdirectory/restore.go
+++ b/internal/proxy/cwdirectory/restore.go
@@ -27,7 +27,7 @@
 	if !restored {
 		return
 	}
-	inc(d.Counts.Restores)
+	inc(d.Counts.StoreRestores)
 	d.Log.Warn("storeRestored", "topic", t, "era", era, "before", before, "version", b.Version)
 }
 
@@ -121,7 +121,7 @@
 
 // logOutdated logs and counts a snapshot that was ignored because newer data is known.
 func (d *Directory) logOutdated(t cwport.Topic, b cwport.Batch, known cwfeed.Version) {
-	inc(d.Counts.Outdated)
+	inc(d.Counts.OutdatedAnswers)
 	var revision cwcatalogue.Revision
 	if b.Catalogue != nil {
 		revision = b.Catalogue.Revision
--- a/internal/proxy/cwdirectory/restore_test.go
+++ b/internal/proxy/cwdirectory/restore_test.go
@@ -97,7 +97,7 @@
 
 // Guards against instances that keep rows which a restore has lost until a long poll for
 // them ends.
-func TestRestoreEndsQuestionsThatWait(t *testing.T) {
+func TestRestoreCancelsLongPolls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		src := &restoredSource{}
 		runOne(t, &Directory{Source: src, Sink: &fakeSink{}}, func(c *qt.C) {
@@ -112,7 +112,7 @@
 
 // Guards against trusting API keys on the strength of answers that were ignored as
 // outdated.
-func TestAnswerThatIsLeftOutConfirmsNothing(t *testing.T) {
+func TestIgnoredAnswerConfirmsNothing(t *testing.T) {
 	c := qt.New(t)
 	d := &Directory{Sink: &fakeSink{}, Decoder: decoder{}, Clock: clockwork.NewRealClock(), Log: log.New(io.Discard)}
 	d.initState()
--- a/internal/proxy/cwdirectory/start_test.go
+++ b/internal/proxy/cwdirectory/start_test.go
@@ -50,7 +50,7 @@
 		store := newFakeStore()
 		store.put(cwport.Targets, "a", false)
 		out := &fakeSink{present: map[cwgroup.MemberID]bool{}}
-		d := &Directory{Source: failingOwnRows{storeClient{store, "front-1"}}, Sink: out, Remembered: func() []cwport.Listing { return nil }}
+		d := &Directory{Source: failingOwnRows{storeClient{store, "front-1"}}, Sink: out, RememberedTargets: func() []cwport.Listing { return nil }}
 		runOne(t, d, func(c *qt.C) {
 			time.Sleep(3 * time.Second)
 			c.Assert(out.has("a"), qt.IsTrue)
@@ -72,7 +72,7 @@
 // When the store returned, one of a group's three members had its entry back, the others
 // only 1.5 s later. The instance took the one for the whole group, and a caller read the
 // state of a booking from before it was made.
-func TestFirstListAfterAnOutageIsWhole(t *testing.T) {
+func TestFirstListAfterOutageIsComplete(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newFakeStore()
 		store.setUnavailable(func(string) bool { return true })
@@ -99,7 +99,7 @@
 // second or two of the store's return, so none of them knew of the outage when it started
 // again. The entries of two of a group's members were not back yet. The third, a former
 // primary that was replaced during a partition, was taken for the whole group.
-func TestMembersAreRememberedAcrossAStart(t *testing.T) {
+func TestMembersAreRememberedAcrossRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newFakeStore()
 		store.put(cwport.Targets, "a", false)
@@ -107,9 +107,9 @@
 		out := &fakeSink{present: map[cwgroup.MemberID]bool{}}
 		ownRead := false
 		d := &Directory{
-			GoneAfter: 8 * time.Second, Source: storeClient{store, "front-1"},
+			RemovalDelay: 8 * time.Second, Source: storeClient{store, "front-1"},
 			Sink: rowsSink{out, func() { ownRead = true }},
-			Remembered: func() []cwport.Listing {
+			RememberedTargets: func() []cwport.Listing {
 				qt.Check(t, ownRead, qt.IsTrue, qt.Commentf("called before the own rows are known"))
 				return []cwport.Listing{{ID: "a"}, {ID: "b"}, {ID: "c"}}
 			},
@@ -132,7 +132,7 @@
 	rows func()
 }
 
-func (s rowsSink) Rows([]cwport.Row, bool) { s.rows() }
+func (s rowsSink) ApplyRows([]cwport.Row, bool) { s.rows() }
 
 // startInFleet returns a new Directory for a follower of a fleet and its sink. The store
 // does not answer its requests for the list of targets. The caller runs it.
@@ -145,13 +145,13 @@
 	}
 	out := &fakeSink{present: map[cwgroup.MemberID]bool{}}
 	return &Directory{
-		Stale: fleetStale, Source: failingTargets{storeClient{fl.store, started}}, Decoder: decoder{}, Sink: out,
+		StaleAfter: fleetStale, Source: failingTargets{storeClient{fl.store, started}}, Decoder: decoder{}, Sink: out,
 		Feeders: fleetInstance{fl, started},
 	}, out
 }
 
 // Guards against a first list from a feeder that lacks a member which the feeder uses.
-func TestFirstListOfAFeederIsWhole(t *testing.T) {
+func TestFirstListFromFeederIsComplete(t *testing.T) {
 	t.Run("nothing is missing", func(t *testing.T) {
 		runFleet(t, fleetSize, func(c *qt.C, fl *fleet) {
 			fl.store.put(cwport.Targets, "a", false)
@@ -169,7 +169,7 @@
 			for _, name := range fl.names {
 				d := fl.dirs[name]
 				d.mu.Lock()
-				d.GoneAfter = 20 * time.Second
+				d.RemovalDelay = 20 * time.Second
 				d.mu.Unlock()
 			}
 			fl.store.put(cwport.Targets, "a", false)
@@ -238,8 +238,8 @@
 		{"nothing is missing", func(*Directory) {}, true},
 		{"the store is unavailable", func(d *Directory) { d.unavailable = true }, false},
 		{"an entry is missing", func(d *Directory) { d.missingSince["a"] = now.Add(-time.Second) }, false},
-		{"the store was unavailable a moment ago", func(d *Directory) { d.availableSince = now.Add(-MinGoneAfter / 2) }, false},
-		{"entries have had the time to come back", func(d *Directory) { d.availableSince = now.Add(-MinGoneAfter) }, true},
+		{"the store was unavailable a moment ago", func(d *Directory) { d.availableSince = now.Add(-MinRemovalDelay / 2) }, false},
+		{"entries have had the time to come back", func(d *Directory) { d.availableSince = now.Add(-MinRemovalDelay) }, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			d := &Directory{Clock: clockwork.NewRealClock()}
@@ -272,7 +272,7 @@
 		{"a stale answer", func(_ *Directory, _ *cwport.News, a *cwfeed.FeederResponse) { a.Age = fleetStale.Targets }, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			d := &Directory{Clock: clockwork.NewRealClock(), Stale: fleetStale}
+			d := &Directory{Clock: clockwork.NewRealClock(), StaleAfter: fleetStale}
 			d.initState()
 			d.topics[cwport.Own].loaded = true
 			n, a := whole(), cwfeed.FeederResponse{Sent: time.Now()}
--- a/internal/proxy/cwdirectory/tell.go
+++ b/internal/proxy/cwdirectory/tell.go
@@ -28,7 +28,7 @@
 		n, news, newsAvailable := d.newsSince(q, lastConfirmed)
 		if news {
 			n.Held = d.Clock.Since(received)
-			inc(d.Counts.Told)
+			inc(d.Counts.NewsServed)
 			for _, t := range n.Topics {
 				for i, r := range t.Rows {
 					t.Rows[i] = d.packedRow(r)
@@ -91,7 +91,7 @@
 // lapsed while the store was unavailable have had the time to be written again. The
 // caller holds mu.
 func (d *Directory) listComplete(now time.Time) bool {
-	return !d.unavailable && len(d.missingSince) == 0 && now.Sub(d.availableSince) >= MinGoneAfter
+	return !d.unavailable && len(d.missingSince) == 0 && now.Sub(d.availableSince) >= MinRemovalDelay
 }
 
 // packedRow returns a row as it is sent to other instances: compressed if it is large.
--- a/internal/proxy/cwinstance/fleet_test.go
+++ b/internal/proxy/cwinstance/fleet_test.go
@@ -161,8 +161,8 @@
 		Dialer: nobody{}, Source: f, Decoder: f, Table: nobody{}, Era: func() uint64 { return 0 },
 		Clock: clockwork.NewRealClock(), Log: log.NewWithOptions(io.Discard, log.Options{Formatter: log.LogfmtFormatter}), DataCentres: fleetCentres,
 	})
-	in.dir.Waits.Desired, in.dir.Waits.Targets = 5*time.Second, 8*time.Second
-	in.dir.Stale.Desired, in.dir.Stale.Targets = 5*time.Second, 8*time.Second
+	in.dir.PollWaits.Desired, in.dir.PollWaits.Targets = 5*time.Second, 8*time.Second
+	in.dir.StaleAfter.Desired, in.dir.StaleAfter.Targets = 5*time.Second, 8*time.Second
 	in.peers.Dial = func(context.Context, string, string) (cwpeers.Conn, error) { return nil, errNobody }
 	ctx, cancel := context.WithCancel(context.Background())
 	eg, ctx := errgroup.WithContext(ctx)
--- a/internal/proxy/cwinstance/instance.go
+++ b/internal/proxy/cwinstance/instance.go
@@ -46,7 +46,7 @@
 	// ReadyPath is where the balancer's probe asks.
 	ReadyPath string
 	Grace     time.Duration
-	Waits     cwdirectory.Waits
+	Waits     cwdirectory.PollWaits
 	// GoneAfter is how long after its entry a target is taken as gone.
 	GoneAfter time.Duration
 	// Turn is the least time between the acts of two holders of a duty.
@@ -56,7 +56,7 @@
 	Source  cwport.Source
 	Decoder cwport.Decoder
 	// Stale is how old the word of another instance about the store may be.
-	Stale cwdirectory.Stale
+	Stale cwdirectory.StaleAfter
 	Table cwplatform.Table
 	// Era returns the newest era of the store that any answer has told.
 	Era      func() uint64
@@ -99,12 +99,12 @@
 	in.peers.OnChange = in.rehold
 	in.members = &cwmembers.Recorder{Table: cfg.Table, Clock: cfg.Clock, Log: cfg.Log, HolderRank: in.place, GroupCount: in.groups}
 	in.dir = &cwdirectory.Directory{
-		Waits: cfg.Waits, GoneAfter: cfg.GoneAfter, Source: cfg.Source, Sink: in, Clock: cfg.Clock, Log: cfg.Log,
-		Feeders: in.peers, Decoder: cfg.Decoder, Stale: cfg.Stale,
-		Remembered: in.members.RecordedMembers,
+		PollWaits: cfg.Waits, RemovalDelay: cfg.GoneAfter, Source: cfg.Source, Sink: in, Clock: cfg.Clock, Log: cfg.Log,
+		Feeders: in.peers, Decoder: cfg.Decoder, StaleAfter: cfg.Stale,
+		RememberedTargets: in.members.RecordedMembers,
 		Counts: cwdirectory.Counts{
-			StoreQuestions: in.metrics.StoreRequests, FeederAnswers: in.metrics.FeederAnswers, Told: in.metrics.FeedAnswersSent,
-			Restores: in.metrics.StoreRestores, Outdated: in.metrics.OutdatedStoreAnswers,
+			StoreRequests: in.metrics.StoreRequests, FeederAnswers: in.metrics.FeederAnswers, NewsServed: in.metrics.FeedAnswersSent,
+			StoreRestores: in.metrics.StoreRestores, OutdatedAnswers: in.metrics.OutdatedStoreAnswers,
 		},
 	}
 	in.members.Counted = in.counted
@@ -135,7 +135,7 @@
 // counted returns the members of each group; nil while the store does not tell of
 // targets.
 func (in *Instance) counted() map[string]cwmembers.Count {
-	if !in.dir.Tells() {
+	if !in.dir.TargetsAvailable() {
 		return nil
 	}
 	return in.engine.Members()
@@ -259,19 +259,19 @@
 // SetCatalogue implements cwdirectory.Sink.
 func (in *Instance) SetCatalogue(c cwcatalogue.Catalogue) { in.engine.SetCatalogue(c) }
 
-// SetListings implements cwdirectory.Sink.
-func (in *Instance) SetListings(all []cwport.Listing) { in.engine.SetListings(all) }
+// SetTargets implements cwdirectory.Sink.
+func (in *Instance) SetTargets(all []cwport.Listing) { in.engine.SetListings(all) }
 
-// ChangeListings implements cwdirectory.Sink.
-func (in *Instance) ChangeListings(listed []cwport.Listing, removed []cwgroup.MemberID) {
+// UpdateTargets implements cwdirectory.Sink.
+func (in *Instance) UpdateTargets(listed []cwport.Listing, removed []cwgroup.MemberID) {
 	in.engine.ChangeListings(listed, removed)
 }
 
 // SetEra implements cwdirectory.Sink.
 func (in *Instance) SetEra(era uint64) { in.engine.SetEra(era) }
 
-// Rows implements cwdirectory.Sink.
-func (in *Instance) Rows(rows []cwport.Row, whole bool) {
+// ApplyRows implements cwdirectory.Sink.
+func (in *Instance) ApplyRows(rows []cwport.Row, whole bool) {
 	in.peers.ApplyRows(rows, whole)
 	in.members.ObserveRows(rows, whole)
 	for _, r := range rows {
--- a/internal/tool/cwcommand/serve.go
+++ b/internal/tool/cwcommand/serve.go
@@ -123,8 +123,8 @@
 
 // waits returns how long the store may hold questions, so that a lost answer is
 // made up for within the platform's bounds.
-func waits(s platform.Settings) cwdirectory.Waits {
-	return cwdirectory.Waits{
+func waits(s platform.Settings) cwdirectory.PollWaits {
+	return cwdirectory.PollWaits{
 		Desired: max(minWait, keyed(s, s.StableAfter-lostAnswerMargin, keyWaitShare)),
 		Targets: max(minWait, s.DrainBound-2*lostAnswerMargin),
 	}
@@ -132,8 +132,8 @@
 
 // stale returns how old the word of another instance may be. What is left of the
 // bound is for a question to the store that is lost, and a second one.
-func stale(s platform.Settings) cwdirectory.Stale {
-	return cwdirectory.Stale{
+func stale(s platform.Settings) cwdirectory.StaleAfter {
+	return cwdirectory.StaleAfter{
 		Desired: keyed(s, s.ConfigBound*staleShare/100, keyStaleShare),
 		Targets: max(minWait, s.DrainBound-2*lostAnswerMargin),
 	}
