--- a/internal/standin/cwdatabase/commit.go
+++ b/internal/standin/cwdatabase/commit.go
@@ -9,10 +9,11 @@
 	"cicadawalk.example/cicadawalk/internal/wire/cwtarget"
 )
 
-func (c *session) endExplicit(undo bool) (*result, error) {
+// endTransaction executes COMMIT and ROLLBACK. With undo it rolls back.
+func (c *session) endTransaction(undo bool) (*result, error) {
 	c.tx.explicit, c.tx.failed = false, false
 	if undo {
-		c.abandon()
+		c.discardTransaction()
 		return &result{tag: "ROLLBACK"}, nil
 	}
 	if c.tx.writing {
@@ -24,12 +25,14 @@
 	return &result{tag: "COMMIT"}, nil
 }
 
-// commit commits what the session wrote, and reports where the log ends then.
+// commit commits the session's write transaction and reports the mark of its
+// record to the client as the parameter cwtarget.PositionParameter. It returns
+// errConnClosed if an injected fault closed the connection.
 func (c *session) commit() error {
-	drop, lose := c.member.takeCommitFaults()
+	drop, lose := c.member.consumeCommitFault()
 	if drop {
 		_ = c.conn.Close()
-		return errGone
+		return errConnClosed
 	}
 	tx := c.tx
 	c.tx = transaction{}
@@ -40,14 +43,15 @@
 	}
 	if lose {
 		_ = c.conn.Close()
-		return errGone
+		return errConnClosed
 	}
 	c.backend.Send(&pgproto3.ParameterStatus{Name: cwtarget.PositionParameter, Value: mark.String()})
 	return nil
 }
 
-// takeCommitFaults counts one commit against the faults.
-func (m *Member) takeCommitFaults() (drop, lose bool) {
+// consumeCommitFault decides the fault of one commit and decrements its counter:
+// drop closes the connection before the commit, lose after it.
+func (m *Member) consumeCommitFault() (drop, lose bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.faults.DropBeforeCommit > 0 {
@@ -61,17 +65,19 @@
 	return false, false
 }
 
-// data runs a statement that reads or writes data.
-func (c *session) data(ctx context.Context, s cwsql.Statement, args []arg) (*result, error) {
+// execData runs a statement that reads or writes tables. A write opens the
+// session's write transaction if there is none.
+func (c *session) execData(ctx context.Context, s cwsql.Statement, args []arg) (*result, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	c.setCancel(cancel)
-	defer c.setCancel(nil)
-	query, err := toEngine(s.Text)
+	c.setCancelFunc(cancel)
+	defer c.setCancelFunc(nil)
+	query, err := toSQLiteParams(s.Text)
 	if err != nil {
 		return nil, err
 	}
-	// The lock comes before the slot: whoever waits for a lock executes nothing.
+	// The write lock is acquired before the slot, so that a statement that waits
+	// for the lock does not occupy a slot.
 	if s.Kind != cwsql.Read && !c.tx.writing {
 		term, err := c.member.begin(ctx)
 		if err != nil {
@@ -80,18 +86,18 @@
 		c.tx.writing, c.tx.term = true, term
 		c.writing.Store(true)
 	}
-	release, err := c.server.slot(ctx)
+	release, err := c.server.acquireSlot(ctx)
 	if err != nil {
-		return nil, canceled
+		return nil, errCanceled
 	}
 	defer release()
 	st := statement{SQL: query, Args: args}
 	if s.Kind == cwsql.Read && !c.tx.writing {
 		c.member.engine.readMu.RLock()
 		defer c.member.engine.readMu.RUnlock()
-		return query1(ctx, c.member.engine.committed, s.Text, st)
+		return queryAll(ctx, c.member.engine.committed, s.Text, st)
 	}
-	res, err := query1(ctx, c.member.engine.write, s.Text, st)
+	res, err := queryAll(ctx, c.member.engine.writeConn, s.Text, st)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/standin/cwdatabase/engine.go
+++ b/internal/standin/cwdatabase/engine.go
@@ -9,22 +9,23 @@
 	"sync/atomic"
 	"time"
 
-	"modernc.org/sqlite" // registers the engine, and serves functions below.
+	"modernc.org/sqlite" // registers the "sqlite" driver
 )
 
-// statement is one statement of a record, with its arguments.
+// statement is one SQL statement of a log record, with its arguments.
 type statement struct {
 	SQL  string
 	Args []arg
 }
 
-// arg is an argument as it travels in a record: text, bytes or, with neither,
-// NULL.
+// arg is an argument of a statement as it is encoded in a log record. It holds
+// text or bytes; it is NULL if neither is set.
 type arg struct {
 	Text  *string
 	Bytes []byte
 }
 
+// values returns the arguments in the form that database/sql takes.
 func (s statement) values() []any {
 	out := make([]any, len(s.Args))
 	for i, a := range s.Args {
@@ -38,19 +39,24 @@
 	return out
 }
 
-// engine keeps the data in two copies in memory. Readers see committed.
-// The one open write transaction works on working, so that readers never wait
-// for it; at commit its statements run on committed too, which is also what a
-// replica does with a record.
+// engine stores the data in two in-memory SQLite databases with the same
+// content. Reads outside of a write transaction use committed. The single open
+// write transaction uses working, so that such reads never wait for it. At
+// commit its statements run on committed as well. A replica runs each record of
+// the log on both databases.
 type engine struct {
-	// readMu is held for reading by each read, for writing by apply.
+	// readMu is read-locked by each query on committed and write-locked by
+	// applyCommitted.
 	readMu    sync.RWMutex
 	committed *sql.DB
 	working   *sql.DB
-	// write is the only connection to working.
-	write *sql.Conn
+	// writeConn is the only connection to working. It is used only while
+	// Member.writeLock is held.
+	writeConn *sql.Conn
 }
 
+// engineSeq numbers the engines of the process, so that each has in-memory
+// databases of its own.
 var engineSeq atomic.Uint64
 
 func init() {
@@ -62,13 +68,15 @@
 	})
 }
 
+// newEngine returns an engine with two empty databases.
 func newEngine() (*engine, error) {
 	n := engineSeq.Add(1)
 	committed, err := sql.Open("sqlite", fmt.Sprintf("file:/committed%d?vfs=memdb", n))
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	// The data lives as long as one connection is open.
+	// SQLite drops an in-memory database when its last connection closes, so
+	// idle connections are kept without a limit on their lifetime.
 	committed.SetMaxIdleConns(64)
 	committed.SetConnMaxLifetime(0)
 	if err := committed.Ping(); err != nil {
@@ -82,38 +90,40 @@
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	return &engine{committed: committed, working: working, write: write}, nil
+	return &engine{committed: committed, working: working, writeConn: write}, nil
 }
 
-// apply runs a record's statements on committed. Statements ran once already,
-// on the primary, so an error means that the copies differ.
-func (e *engine) apply(ctx context.Context, stmts []statement) error {
+// applyCommitted runs a record's statements on committed. They have already run
+// on working, so an error means that the two databases differ.
+func (e *engine) applyCommitted(ctx context.Context, stmts []statement) error {
 	e.readMu.Lock()
 	defer e.readMu.Unlock()
-	return run(ctx, e.committed, stmts)
+	return execInTransaction(ctx, e.committed, stmts)
 }
 
-// replicate runs a record on both copies.
-func (e *engine) replicate(ctx context.Context, stmts []statement) error {
+// applyRecord runs a record's statements on working and then on committed. The
+// caller holds Member.writeLock.
+func (e *engine) applyRecord(ctx context.Context, stmts []statement) error {
 	if len(stmts) == 0 {
 		return nil
 	}
-	if _, err := e.write.ExecContext(ctx, "BEGIN"); err != nil {
+	if _, err := e.writeConn.ExecContext(ctx, "BEGIN"); err != nil {
 		return Error.Wrap(err)
 	}
 	for _, s := range stmts {
-		if _, err := e.write.ExecContext(ctx, s.SQL, s.values()...); err != nil {
-			_, _ = e.write.ExecContext(ctx, "ROLLBACK")
+		if _, err := e.writeConn.ExecContext(ctx, s.SQL, s.values()...); err != nil {
+			_, _ = e.writeConn.ExecContext(ctx, "ROLLBACK")
 			return Error.Wrap(err)
 		}
 	}
-	if _, err := e.write.ExecContext(ctx, "COMMIT"); err != nil {
+	if _, err := e.writeConn.ExecContext(ctx, "COMMIT"); err != nil {
 		return Error.Wrap(err)
 	}
-	return e.apply(ctx, stmts)
+	return e.applyCommitted(ctx, stmts)
 }
 
-func run(ctx context.Context, db *sql.DB, stmts []statement) error {
+// execInTransaction runs the statements on db in one transaction.
+func execInTransaction(ctx context.Context, db *sql.DB, stmts []statement) error {
 	if len(stmts) == 0 {
 		return nil
 	}
--- a/internal/standin/cwdatabase/extended.go
+++ b/internal/standin/cwdatabase/extended.go
@@ -10,33 +10,35 @@
 	"cicadawalk.example/cicadawalk/internal/wire/cwsql"
 )
 
-// prepared is a statement of the extended protocol.
-type prepared struct {
+// preparedStatement is a prepared statement of the extended protocol.
+type preparedStatement struct {
 	stmt cwsql.Statement
-	// empty is true for a text without a statement.
-	empty  bool
+	// empty is true if the text had no statement.
+	empty bool
+	// params has the type of each parameter as an object id, 0 for unspecified.
 	params []uint32
 }
 
-// portal is a bound statement.
+// portal is a prepared statement with arguments bound to it.
 type portal struct {
-	prep    *prepared
-	args    []arg
-	formats []int16
-	// res is the answer once it ran, sent the number of rows that went out.
-	res  *result
-	sent int
+	prepared *preparedStatement
+	args     []arg
+	formats  []int16
+	// result is set by the first Execute. rowsSent is the number of its rows that
+	// were sent, since Execute can limit the rows.
+	result   *result
+	rowsSent int
 }
 
 func (c *session) parse(m *pgproto3.Parse) error {
-	stmts, err := statements.Parse(m.Query)
+	stmts, err := parseCache.Parse(m.Query)
 	if err != nil {
 		return err
 	}
 	if len(stmts) > 1 {
 		return &sqlError{"42601", "cannot insert multiple commands into a prepared statement"}
 	}
-	p := &prepared{empty: len(stmts) == 0}
+	p := &preparedStatement{empty: len(stmts) == 0}
 	if !p.empty {
 		p.stmt = stmts[0]
 	}
@@ -54,6 +56,7 @@
 	return nil
 }
 
+// countParams returns the highest parameter number in the text.
 func countParams(text string) (int, error) {
 	scan, err := pgquery.Scan(text)
 	if err != nil {
@@ -81,7 +84,7 @@
 	if len(m.Parameters) != len(p.params) {
 		return &sqlError{"08P01", "bind message supplies the wrong number of parameters"}
 	}
-	po := &portal{prep: p, formats: append([]int16(nil), m.ResultFormatCodes...)}
+	po := &portal{prepared: p, formats: append([]int16(nil), m.ResultFormatCodes...)}
 	for i, raw := range m.Parameters {
 		a, err := decodeParam(raw, p.params[i], formatOf(m.ParameterFormatCodes, i))
 		if err != nil {
@@ -94,8 +97,9 @@
 	return nil
 }
 
-// decodeParam reads a parameter. Text stays text: the engine converts by the
-// column's type.
+// decodeParam decodes a parameter of a Bind message. Parameters in text format
+// stay text, because SQLite converts them by the type of the column; a bytea in
+// text format is decoded.
 func decodeParam(raw []byte, oid uint32, format int16) (arg, error) {
 	if raw == nil {
 		return arg{}, nil
@@ -111,7 +115,7 @@
 		s := string(raw)
 		return arg{Text: &s}, nil
 	}
-	m := pgTypes()
+	m := takeTypeMap()
 	t, ok := m.TypeForOID(oid)
 	if !ok {
 		return arg{}, &sqlError{"42704", "unknown parameter type"}
@@ -136,11 +140,12 @@
 	if !ok {
 		return &sqlError{"34000", "portal " + strconv.Quote(m.Name) + " does not exist"}
 	}
-	return c.describeStatement(ctx, po.prep, po.formats)
+	return c.describeStatement(ctx, po.prepared, po.formats)
 }
 
-func (c *session) describeStatement(ctx context.Context, p *prepared, formats []int16) error {
-	res, err := c.shape(ctx, p)
+// describeStatement sends the row description of a statement, or NoData.
+func (c *session) describeStatement(ctx context.Context, p *preparedStatement, formats []int16) error {
+	res, err := c.columnsOf(ctx, p)
 	if err != nil {
 		return err
 	}
@@ -152,52 +157,57 @@
 	return nil
 }
 
-// shape finds the columns of a statement without running it.
-func (c *session) shape(ctx context.Context, p *prepared) (*result, error) {
+// columnsOf returns a result without rows that has the columns of a statement;
+// nil if the statement returns no rows. The statement is not run.
+func (c *session) columnsOf(ctx context.Context, p *preparedStatement) (*result, error) {
 	switch {
 	case p.empty:
 		return nil, nil
 	case p.stmt.Kind == cwsql.Show:
 		return textResult(p.stmt.Name, "", ""), nil
 	case p.stmt.Kind == cwsql.Read:
-		if f, ok := parseCall(p.stmt.Text); ok {
+		if f, ok := parseFunctionCall(p.stmt.Text); ok {
 			return textResult(f.name, "", ""), nil
 		}
-		return c.shapeOf(ctx, p.stmt.Text, len(p.params))
+		return c.columnsOfQuery(ctx, p.stmt.Text, len(p.params))
 	case p.stmt.Kind == cwsql.Write:
-		return c.shapeOfReturning(ctx, p.stmt.Text)
+		return c.columnsOfReturning(ctx, p.stmt.Text)
 	}
 	return nil, nil
 }
 
-// shapeOf runs a read with NULL for each argument.
-func (c *session) shapeOf(ctx context.Context, text string, params int) (*result, error) {
-	query, err := toEngine(text)
+// columnsOfQuery returns the columns of a query. It runs the query as a subquery
+// with LIMIT 0 and with NULL for each parameter.
+func (c *session) columnsOfQuery(ctx context.Context, text string, params int) (*result, error) {
+	query, err := toSQLiteParams(text)
 	if err != nil {
 		return nil, err
 	}
 	st := statement{SQL: "SELECT * FROM (" + query + ") LIMIT 0", Args: make([]arg, params)}
 	if c.tx.writing {
-		return shapeQuery(ctx, c.member.engine.write, text, st)
+		return queryColumns(ctx, c.member.engine.writeConn, text, st)
 	}
 	c.member.engine.readMu.RLock()
 	defer c.member.engine.readMu.RUnlock()
-	return shapeQuery(ctx, c.member.engine.committed, text, st)
+	return queryColumns(ctx, c.member.engine.committed, text, st)
 }
 
-func shapeQuery(ctx context.Context, q querier, text string, st statement) (*result, error) {
+// queryColumns runs st and returns its columns. The text is the query in
+// PostgreSQL's syntax.
+func queryColumns(ctx context.Context, q querier, text string, st statement) (*result, error) {
 	rows, err := q.QueryContext(ctx, st.SQL, st.values()...)
 	if err != nil {
 		return nil, err
 	}
 	defer rows.Close()
 	res := &result{}
-	res.columns, err = columnsOf(rows, text)
+	res.columns, err = resultColumns(rows, text)
 	return res, err
 }
 
-// shapeOfReturning looks at the columns that a RETURNING clause names.
-func (c *session) shapeOfReturning(ctx context.Context, text string) (*result, error) {
+// columnsOfReturning returns the columns of a RETURNING clause. It describes a
+// SELECT of the same expressions from the modified table.
+func (c *session) columnsOfReturning(ctx context.Context, text string) (*result, error) {
 	targets := targetList(text)
 	if len(targets) == 0 {
 		return nil, nil
@@ -206,17 +216,18 @@
 	if err != nil {
 		return nil, &sqlError{"42601", err.Error()}
 	}
-	from := &pgquery.Node{Node: &pgquery.Node_RangeVar{RangeVar: tableOf(tree.Stmts[0].Stmt)}}
+	from := &pgquery.Node{Node: &pgquery.Node_RangeVar{RangeVar: modifiedTable(tree.Stmts[0].Stmt)}}
 	sel := &pgquery.SelectStmt{TargetList: targets, FromClause: []*pgquery.Node{from}}
 	tree.Stmts[0] = &pgquery.RawStmt{Stmt: &pgquery.Node{Node: &pgquery.Node_SelectStmt{SelectStmt: sel}}}
 	query, err := pgquery.Deparse(tree)
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	return c.shapeOf(ctx, query, 0)
+	return c.columnsOfQuery(ctx, query, 0)
 }
 
-func tableOf(s *pgquery.Node) *pgquery.RangeVar {
+// modifiedTable returns the table that an INSERT, UPDATE or DELETE names.
+func modifiedTable(s *pgquery.Node) *pgquery.RangeVar {
 	switch {
 	case s.GetInsertStmt() != nil:
 		return s.GetInsertStmt().Relation
@@ -227,39 +238,39 @@
 	}
 }
 
-func (c *session) execute(ctx context.Context, m *pgproto3.Execute) error {
+func (c *session) executePortal(ctx context.Context, m *pgproto3.Execute) error {
 	po, ok := c.portals[m.Portal]
 	if !ok {
 		return &sqlError{"34000", "portal " + strconv.Quote(m.Portal) + " does not exist"}
 	}
-	if po.prep.empty {
+	if po.prepared.empty {
 		c.backend.Send(&pgproto3.EmptyQueryResponse{})
 		return nil
 	}
-	if po.res == nil {
-		res, err := c.exec(ctx, po.prep.stmt, po.args)
+	if po.result == nil {
+		res, err := c.exec(ctx, po.prepared.stmt, po.args)
 		if err != nil {
 			return err
 		}
-		po.res = res
+		po.result = res
 	}
-	rows := po.res.rows[po.sent:]
+	rows := po.result.rows[po.rowsSent:]
 	if m.MaxRows > 0 && len(rows) > int(m.MaxRows) {
 		rows = rows[:m.MaxRows]
 	}
-	if err := c.sendRows(&result{columns: po.res.columns, rows: rows}, po.formats); err != nil {
+	if err := c.sendRows(&result{columns: po.result.columns, rows: rows}, po.formats); err != nil {
 		return err
 	}
-	po.sent += len(rows)
-	if po.sent < len(po.res.rows) {
+	po.rowsSent += len(rows)
+	if po.rowsSent < len(po.result.rows) {
 		c.backend.Send(&pgproto3.PortalSuspended{})
 		return nil
 	}
-	c.backend.Send(&pgproto3.CommandComplete{CommandTag: []byte(po.res.tag)})
+	c.backend.Send(&pgproto3.CommandComplete{CommandTag: []byte(po.result.tag)})
 	return nil
 }
 
-func (c *session) closeNamed(m *pgproto3.Close) {
+func (c *session) closeStatementOrPortal(m *pgproto3.Close) {
 	if m.ObjectType == 'S' {
 		delete(c.prepared, m.Name)
 	} else {
--- a/internal/standin/cwdatabase/member.go
+++ b/internal/standin/cwdatabase/member.go
@@ -1,11 +1,16 @@
-// Package cwdatabase is a stand-in for one database of the users' groups.
+// Package cwdatabase emulates one PostgreSQL database of a replicated group, for
+// tests, demos and measurements. All data is in memory.
 //
-// It speaks PostgreSQL protocol 3 and runs real SQL on an embedded engine. Its
-// log has terms and positions; replicas copy the log of their primary
-// asynchronously, over the same protocol. It takes the orders that the
-// platform's groups take: adopt a term, promote, follow. Faults are set at run
-// time through Faults. It is an emulator for tests, demos and measurements, and
-// keeps everything in memory.
+// A Member serves PostgreSQL protocol 3 and runs SQL on an embedded SQLite
+// engine. The primary appends a record to its log for each committed write
+// transaction. Each record has a term and a position. Replicas copy the log of
+// the primary asynchronously over the same protocol and run the records on their
+// own data.
+//
+// A member takes the control commands of the platform's groups: group_adopt
+// fences it in a term, group_promote makes it the primary of that term, and
+// group_follow makes it a replica of a given primary. Faults are set at run time
+// with SetFaults.
 package cwdatabase
 
 import (
@@ -18,84 +23,93 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwgroup"
 )
 
-// Error is the class of the stand-in's own failures.
+// Error is the class of the package's own errors.
 var Error = errs.Class("database stand-in")
 
-// Config is what a member is started with.
+// Config configures a member.
 type Config struct {
+	// ID is the member's id in the catalogue.
 	ID cwgroup.MemberID
-	// Listen is the IP address and port to listen on; port 0 takes any.
+	// Listen is the IP address and port to listen on; port 0 picks a free port.
 	Listen string
-	// Connections is the most that are accepted, replication not counted.
+	// Connections is the maximum number of client connections. Replication
+	// connections are not counted.
 	Connections int
-	// Slots is the number of statements executed at once; others queue.
+	// Slots is the number of statements executed concurrently; further
+	// statements queue. Values below 1 count as 1.
 	Slots int
-	// ConnectDelay is how long a new connection takes.
+	// ConnectDelay is added to the startup of each client connection.
 	ConnectDelay time.Duration
-	// ChecksTerm is false for a member that obeys any order.
+	// ChecksTerm makes the member refuse control commands and replication
+	// requests of a term or claim other than its own. A member without it
+	// accepts any.
 	ChecksTerm bool
-	// Databases are the names that can be connected to; empty allows any.
+	// Databases lists the database names that clients can connect to; if it is
+	// empty, every name is accepted.
 	Databases []string
 	// Primary starts the member as the primary of term 1.
 	Primary bool
 	// Follow is the address of the primary of term 1, for a replica.
 	Follow string
-	// FollowID is that primary's id.
+	// FollowID is the id of the primary at Follow.
 	FollowID cwgroup.MemberID
 }
 
-// Faults are set at run time.
+// Faults are the faults that a member injects. The zero value injects none.
 type Faults struct {
-	// StreamLag delays records on their way to this replica.
+	// StreamLag delays the receipt of log records at this replica.
 	StreamLag time.Duration
-	// ApplyLag delays records between a replica's log and its data.
+	// ApplyLag delays the application of received log records to the data of
+	// this replica.
 	ApplyLag time.Duration
-	// ServiceTime is added to each statement, while it holds a slot.
+	// ServiceTime is added to each statement while it holds a slot.
 	ServiceTime time.Duration
-	// Frozen stops all answers, as a paused process would; connections are
-	// still accepted by the kernel.
+	// Frozen stops all answers, as in a paused process. Connections are still
+	// accepted by the kernel.
 	Frozen bool
-	// LoseCommits is the number of commits after which the connection is closed
-	// in place of the answer.
+	// LoseCommits is the number of commits that take effect but whose
+	// connection is closed instead of the answer being sent.
 	LoseCommits int
-	// DropBeforeCommit is the number of commits at which the connection is
-	// closed before the commit takes effect.
+	// DropBeforeCommit is the number of commits whose connection is closed
+	// before the commit takes effect.
 	DropBeforeCommit int
 	// NoReplication cuts this member off from its primary and its replicas.
 	NoReplication bool
 }
 
-// record is one entry of the log.
+// record is one entry of the log: a committed write transaction, or the start of
+// a term if it has no statements. It is sent to replicas as JSON.
 type record struct {
 	Term  cwgroup.Term
 	Stmts []statement
 }
 
-// Member is one database. Make one with Start.
+// Member is one database of a group. Start creates and serves one.
 type Member struct {
 	cfg    Config
 	engine *engine
 	server *server
 
-	// writer is held by the one open write transaction, and by whoever applies
-	// records. It is taken before mu, never after.
-	writer chan struct{}
+	// writeLock is a semaphore of one. It is held by the open write transaction
+	// and by whatever applies log records. It is acquired before mu, never while
+	// mu is held.
+	writeLock chan struct{}
 
-	mu      sync.Mutex
-	role    cwgroup.Role
-	adopted cwgroup.Term
-	claim   cwgroup.ClaimID
-	// log has the record of position i at log[i-1].
+	mu           sync.Mutex
+	role         cwgroup.Role
+	adoptedTerm  cwgroup.Term
+	adoptedClaim cwgroup.ClaimID
+	// log holds the record of position i at index i-1.
 	log []record
-	// applied is the position up to which engine has the records.
-	applied cwgroup.Position
-	follow  string
-	leader  cwgroup.MemberID
-	// heard is when this replica last heard from its primary.
-	heard  time.Time
-	open   int
-	faults Faults
-	// changed is closed and replaced at each change of anything above.
+	// applied is the position of the last record that the engine has run.
+	applied     cwgroup.Position
+	primaryAddr string
+	primaryID   cwgroup.MemberID
+	// lastHeard is when this replica last received a message from its primary.
+	lastHeard  time.Time
+	openWrites int
+	faults     Faults
+	// changed is closed and replaced by notify when a field above changes.
 	changed chan struct{}
 }
 
@@ -105,14 +119,14 @@
 		return nil, err
 	}
 	m := &Member{
-		cfg:     cfg,
-		engine:  e,
-		writer:  make(chan struct{}, 1),
-		adopted: 1,
-		heard:   time.Now(),
-		follow:  cfg.Follow,
-		leader:  cfg.FollowID,
-		changed: make(chan struct{}),
+		cfg:         cfg,
+		engine:      e,
+		writeLock:   make(chan struct{}, 1),
+		adoptedTerm: 1,
+		lastHeard:   time.Now(),
+		primaryAddr: cfg.Follow,
+		primaryID:   cfg.FollowID,
+		changed:     make(chan struct{}),
 	}
 	if cfg.Primary {
 		m.role = cwgroup.RolePrimary
@@ -122,12 +136,14 @@
 	return m, nil
 }
 
-// notify wakes those that wait for a change. The caller holds mu.
+// notify wakes all goroutines that wait on changed. The caller holds mu.
 func (m *Member) notify() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
+// markAt returns the mark of the record at position p; the zero mark for
+// position 0. The caller holds mu.
 func (m *Member) markAt(p cwgroup.Position) cwgroup.Mark {
 	if p == 0 {
 		return cwgroup.Mark{}
@@ -135,7 +151,7 @@
 	return cwgroup.Mark{Term: m.log[p-1].Term, Position: p}
 }
 
-// Status returns what the member reports about itself.
+// Status returns the member's role, term and log positions.
 func (m *Member) Status() cwgroup.Status {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -146,19 +162,19 @@
 	s := cwgroup.Status{
 		Member:     m.cfg.ID,
 		Role:       m.role,
-		Adopted:    m.adopted,
-		Claim:      m.claim,
+		Adopted:    m.adoptedTerm,
+		Claim:      m.adoptedClaim,
 		Last:       m.markAt(cwgroup.Position(len(m.log))),
 		Applied:    m.markAt(m.applied),
-		OpenWrites: m.open,
+		OpenWrites: m.openWrites,
 	}
 	if m.role != cwgroup.RolePrimary {
-		s.UpstreamAge = time.Since(m.heard)
+		s.UpstreamAge = time.Since(m.lastHeard)
 	}
 	return s
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the injected faults.
 func (m *Member) SetFaults(f Faults) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -166,141 +182,154 @@
 	m.notify()
 }
 
-// Faults returns the present faults.
+// Faults returns the injected faults. LoseCommits and DropBeforeCommit are the
+// numbers that remain.
 func (m *Member) Faults() Faults {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.faults
 }
 
-// StaleOrderError reports an order of a term that is over.
+// StaleOrderError reports a control command, or a replication request or stream,
+// whose term or claim is not the one that the member is in.
 type StaleOrderError struct {
+	// Order is the term of the command, and Adopted the member's term.
 	Order, Adopted cwgroup.Term
 }
 
 func (e *StaleOrderError) Error() string { return "the member has adopted another term or claim" }
 
-// obeys reports whether an order of the term and claim counts.
-func (m *Member) obeys(t cwgroup.Term, c cwgroup.ClaimID) bool {
+// acceptsOrder reports whether the member accepts a control command of the term
+// and claim: one of a later term, or of its own term if its claim is unset or
+// the same. Without Config.ChecksTerm it accepts every command.
+func (m *Member) acceptsOrder(t cwgroup.Term, c cwgroup.ClaimID) bool {
 	if !m.cfg.ChecksTerm {
 		return true
 	}
-	return t > m.adopted || t == m.adopted && (m.claim == c || m.claim == "")
+	return t > m.adoptedTerm || t == m.adoptedTerm && (m.adoptedClaim == c || m.adoptedClaim == "")
 }
 
-// adopt moves the member to a term; from then on it accepts nothing of an
-// earlier one.
-func (m *Member) adopt(t cwgroup.Term, c cwgroup.ClaimID) (cwgroup.Status, error) {
+// adoptTerm executes group_adopt: it moves the member to a term and claim and
+// fences it, so that it accepts no control command or log record of an earlier
+// term. It returns a *StaleOrderError if the member has adopted a later term, or
+// the same term under another claim or under none.
+func (m *Member) adoptTerm(t cwgroup.Term, c cwgroup.ClaimID) (cwgroup.Status, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.obeys(t, c) || m.cfg.ChecksTerm && t == m.adopted && m.claim == "" {
-		return m.statusLocked(), &StaleOrderError{Order: t, Adopted: m.adopted}
+	if !m.acceptsOrder(t, c) || m.cfg.ChecksTerm && t == m.adoptedTerm && m.adoptedClaim == "" {
+		return m.statusLocked(), &StaleOrderError{Order: t, Adopted: m.adoptedTerm}
 	}
-	if t != m.adopted || c != m.claim {
-		m.adopted, m.claim = t, c
+	if t != m.adoptedTerm || c != m.adoptedClaim {
+		m.adoptedTerm, m.adoptedClaim = t, c
 		m.setRole(cwgroup.RoleFenced)
-		m.follow, m.leader = "", ""
+		m.primaryAddr, m.primaryID = "", ""
 	}
 	m.notify()
 	return m.statusLocked(), nil
 }
 
-// promote makes the member the primary of a term that it adopted. Whatever its
-// log holds is applied first, and a start-of-term record follows.
+// promote executes group_promote: it makes the member the primary of a term that
+// it has adopted. All records in its log are applied first, and a start-of-term
+// record is appended.
 func (m *Member) promote(ctx context.Context, t cwgroup.Term, c cwgroup.ClaimID) (cwgroup.Status, error) {
-	if err := m.lockWriter(ctx); err != nil {
+	if err := m.acquireWriteLock(ctx); err != nil {
 		return m.Status(), err
 	}
-	defer func() { <-m.writer }()
+	defer func() { <-m.writeLock }()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.cfg.ChecksTerm && (t != m.adopted || c != m.claim) {
-		return m.statusLocked(), &StaleOrderError{Order: t, Adopted: m.adopted}
+	if m.cfg.ChecksTerm && (t != m.adoptedTerm || c != m.adoptedClaim) {
+		return m.statusLocked(), &StaleOrderError{Order: t, Adopted: m.adoptedTerm}
 	}
-	if m.role == cwgroup.RolePrimary && m.adopted == t {
+	if m.role == cwgroup.RolePrimary && m.adoptedTerm == t {
 		return m.statusLocked(), nil
 	}
 	for int(m.applied) < len(m.log) {
-		if err := m.engine.replicate(ctx, m.log[m.applied].Stmts); err != nil {
+		if err := m.engine.applyRecord(ctx, m.log[m.applied].Stmts); err != nil {
 			return m.statusLocked(), err
 		}
 		m.applied++
 	}
-	m.adopted, m.claim = t, c
+	m.adoptedTerm, m.adoptedClaim = t, c
 	m.role = cwgroup.RolePrimary
-	m.follow, m.leader = "", ""
+	m.primaryAddr, m.primaryID = "", ""
 	m.log = append(m.log, record{Term: t})
 	m.applied++
 	m.notify()
 	return m.statusLocked(), nil
 }
 
-// followOrder makes the member copy the primary at an address.
-func (m *Member) followOrder(t cwgroup.Term, c cwgroup.ClaimID, id cwgroup.MemberID, addr string) (cwgroup.Status, error) {
+// followPrimary executes group_follow: it makes the member a replica of the
+// primary with the id and address. It returns a *StaleOrderError if the term or
+// claim is stale, or if the member itself is the primary of the term.
+func (m *Member) followPrimary(t cwgroup.Term, c cwgroup.ClaimID, id cwgroup.MemberID, addr string) (cwgroup.Status, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.obeys(t, c) {
-		return m.statusLocked(), &StaleOrderError{Order: t, Adopted: m.adopted}
+	if !m.acceptsOrder(t, c) {
+		return m.statusLocked(), &StaleOrderError{Order: t, Adopted: m.adoptedTerm}
 	}
-	if m.role == cwgroup.RolePrimary && m.adopted == t && m.cfg.ChecksTerm {
-		return m.statusLocked(), &StaleOrderError{Order: t, Adopted: m.adopted}
+	if m.role == cwgroup.RolePrimary && m.adoptedTerm == t && m.cfg.ChecksTerm {
+		return m.statusLocked(), &StaleOrderError{Order: t, Adopted: m.adoptedTerm}
 	}
-	m.adopted, m.claim = t, c
+	m.adoptedTerm, m.adoptedClaim = t, c
 	m.setRole(cwgroup.RoleReplica)
-	m.follow, m.leader = addr, id
+	m.primaryAddr, m.primaryID = addr, id
 	m.notify()
 	return m.statusLocked(), nil
 }
 
-// setRole changes the role. A member that stops leading ends its sessions'
-// open write transactions, as a database that is demoted does.
+// setRole changes the role. A primary that is demoted terminates the sessions
+// that have a write transaction open. The caller holds mu.
 func (m *Member) setRole(r cwgroup.Role) {
 	if m.role == cwgroup.RolePrimary && r != cwgroup.RolePrimary && m.server != nil {
-		go m.server.endWriters()
+		go m.server.terminateWriters()
 	}
 	m.role = r
 }
 
-func (m *Member) lockWriter(ctx context.Context) error {
+// acquireWriteLock waits for writeLock until ctx ends.
+func (m *Member) acquireWriteLock(ctx context.Context) error {
 	select {
-	case m.writer <- struct{}{}:
+	case m.writeLock <- struct{}{}:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// NotPrimaryError reports a write at a member that does not lead.
+// NotPrimaryError reports a write at a member that is not the primary, or no
+// longer the primary of the term in which the transaction began.
 type NotPrimaryError struct{ Role cwgroup.Role }
 
 func (e *NotPrimaryError) Error() string { return "cannot write at a " + e.Role.String() }
 
-// begin opens a write transaction. It returns the term in which the
-// transaction may commit.
+// begin opens a write transaction and returns the current term. The transaction
+// can commit only in that term. It holds writeLock until commit or rollback.
 func (m *Member) begin(ctx context.Context) (cwgroup.Term, error) {
 	if err := m.checkPrimary(); err != nil {
 		return 0, err
 	}
-	if err := m.lockWriter(ctx); err != nil {
+	if err := m.acquireWriteLock(ctx); err != nil {
 		return 0, err
 	}
 	m.mu.Lock()
-	term, role := m.adopted, m.role
+	term, role := m.adoptedTerm, m.role
 	if role == cwgroup.RolePrimary {
-		m.open++
+		m.openWrites++
 	}
 	m.mu.Unlock()
 	if role != cwgroup.RolePrimary {
-		<-m.writer
+		<-m.writeLock
 		return 0, &NotPrimaryError{Role: role}
 	}
-	if _, err := m.engine.write.ExecContext(context.WithoutCancel(ctx), "BEGIN"); err != nil {
-		m.end()
+	if _, err := m.engine.writeConn.ExecContext(context.WithoutCancel(ctx), "BEGIN"); err != nil {
+		m.releaseWrite()
 		return 0, Error.Wrap(err)
 	}
 	return term, nil
 }
 
+// checkPrimary returns a *NotPrimaryError if the member is not the primary.
 func (m *Member) checkPrimary() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -310,40 +339,44 @@
 	return nil
 }
 
-func (m *Member) end() {
+// releaseWrite counts a write transaction as closed and releases writeLock.
+func (m *Member) releaseWrite() {
 	m.mu.Lock()
-	m.open--
+	m.openWrites--
 	m.mu.Unlock()
-	<-m.writer
+	<-m.writeLock
 }
 
-// rollback ends the open transaction without effect.
+// rollback rolls back the open write transaction.
 func (m *Member) rollback() {
-	_, _ = m.engine.write.ExecContext(context.Background(), "ROLLBACK")
-	m.end()
+	_, _ = m.engine.writeConn.ExecContext(context.Background(), "ROLLBACK")
+	m.releaseWrite()
 }
 
-// commit ends the open transaction and appends its record.
+// commit commits the open write transaction and appends a record of stmts to the
+// log. It returns the mark of that record, or of the end of the log if stmts is
+// empty. It returns a *NotPrimaryError, and rolls back, if the member is no
+// longer the primary of the term.
 func (m *Member) commit(term cwgroup.Term, stmts []statement) (cwgroup.Mark, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	defer func() {
-		m.open--
-		<-m.writer
+		m.openWrites--
+		<-m.writeLock
 	}()
 	ctx := context.Background()
-	if m.role != cwgroup.RolePrimary || m.adopted != term {
-		_, _ = m.engine.write.ExecContext(ctx, "ROLLBACK")
+	if m.role != cwgroup.RolePrimary || m.adoptedTerm != term {
+		_, _ = m.engine.writeConn.ExecContext(ctx, "ROLLBACK")
 		return cwgroup.Mark{}, &NotPrimaryError{Role: m.role}
 	}
-	if _, err := m.engine.write.ExecContext(ctx, "COMMIT"); err != nil {
-		_, _ = m.engine.write.ExecContext(ctx, "ROLLBACK")
+	if _, err := m.engine.writeConn.ExecContext(ctx, "COMMIT"); err != nil {
+		_, _ = m.engine.writeConn.ExecContext(ctx, "ROLLBACK")
 		return cwgroup.Mark{}, Error.Wrap(err)
 	}
 	if len(stmts) == 0 {
 		return m.markAt(cwgroup.Position(len(m.log))), nil
 	}
-	if err := m.engine.apply(ctx, stmts); err != nil {
+	if err := m.engine.applyCommitted(ctx, stmts); err != nil {
 		return cwgroup.Mark{}, err
 	}
 	m.log = append(m.log, record{Term: term, Stmts: stmts})
@@ -352,22 +385,22 @@
 	return m.markAt(m.applied), nil
 }
 
-// rebuild makes the data anew from the log, after a tail was cut. The caller
-// holds mu and the writer.
+// rebuild recreates the data from the log after the log was truncated. The
+// caller holds mu and writeLock.
 func (m *Member) rebuild(ctx context.Context) error {
 	e, err := newEngine()
 	if err != nil {
 		return err
 	}
 	for _, r := range m.log {
-		if err := e.replicate(ctx, r.Stmts); err != nil {
+		if err := e.applyRecord(ctx, r.Stmts); err != nil {
 			return err
 		}
 	}
 	old := m.engine
 	old.readMu.Lock()
-	oldCommitted, oldWorking, oldWrite := old.committed, old.working, old.write
-	old.committed, old.working, old.write = e.committed, e.working, e.write
+	oldCommitted, oldWorking, oldWrite := old.committed, old.working, old.writeConn
+	old.committed, old.working, old.writeConn = e.committed, e.working, e.writeConn
 	old.readMu.Unlock()
 	_ = oldWrite.Close()
 	_ = oldWorking.Close()
@@ -376,7 +409,7 @@
 	return nil
 }
 
-// sleep waits, or returns early if ctx ends.
+// sleep waits for d or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
--- a/internal/standin/cwdatabase/member_test.go
+++ b/internal/standin/cwdatabase/member_test.go
@@ -34,24 +34,24 @@
 	return conn
 }
 
-func waitFor(c *qt.C, what string, ok func() bool) {
+func waitFor(c *qt.C, description string, condition func() bool) {
 	for range 500 {
-		if ok() {
+		if condition() {
 			return
 		}
 		<-time.After(5 * time.Millisecond)
 	}
-	c.Fatalf("%s did not happen", what)
+	c.Fatalf("%s did not happen", description)
 }
 
-func assertState(c *qt.C, err error, code string) {
+func assertSQLState(c *qt.C, err error, code string) {
 	c.Helper()
 	var pe *pgconn.PgError
 	c.Assert(err, qt.ErrorAs, &pe)
 	c.Assert(pe.Code, qt.Equals, code)
 }
 
-func TestDriver(t *testing.T) {
+func TestPgxDriver(t *testing.T) {
 	ctx := context.Background()
 	c := qt.New(t)
 	primary, replica := startPair(c)
@@ -72,18 +72,18 @@
 	c.Assert(id, qt.Equals, int64(8))
 
 	_, err = conn.Exec(ctx, "INSERT INTO round VALUES (8, 'x', false, NULL)")
-	assertState(c, err, "23505")
+	assertSQLState(c, err, "23505")
 	_, err = conn.Exec(ctx, "SELECT * FROM absent")
-	assertState(c, err, "42P01")
+	assertSQLState(c, err, "42P01")
 	_, err = conn.Exec(ctx, "SELEC 1")
-	assertState(c, err, "42601")
+	assertSQLState(c, err, "42601")
 
 	waitFor(c, "replication", func() bool { return replica.Status().Applied == primary.Status().Last })
 	rc := dial(c, replica)
 	c.Assert(rc.QueryRow(ctx, "SELECT count(*) FROM round").Scan(&n), qt.IsNil)
 	c.Assert(n, qt.Equals, int64(2))
 	_, err = rc.Exec(ctx, "DELETE FROM round")
-	assertState(c, err, "25006")
+	assertSQLState(c, err, "25006")
 }
 
 func TestTransaction(t *testing.T) {
@@ -101,17 +101,18 @@
 	c.Assert(other.QueryRow(ctx, "SELECT count(*) FROM round").Scan(&n), qt.IsNil)
 	c.Assert(n, qt.Equals, int64(0))
 	_, err = tx.Exec(ctx, "INSERT INTO round VALUES (1)")
-	assertState(c, err, "23505")
+	assertSQLState(c, err, "23505")
 	_, err = tx.Exec(ctx, "SELECT 1")
-	assertState(c, err, "25P02")
+	assertSQLState(c, err, "25P02")
 	c.Assert(tx.Rollback(ctx), qt.IsNil)
 	c.Assert(other.QueryRow(ctx, "SELECT count(*) FROM round").Scan(&n), qt.IsNil)
 	c.Assert(n, qt.Equals, int64(0))
 }
 
-// A user sees a record that nobody acknowledged, and then sees it vanish: the
-// primary was cut off with a record that no replica has, a replica was promoted,
-// and the old primary came back. Its tail must be cut before it follows.
+// Guards against a replaced primary that rejoins the group and keeps records that
+// no replica has: its clients would read a record that was never acknowledged,
+// and later see it disappear. Such a record remains when a replica is promoted
+// before it has received the end of the old primary's log.
 func TestOldPrimaryCutsItsTail(t *testing.T) {
 	ctx := context.Background()
 	c := qt.New(t)
@@ -124,13 +125,13 @@
 	_, err = conn.Exec(ctx, "INSERT INTO round VALUES (1)")
 	c.Assert(err, qt.IsNil)
 
-	_, err = replica.adopt(2, "x")
+	_, err = replica.adoptTerm(2, "x")
 	c.Assert(err, qt.IsNil)
 	_, err = replica.promote(ctx, 2, "x")
 	c.Assert(err, qt.IsNil)
-	_, err = primary.followOrder(2, "x", "b", replica.Addr())
+	_, err = primary.followPrimary(2, "x", "b", replica.Addr())
 	c.Assert(err, qt.IsNil)
-	waitFor(c, "the tail being cut", func() bool { return primary.Status().Applied == replica.Status().Last })
+	waitFor(c, "truncation of the old primary's log", func() bool { return primary.Status().Applied == replica.Status().Last })
 	var n int64
 	c.Assert(dial(c, primary).QueryRow(ctx, "SELECT count(*) FROM round").Scan(&n), qt.IsNil)
 	c.Assert(n, qt.Equals, int64(0))
@@ -150,8 +151,8 @@
 	}{
 		{"empty replica", log(1, 1), log(), 0},
 		{"behind", log(1, 1, 1), log(1, 1), 2},
-		{"tail of an old term", log(1, 1, 2), log(1, 1, 1, 1), 2},
-		{"dead branch in between", log(1, 3, 3), log(1, 2, 2), 1},
+		{"unreplicated records of an old term", log(1, 1, 2), log(1, 1, 1, 1), 2},
+		{"abandoned branch in between", log(1, 3, 3), log(1, 2, 2), 1},
 		{"equal", log(1, 2), log(1, 2), 2},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/standin/cwdatabase/notify.go
+++ b/internal/standin/cwdatabase/notify.go
@@ -8,27 +8,28 @@
 	"cicadawalk.example/cicadawalk/internal/wire/cwtarget"
 )
 
-// loopNotify tells the connection where the log ends, at each change and as a
-// heartbeat.
-func (c *session) loopNotify() {
+// notifyPosition executes LISTEN: it sends the member's status as a notification
+// on cwtarget.PositionChannel at each change, and at least every notifyInterval,
+// until the connection fails.
+func (c *session) notifyPosition() {
 	m := c.member
 	for {
 		m.mu.Lock()
 		changed := m.changed
-		rep := m.reportLocked()
+		report := m.reportLocked()
 		m.mu.Unlock()
 		c.sendMu.Lock()
 		c.backend.Send(&pgproto3.NotificationResponse{
 			PID:     c.pid,
 			Channel: cwtarget.PositionChannel,
-			Payload: cwtarget.FormatStatus(rep),
+			Payload: cwtarget.FormatStatus(report),
 		})
 		err := c.backend.Flush()
 		c.sendMu.Unlock()
 		if err != nil {
 			return
 		}
-		waitHeartbeat(changed)
-		m.thaw(context.Background())
+		waitForChange(changed)
+		m.waitWhileFrozen(context.Background())
 	}
 }
--- a/internal/standin/cwdatabase/replicate.go
+++ b/internal/standin/cwdatabase/replicate.go
@@ -12,14 +12,17 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwgroup"
 )
 
-// keepalive is how often a primary sends to a replica that is up to date.
-const keepalive = 100 * time.Millisecond
+// keepaliveInterval is the interval at which a primary sends an empty message to
+// a replica that has all records. A replica that receives nothing for ten
+// intervals reconnects.
+const keepaliveInterval = 100 * time.Millisecond
 
-// startReplication is the word that begins a replica's request.
-const startReplication = "START_REPLICATION "
+// replicationCommand is the prefix of a replica's request. A streamRequest
+// encoded as JSON follows it.
+const replicationCommand = "START_REPLICATION "
 
-// streamRequest is what a replica tells its primary: its term and claim, and
-// where each term of its log begins.
+// streamRequest asks a primary for its log. It has the replica's term and claim,
+// the end of the replica's log, and the first position of each term in it.
 type streamRequest struct {
 	Member  cwgroup.MemberID
 	Adopted cwgroup.Term
@@ -28,18 +31,22 @@
 	Epochs  []epoch
 }
 
-// epoch is the run of records of one term.
+// epoch is a sequence of consecutive records of one term. It ends before the
+// next epoch of the log, or at the end of the log.
 type epoch struct {
 	Term  cwgroup.Term
 	First cwgroup.Position
 }
 
-// streamPart is what a primary sends. The first part has TruncateTo set.
-type streamPart struct {
+// streamMessage is a message from a primary to a replica, sent as JSON. Only the
+// first one has TruncateTo set: the replica removes the records after that
+// position before it appends any.
+type streamMessage struct {
 	TruncateTo *cwgroup.Position
 	Records    []record
 }
 
+// epochsOf returns the epochs of a log in order.
 func epochsOf(log []record) []epoch {
 	var out []epoch
 	for i, r := range log {
@@ -50,9 +57,10 @@
 	return out
 }
 
-// commonPrefix returns how much of a replica's log is in the primary's: the
-// longest prefix whose terms agree. Two logs that have the same term at a
-// position are the same up to there, since one primary wrote each term.
+// commonPrefix returns the length of the common prefix of a primary's log and a
+// replica's: the last position at which both have a record of the same term. Two
+// logs with the same term at a position are equal up to that position, because
+// all records of a term were written by one primary.
 func commonPrefix(log []record, req streamRequest) cwgroup.Position {
 	end := req.Last
 	for i := len(req.Epochs) - 1; i >= 0; i-- {
@@ -68,52 +76,54 @@
 	return 0
 }
 
-// serveReplica streams the log to a replica until the connection or the term
-// ends.
-func (c *session) serveReplica(ctx context.Context, req streamRequest) error {
+// streamLog sends the log to a replica, starting after the common prefix, until
+// the connection or the term ends. It refuses the request with an error if
+// replication is disabled by a fault, if the member is not the primary, or if it
+// checks terms and the replica has adopted another one.
+func (c *session) streamLog(ctx context.Context, req streamRequest) error {
 	m := c.member
 	m.mu.Lock()
 	if m.faults.NoReplication {
 		m.mu.Unlock()
 		return Error.New("cut off from replication")
 	}
-	if m.role != cwgroup.RolePrimary || m.adopted != req.Adopted && m.cfg.ChecksTerm {
-		adopted := m.adopted
+	if m.role != cwgroup.RolePrimary || m.adoptedTerm != req.Adopted && m.cfg.ChecksTerm {
+		adopted := m.adoptedTerm
 		m.mu.Unlock()
 		return &StaleOrderError{Order: req.Adopted, Adopted: adopted}
 	}
-	term := m.adopted
+	term := m.adoptedTerm
 	next := commonPrefix(m.log, req)
 	m.mu.Unlock()
-	if err := c.sendPart(streamPart{TruncateTo: &next}); err != nil {
+	if err := c.sendStreamMessage(streamMessage{TruncateTo: &next}); err != nil {
 		return err
 	}
 	for {
 		m.mu.Lock()
-		changed, frozen := m.changed, m.faults.Frozen || m.faults.NoReplication
-		over := m.role != cwgroup.RolePrimary || m.adopted != term
+		changed, paused := m.changed, m.faults.Frozen || m.faults.NoReplication
+		termEnded := m.role != cwgroup.RolePrimary || m.adoptedTerm != term
 		records := m.log[next:len(m.log):len(m.log)]
 		m.mu.Unlock()
-		if over {
+		if termEnded {
 			return nil
 		}
-		if !frozen {
-			if err := c.sendPart(streamPart{Records: records}); err != nil {
+		if !paused {
+			if err := c.sendStreamMessage(streamMessage{Records: records}); err != nil {
 				return err
 			}
 			next += cwgroup.Position(len(records))
 		}
 		select {
 		case <-changed:
-		case <-time.After(keepalive):
+		case <-time.After(keepaliveInterval):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-func (c *session) sendPart(p streamPart) error {
-	body, err := json.Marshal(p)
+func (c *session) sendStreamMessage(message streamMessage) error {
+	body, err := json.Marshal(message)
 	if err != nil {
 		return Error.Wrap(err)
 	}
@@ -121,11 +131,12 @@
 	return c.backend.Flush()
 }
 
-// loopFollow copies the log of whatever primary the member was told to follow.
-func (m *Member) loopFollow(ctx context.Context) error {
+// runReplication copies the log of the primary that the member follows, while it
+// is a replica. After an error it reconnects.
+func (m *Member) runReplication(ctx context.Context) error {
 	for ctx.Err() == nil {
 		m.mu.Lock()
-		addr, role, changed := m.follow, m.role, m.changed
+		addr, role, changed := m.primaryAddr, m.role, m.changed
 		idle := role != cwgroup.RoleReplica || addr == "" || m.faults.NoReplication
 		m.mu.Unlock()
 		if idle {
@@ -135,14 +146,15 @@
 			}
 			continue
 		}
-		_ = m.followOnce(ctx, addr)
+		_ = m.streamFrom(ctx, addr)
 		sleep(ctx, 20*time.Millisecond)
 	}
 	return nil
 }
 
-// followOnce copies from one connection until it breaks or the order changes.
-func (m *Member) followOnce(ctx context.Context, addr string) error {
+// streamFrom copies the log from the primary at addr over one connection, until
+// that fails or the member is no longer a replica of addr in the same term.
+func (m *Member) streamFrom(ctx context.Context, addr string) error {
 	d := net.Dialer{Timeout: time.Second}
 	conn, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -151,13 +163,13 @@
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
-	front := pgproto3.NewFrontend(conn, conn)
+	frontend := pgproto3.NewFrontend(conn, conn)
 	m.mu.Lock()
-	term := m.adopted
+	term := m.adoptedTerm
 	req := streamRequest{
 		Member:  m.cfg.ID,
-		Adopted: m.adopted,
-		Claim:   m.claim,
+		Adopted: m.adoptedTerm,
+		Claim:   m.adoptedClaim,
 		Last:    cwgroup.Position(len(m.log)),
 		Epochs:  epochsOf(m.log),
 	}
@@ -166,23 +178,24 @@
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	front.Send(&pgproto3.StartupMessage{
+	frontend.Send(&pgproto3.StartupMessage{
 		ProtocolVersion: pgproto3.ProtocolVersion30,
 		Parameters:      map[string]string{"user": "replication", "database": "replication", "replication": "true"},
 	})
-	front.Send(&pgproto3.Query{String: startReplication + string(body)})
-	if err := front.Flush(); err != nil {
+	frontend.Send(&pgproto3.Query{String: replicationCommand + string(body)})
+	if err := frontend.Flush(); err != nil {
 		return Error.Wrap(err)
 	}
-	return m.receive(ctx, conn, front, term, addr)
+	return m.receiveStream(ctx, conn, frontend, term, addr)
 }
 
-func (m *Member) receive(ctx context.Context, conn net.Conn, front *pgproto3.Frontend, term cwgroup.Term, addr string) error {
+// receiveStream reads the primary's messages and applies them until an error.
+func (m *Member) receiveStream(ctx context.Context, conn net.Conn, frontend *pgproto3.Frontend, term cwgroup.Term, addr string) error {
 	for {
-		if err := conn.SetReadDeadline(time.Now().Add(10 * keepalive)); err != nil {
+		if err := conn.SetReadDeadline(time.Now().Add(10 * keepaliveInterval)); err != nil {
 			return Error.Wrap(err)
 		}
-		msg, err := front.Receive()
+		msg, err := frontend.Receive()
 		if err != nil {
 			return Error.Wrap(err)
 		}
@@ -193,55 +206,57 @@
 			}
 			continue
 		}
-		var part streamPart
-		if err := json.Unmarshal(data.Data, &part); err != nil {
+		var message streamMessage
+		if err := json.Unmarshal(data.Data, &message); err != nil {
 			return Error.Wrap(err)
 		}
-		if f := m.Faults(); len(part.Records) > 0 {
+		if f := m.Faults(); len(message.Records) > 0 {
 			sleep(ctx, f.StreamLag)
 		}
-		if err := m.takePart(ctx, part, term, addr); err != nil {
+		if err := m.applyMessage(ctx, message, term, addr); err != nil {
 			return err
 		}
 	}
 }
 
-// takePart stores what came from the primary, unless the member was told
-// something else in the meantime.
-func (m *Member) takePart(ctx context.Context, part streamPart, term cwgroup.Term, addr string) error {
-	if err := m.lockWriter(ctx); err != nil {
+// applyMessage truncates the log, appends the records of a message and applies
+// them to the data, at once or after Faults.ApplyLag. It returns a
+// *StaleOrderError if the member has since changed its term, role or primary.
+func (m *Member) applyMessage(ctx context.Context, message streamMessage, term cwgroup.Term, addr string) error {
+	if err := m.acquireWriteLock(ctx); err != nil {
 		return err
 	}
-	defer func() { <-m.writer }()
+	defer func() { <-m.writeLock }()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.adopted != term || m.role != cwgroup.RoleReplica || m.follow != addr {
-		return &StaleOrderError{Order: term, Adopted: m.adopted}
+	if m.adoptedTerm != term || m.role != cwgroup.RoleReplica || m.primaryAddr != addr {
+		return &StaleOrderError{Order: term, Adopted: m.adoptedTerm}
 	}
-	m.heard = time.Now()
-	if part.TruncateTo != nil && int(*part.TruncateTo) < len(m.log) {
-		if err := m.cutTail(ctx, *part.TruncateTo); err != nil {
+	m.lastHeard = time.Now()
+	if message.TruncateTo != nil && int(*message.TruncateTo) < len(m.log) {
+		if err := m.truncateLog(ctx, *message.TruncateTo); err != nil {
 			return err
 		}
 	}
-	if len(part.Records) == 0 {
+	if len(message.Records) == 0 {
 		return nil
 	}
-	m.log = append(m.log, part.Records...)
+	m.log = append(m.log, message.Records...)
 	if m.faults.ApplyLag == 0 {
 		if err := m.applyAll(ctx); err != nil {
 			return err
 		}
 	} else {
 		upTo := cwgroup.Position(len(m.log))
-		time.AfterFunc(m.faults.ApplyLag, func() { m.applyLater(ctx, term, upTo) })
+		time.AfterFunc(m.faults.ApplyLag, func() { m.applyDelayed(ctx, term, upTo) })
 	}
 	m.notify()
 	return nil
 }
 
-// cutTail drops the records after p. The data is made anew if it had them.
-func (m *Member) cutTail(ctx context.Context, p cwgroup.Position) error {
+// truncateLog removes the records after position p. It rebuilds the data if any
+// of them had been applied. The caller holds mu and writeLock.
+func (m *Member) truncateLog(ctx context.Context, p cwgroup.Position) error {
 	m.log = m.log[:p:p]
 	if m.applied <= p {
 		return nil
@@ -249,9 +264,11 @@
 	return m.rebuild(ctx)
 }
 
+// applyAll applies all records of the log that are not yet in the data. The
+// caller holds mu and writeLock.
 func (m *Member) applyAll(ctx context.Context) error {
 	for int(m.applied) < len(m.log) {
-		if err := m.engine.replicate(ctx, m.log[m.applied].Stmts); err != nil {
+		if err := m.engine.applyRecord(ctx, m.log[m.applied].Stmts); err != nil {
 			return err
 		}
 		m.applied++
@@ -259,18 +276,20 @@
 	return nil
 }
 
-func (m *Member) applyLater(ctx context.Context, term cwgroup.Term, upTo cwgroup.Position) {
-	if m.lockWriter(ctx) != nil {
+// applyDelayed applies the records up to a position, unless the member has since
+// changed its term or role.
+func (m *Member) applyDelayed(ctx context.Context, term cwgroup.Term, upTo cwgroup.Position) {
+	if m.acquireWriteLock(ctx) != nil {
 		return
 	}
-	defer func() { <-m.writer }()
+	defer func() { <-m.writeLock }()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.adopted != term || m.role != cwgroup.RoleReplica {
+	if m.adoptedTerm != term || m.role != cwgroup.RoleReplica {
 		return
 	}
 	for m.applied < min(upTo, cwgroup.Position(len(m.log))) {
-		if m.engine.replicate(ctx, m.log[m.applied].Stmts) != nil {
+		if m.engine.applyRecord(ctx, m.log[m.applied].Stmts) != nil {
 			return
 		}
 		m.applied++
@@ -278,8 +297,8 @@
 	m.notify()
 }
 
-// runReplication serves a replica.
-func (c *session) runReplication(ctx context.Context) {
+// serveReplication reads a replica's request and streams the log to it.
+func (c *session) serveReplication(ctx context.Context) {
 	msg, err := c.backend.Receive()
 	if err != nil {
 		return
@@ -288,13 +307,13 @@
 	if !ok {
 		return
 	}
-	body, ok := strings.CutPrefix(q.String, startReplication)
+	body, ok := strings.CutPrefix(q.String, replicationCommand)
 	var req streamRequest
 	if !ok || json.Unmarshal([]byte(body), &req) != nil {
 		c.fatal("08P01", "replication request expected")
 		return
 	}
-	if err := c.serveReplica(ctx, req); err != nil {
+	if err := c.streamLog(ctx, req); err != nil {
 		c.fatal("55000", err.Error())
 	}
 }
--- a/internal/standin/cwdatabase/result.go
+++ b/internal/standin/cwdatabase/result.go
@@ -15,7 +15,7 @@
 	pgquery "github.com/pganalyze/pg_query_go/v6"
 )
 
-// Object ids of types, from the manual's pg_type.
+// Object ids of PostgreSQL types, as in the catalog pg_type.
 const (
 	oidBool    = pgtype.BoolOID
 	oidBytes   = pgtype.ByteaOID
@@ -25,17 +25,19 @@
 	oidNumeric = pgtype.NumericOID
 )
 
+// column is the name and type of a result column.
 type column struct {
 	name string
 	oid  uint32
 }
 
-// result is the whole answer to one statement.
+// result is the complete result of one statement.
 type result struct {
 	// columns is nil for a statement that returns no rows.
 	columns []column
 	rows    [][]any
-	tag     string
+	// tag is the command tag, such as INSERT 0 1.
+	tag string
 }
 
 func (r *result) rowDescription(formats []int16) *pgproto3.RowDescription {
@@ -52,6 +54,8 @@
 	return d
 }
 
+// formatOf returns the format code of the column or parameter at index i, by the
+// rules of the Bind message: no codes mean text for all, one code applies to all.
 func formatOf(formats []int16, i int) int16 {
 	switch {
 	case len(formats) == 0:
@@ -64,13 +68,13 @@
 	return 0
 }
 
-// types encodes values; a map is not safe for concurrent use, so each caller
-// takes one from the pool.
-var types = sync.Pool{New: func() any { return pgtype.NewMap() }}
+// typeMaps pools the type maps that encode and decode values. A map is not safe
+// for concurrent use, so each caller takes one of its own.
+var typeMaps = sync.Pool{New: func() any { return pgtype.NewMap() }}
 
 func (r *result) dataRow(row []any, formats []int16) (*pgproto3.DataRow, error) {
-	m := types.Get().(*pgtype.Map)
-	defer types.Put(m)
+	m := typeMaps.Get().(*pgtype.Map)
+	defer typeMaps.Put(m)
 	out := &pgproto3.DataRow{Values: make([][]byte, len(row))}
 	for i, v := range row {
 		if v == nil {
@@ -85,6 +89,8 @@
 	return out, nil
 }
 
+// encode returns a value of SQLite in the wire format of a PostgreSQL type. Text
+// is converted where the column has another type.
 func encode(m *pgtype.Map, oid uint32, format int16, v any) ([]byte, error) {
 	s, isText := v.(string)
 	if isText && (format == 0 || oid == oidText) {
@@ -101,7 +107,7 @@
 		v = n
 	}
 	if isText && oid == oidBytes {
-		v = bytesOf(s)
+		v = decodeBytea(s)
 	}
 	if oid == oidText {
 		v = fmt.Sprint(v)
@@ -116,8 +122,9 @@
 	return b, nil
 }
 
-// bytesOf reads the hexadecimal form of bytes, or takes the text as it is.
-func bytesOf(s string) []byte {
+// decodeBytea decodes the hexadecimal form of a bytea, such as \x0102. Any other
+// text is taken as the bytes themselves.
+func decodeBytea(s string) []byte {
 	digits, ok := strings.CutPrefix(s, `\x`)
 	if b, err := hex.DecodeString(digits); ok && err == nil {
 		return b
@@ -125,15 +132,16 @@
 	return []byte(s)
 }
 
-// query1 runs one statement and reads its whole answer.
-func query1(ctx context.Context, q querier, text string, st statement) (*result, error) {
+// queryAll runs one statement and reads all of its rows. The text is the
+// statement in PostgreSQL's syntax, st the same for SQLite.
+func queryAll(ctx context.Context, q querier, text string, st statement) (*result, error) {
 	rows, err := q.QueryContext(ctx, st.SQL, st.values()...)
 	if err != nil {
 		return nil, err
 	}
 	defer rows.Close()
 	res := &result{}
-	if res.columns, err = columnsOf(rows, text); err != nil {
+	if res.columns, err = resultColumns(rows, text); err != nil {
 		return nil, err
 	}
 	for rows.Next() {
@@ -150,16 +158,17 @@
 	if err := rows.Err(); err != nil {
 		return nil, err
 	}
-	res.tag, err = tagOf(ctx, q, text, len(res.rows))
+	res.tag, err = commandTag(ctx, q, text, len(res.rows))
 	return res, err
 }
 
-// tagOf makes the command tag, as in INSERT 0 1.
-func tagOf(ctx context.Context, q querier, text string, rows int) (string, error) {
+// commandTag returns the command tag of a statement that has just run, such as
+// INSERT 0 1.
+func commandTag(ctx context.Context, q querier, text string, rows int) (string, error) {
 	word := firstWord(text)
 	switch word {
 	case "INSERT", "UPDATE", "DELETE":
-		n, err := changes(ctx, q)
+		n, err := changedRows(ctx, q)
 		if err != nil {
 			return "", err
 		}
@@ -183,7 +192,8 @@
 	return strings.ToUpper(fields[0])
 }
 
-func changes(ctx context.Context, q querier) (int64, error) {
+// changedRows returns the number of rows that the last statement changed.
+func changedRows(ctx context.Context, q querier) (int64, error) {
 	rows, err := q.QueryContext(ctx, "SELECT changes()")
 	if err != nil {
 		return 0, Error.Wrap(err)
@@ -198,7 +208,9 @@
 	return n, Error.Wrap(rows.Err())
 }
 
-func columnsOf(rows *sql.Rows, text string) ([]column, error) {
+// resultColumns returns the names and types of the columns. Where SQLite has no
+// declared type for a column, both follow from the expression in the text.
+func resultColumns(rows *sql.Rows, text string) ([]column, error) {
 	cts, err := rows.ColumnTypes()
 	if err != nil {
 		return nil, Error.Wrap(err)
@@ -209,21 +221,22 @@
 	targets := targetList(text)
 	out := make([]column, len(cts))
 	for i, ct := range cts {
-		out[i] = column{name: ct.Name(), oid: oidOfDecl(ct.DatabaseTypeName())}
+		out[i] = column{name: ct.Name(), oid: oidOfTypeName(ct.DatabaseTypeName())}
 		if ct.DatabaseTypeName() != "" || i >= len(targets) {
 			continue
 		}
 		t := targets[i].GetResTarget()
 		out[i].oid = oidOfExpr(t.GetVal())
 		if name := t.GetName(); name == "" {
-			out[i].name = defaultName(t.GetVal())
+			out[i].name = defaultColumnName(t.GetVal())
 		}
 	}
 	return out, nil
 }
 
-// defaultName is what PostgreSQL calls an expression without a name.
-func defaultName(n *pgquery.Node) string {
+// defaultColumnName returns the name that PostgreSQL gives to the column of an
+// expression without an alias.
+func defaultColumnName(n *pgquery.Node) string {
 	if f := n.GetFuncCall(); f != nil {
 		return f.Funcname[len(f.Funcname)-1].GetString_().GetSval()
 	}
@@ -233,14 +246,16 @@
 	return "?column?"
 }
 
-var engineTexts sync.Map
+// rewrittenTexts caches the results of toSQLiteParams by text.
+var rewrittenTexts sync.Map
 
-// toEngine rewrites $1 to ?1, token by token.
-func toEngine(text string) (string, error) {
+// toSQLiteParams rewrites parameters from $1 to ?1. It works on tokens, so that
+// string constants with a dollar sign are unchanged.
+func toSQLiteParams(text string) (string, error) {
 	if !strings.Contains(text, "$") {
 		return text, nil
 	}
-	if v, ok := engineTexts.Load(text); ok {
+	if v, ok := rewrittenTexts.Load(text); ok {
 		return v.(string), nil
 	}
 	scan, err := pgquery.Scan(text)
@@ -253,13 +268,14 @@
 			b[t.Start] = '?'
 		}
 	}
-	engineTexts.Store(text, string(b))
+	rewrittenTexts.Store(text, string(b))
 	return string(b), nil
 }
 
-func pgTypes() *pgtype.Map { return types.Get().(*pgtype.Map) }
+// takeTypeMap takes a type map from the pool.
+func takeTypeMap() *pgtype.Map { return typeMaps.Get().(*pgtype.Map) }
 
-// toArg turns a decoded value into what a record carries.
+// toArg converts a decoded parameter to the form stored in log records.
 func toArg(v any) arg {
 	if b, ok := v.([]byte); ok {
 		return arg{Bytes: b}
--- a/internal/standin/cwdatabase/server.go
+++ b/internal/standin/cwdatabase/server.go
@@ -15,29 +15,31 @@
 	"cicadawalk.example/cicadawalk/internal/wire/cwlisten"
 )
 
-// serverVersion is the version that the stand-in claims.
+// serverVersion is the PostgreSQL version reported to clients.
 const serverVersion = "16.0"
 
 // server accepts connections for one member.
 type server struct {
 	member *Member
 	ln     net.Listener
-	slots  chan struct{}
+	// slots is a semaphore of the statements executed concurrently.
+	slots chan struct{}
 
 	mu       sync.Mutex
 	sessions map[uint32]*session
 	nextPID  uint32
 }
 
-// Running is a member that serves.
+// Running is a member that serves connections.
 type Running struct {
 	*Member
-	cancel context.CancelFunc
-	group  *errgroup.Group
-	addr   string
+	cancel     context.CancelFunc
+	goroutines *errgroup.Group
+	addr       string
 }
 
-// Start makes a member and serves it until Stop.
+// Start creates a member and serves it until Stop. It returns an error if the
+// address cannot be listened on.
 func Start(cfg Config) (*Running, error) {
 	m, err := newMember(cfg)
 	if err != nil {
@@ -57,24 +59,26 @@
 	m.server = s
 	ctx, cancel := context.WithCancel(context.Background())
 	g, ctx := errgroup.WithContext(ctx)
-	r := &Running{Member: m, cancel: cancel, group: g, addr: ln.Addr().String()}
+	r := &Running{Member: m, cancel: cancel, goroutines: g, addr: ln.Addr().String()}
 	g.Go(func() error { return s.run(ctx) })
-	g.Go(func() error { return m.loopFollow(ctx) })
+	g.Go(func() error { return m.runReplication(ctx) })
 	return r, nil
 }
 
-// Addr returns the address that the member listens on.
+// Addr returns the address on which the member listens.
 func (r *Running) Addr() string { return r.addr }
 
-// Stop ends the member at once, as a kill would.
+// Stop stops the member as a kill of the process would: all connections are
+// closed without a message.
 func (r *Running) Stop() {
 	r.cancel()
-	_ = r.group.Wait()
-	r.server.closeAll()
+	_ = r.goroutines.Wait()
+	r.server.closeConnections()
 }
 
-// Resume serves the member again after Stop, with its log intact, as a database
-// does that was restarted on its disk. It comes back in the role it had.
+// Resume serves the member again after Stop, at the same address. It keeps its
+// log, data and role, as a database that is restarted with its disk does. It
+// returns an error if the address cannot be listened on.
 func (r *Running) Resume() error {
 	ln, err := net.Listen("tcp", r.addr)
 	if err != nil {
@@ -83,14 +87,15 @@
 	r.server.ln = ln
 	ctx, cancel := context.WithCancel(context.Background())
 	g, ctx := errgroup.WithContext(ctx)
-	r.cancel, r.group = cancel, g
+	r.cancel, r.goroutines = cancel, g
 	s := r.server
 	g.Go(func() error { return s.run(ctx) })
-	g.Go(func() error { return r.loopFollow(ctx) })
+	g.Go(func() error { return r.runReplication(ctx) })
 	return nil
 }
 
-// Connections returns the number of open connections, without replication.
+// Connections returns the number of open client connections. Replication
+// connections are not counted.
 func (r *Running) Connections() int {
 	r.server.mu.Lock()
 	defer r.server.mu.Unlock()
@@ -98,14 +103,14 @@
 }
 
 func (s *server) run(ctx context.Context) error {
-	stop := context.AfterFunc(ctx, s.closeAll)
+	stop := context.AfterFunc(ctx, s.closeConnections)
 	defer stop()
-	l := cwlisten.Listener{Listener: s.ln, Handle: s.serve}
+	l := cwlisten.Listener{Listener: s.ln, Handle: s.serveConn}
 	defer l.Wait()
 	return l.Run(ctx)
 }
 
-func (s *server) closeAll() {
+func (s *server) closeConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.sessions {
@@ -113,14 +118,14 @@
 	}
 }
 
-// endWriters ends the statements in progress, and closes the connections that
-// have a write transaction open.
-func (s *server) endWriters() {
+// terminateWriters cancels all statements in progress, and closes the connections
+// that have a write transaction open.
+func (s *server) terminateWriters() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.sessions {
 		if c.cancelStatement() {
-			c.ended.Store(true)
+			c.canceledByDemotion.Store(true)
 		}
 		if c.writing.Load() {
 			_ = c.conn.Close()
@@ -128,29 +133,29 @@
 	}
 }
 
-// serve carries one connection from its start-up to its end.
-func (s *server) serve(ctx context.Context, conn net.Conn) {
+// serveConn serves one connection, from its startup message to its end.
+func (s *server) serveConn(ctx context.Context, conn net.Conn) {
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
 	backend := pgproto3.NewBackend(conn, conn)
-	start, err := s.startup(conn, backend)
+	start, err := s.receiveStartup(conn, backend)
 	if err != nil || start == nil {
 		return
 	}
 	c := &session{server: s, member: s.member, conn: conn, backend: backend, settings: make(map[string]string)}
 	c.init()
-	s.member.thaw(ctx)
+	s.member.waitWhileFrozen(ctx)
 	if start.Parameters["replication"] == "true" {
-		c.runReplication(ctx)
+		c.serveReplication(ctx)
 		return
 	}
 	sleep(ctx, s.member.cfg.ConnectDelay)
-	if !s.admit(c) {
+	if !s.addSession(c) {
 		c.fatal("53300", "sorry, too many clients already")
 		return
 	}
-	defer s.remove(c)
+	defer s.removeSession(c)
 	if db := start.Parameters["database"]; len(s.member.cfg.Databases) > 0 && !slices.Contains(s.member.cfg.Databases, db) {
 		c.fatal("3D000", `database "`+db+`" does not exist`)
 		return
@@ -158,9 +163,9 @@
 	c.run(ctx)
 }
 
-// startup answers the first messages. It returns nil for a connection that was
-// only a request to cancel.
-func (s *server) startup(conn net.Conn, b *pgproto3.Backend) (*pgproto3.StartupMessage, error) {
+// receiveStartup returns the startup message. It declines encryption requests. It
+// returns nil for a cancel request, which it carries out.
+func (s *server) receiveStartup(conn net.Conn, b *pgproto3.Backend) (*pgproto3.StartupMessage, error) {
 	for {
 		msg, err := b.ReceiveStartupMessage()
 		if err != nil {
@@ -172,7 +177,7 @@
 				return nil, err
 			}
 		case *pgproto3.CancelRequest:
-			s.cancelRequest(m.ProcessID, m.SecretKey)
+			s.handleCancel(m.ProcessID, m.SecretKey)
 			return nil, nil
 		case *pgproto3.StartupMessage:
 			return m, nil
@@ -180,7 +185,9 @@
 	}
 }
 
-func (s *server) admit(c *session) bool {
+// addSession registers a session under a new process id and secret key. It
+// returns false if the limit of connections is reached.
+func (s *server) addSession(c *session) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.sessions) >= s.member.cfg.Connections {
@@ -194,13 +201,15 @@
 	return true
 }
 
-func (s *server) remove(c *session) {
+func (s *server) removeSession(c *session) {
 	s.mu.Lock()
 	delete(s.sessions, c.pid)
 	s.mu.Unlock()
 }
 
-func (s *server) cancelRequest(pid uint32, secret []byte) {
+// handleCancel cancels the statement of the session with the pid if the secret
+// matches.
+func (s *server) handleCancel(pid uint32, secret []byte) {
 	s.mu.Lock()
 	c, ok := s.sessions[pid]
 	s.mu.Unlock()
@@ -209,9 +218,9 @@
 	}
 }
 
-// activity returns the state of the session with the pid, as in
-// pg_stat_activity, or the empty text if there is none.
-func (s *server) activity(pid uint32) string {
+// sessionState returns the state of the session with the pid as in
+// pg_stat_activity: active or idle, or empty if there is no such session.
+func (s *server) sessionState(pid uint32) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c, ok := s.sessions[pid]
@@ -224,8 +233,8 @@
 	return "idle"
 }
 
-// thaw waits while the member is frozen.
-func (m *Member) thaw(ctx context.Context) {
+// waitWhileFrozen waits until Faults.Frozen is unset or ctx ends.
+func (m *Member) waitWhileFrozen(ctx context.Context) {
 	for {
 		m.mu.Lock()
 		frozen, changed := m.faults.Frozen, m.changed
@@ -241,8 +250,10 @@
 	}
 }
 
-// slot waits for a place among the statements that are executed at once.
-func (s *server) slot(ctx context.Context) (func(), error) {
+// acquireSlot waits for a free slot and then for Faults.ServiceTime. The returned
+// function releases the slot. It returns the error of ctx if that ends before a
+// slot is free.
+func (s *server) acquireSlot(ctx context.Context) (func(), error) {
 	select {
 	case s.slots <- struct{}{}:
 	case <-ctx.Done():
@@ -252,6 +263,6 @@
 	return func() { <-s.slots }, nil
 }
 
-// heartbeat is how often a session that listens is told where the log ends,
-// even if nothing changed.
-const heartbeat = 250 * time.Millisecond
+// notifyInterval is the interval at which a session that executed LISTEN is sent
+// the member's status, even if nothing changed.
+const notifyInterval = 250 * time.Millisecond
--- a/internal/standin/cwdatabase/session.go
+++ b/internal/standin/cwdatabase/session.go
@@ -14,10 +14,10 @@
 	"cicadawalk.example/cicadawalk/internal/wire/cwsql"
 )
 
-// statements caches parsed texts for all members of the process.
-var statements cwsql.Cache
+// parseCache caches parsed statements for all members of the process.
+var parseCache cwsql.Cache
 
-// session is one connection.
+// session is one client or replication connection.
 type session struct {
 	server  *server
 	member  *Member
@@ -26,48 +26,61 @@
 	pid     uint32
 	secret  []byte
 
+	// active is true while a message is handled; pg_stat_activity shows it.
 	active atomic.Bool
-	// ended is true once the member ended the session's statement.
-	ended atomic.Bool
-	// done is closed once the member is killed.
-	done    <-chan struct{}
+	// canceledByDemotion is true once the demotion of the member has canceled a
+	// statement of the session.
+	canceledByDemotion atomic.Bool
+	// memberDone is closed when the member is stopped.
+	memberDone <-chan struct{}
+	// writing is true while the session has a write transaction open. It mirrors
+	// tx.writing for other goroutines.
 	writing atomic.Bool
 
-	// sendMu keeps notifications and answers apart.
+	// sendMu is held while a message is handled and while a notification is sent,
+	// so that notifications are not sent in the middle of an answer.
 	sendMu sync.Mutex
 
+	// cancel cancels the statement in progress; nil if there is none. It is
+	// guarded by cancelMu.
 	cancelMu sync.Mutex
 	cancel   context.CancelFunc
 
 	settings map[string]string
 	tx       transaction
-	prepared map[string]*prepared
+	prepared map[string]*preparedStatement
 	portals  map[string]*portal
-	// skip is true after an error in the extended protocol, until Sync.
-	skip bool
+	// skipToSync is true after an error in the extended protocol. All messages up
+	// to the next Sync are then ignored.
+	skipToSync bool
 }
 
-// transaction is what a session has open.
+// transaction is the state of a session's transaction.
 type transaction struct {
-	// explicit is true between BEGIN and its end.
+	// explicit is true between BEGIN and COMMIT or ROLLBACK.
 	explicit bool
-	failed   bool
-	// writing is true once the session holds the member's writer.
+	// failed is true after an error in an explicit transaction.
+	failed bool
+	// writing is true while the session has the member's write transaction open
+	// and so holds Member.writeLock.
 	writing bool
-	term    cwgroup.Term
-	stmts   []statement
+	// term is the term in which the write transaction began, and stmts are the
+	// writes in it.
+	term  cwgroup.Term
+	stmts []statement
 }
 
 func (c *session) init() {
-	c.prepared = make(map[string]*prepared)
+	c.prepared = make(map[string]*preparedStatement)
 	c.portals = make(map[string]*portal)
 }
 
-// sqlError is an error with its SQLSTATE.
+// sqlError is an error sent to the client, with its SQLSTATE.
 type sqlError struct{ Code, Message string }
 
 func (e *sqlError) Error() string { return e.Message }
 
+// status returns the transaction status of the message ReadyForQuery.
 func (c *session) status() byte {
 	switch {
 	case c.tx.failed:
@@ -79,12 +92,14 @@
 	}
 }
 
+// fatal sends an error that ends the connection.
 func (c *session) fatal(code, message string) {
 	c.backend.Send(&pgproto3.ErrorResponse{Severity: "FATAL", SeverityUnlocalized: "FATAL", Code: code, Message: message})
 	_ = c.backend.Flush()
 }
 
-func (c *session) greet() error {
+// sendStartupMessages answers the startup message of a client.
+func (c *session) sendStartupMessages() error {
 	c.backend.Send(&pgproto3.AuthenticationOk{})
 	for _, kv := range [][2]string{
 		{"server_version", serverVersion},
@@ -101,11 +116,12 @@
 	return c.backend.Flush()
 }
 
-// run serves the connection until it ends. An open transaction ends with it.
+// run serves a client connection until it ends, and then rolls back an open
+// transaction.
 func (c *session) run(ctx context.Context) {
-	defer c.abandon()
-	c.done = ctx.Done()
-	if c.greet() != nil {
+	defer c.discardTransaction()
+	c.memberDone = ctx.Done()
+	if c.sendStartupMessages() != nil {
 		return
 	}
 	for {
@@ -113,7 +129,7 @@
 		if err != nil {
 			return
 		}
-		c.member.thaw(ctx)
+		c.member.waitWhileFrozen(ctx)
 		c.active.Store(true)
 		stop := c.handle(ctx, msg)
 		c.active.Store(false)
@@ -123,7 +139,8 @@
 	}
 }
 
-func (c *session) abandon() {
+// discardTransaction rolls back the session's transaction.
+func (c *session) discardTransaction() {
 	if c.tx.writing {
 		c.member.rollback()
 	}
@@ -131,13 +148,15 @@
 	c.writing.Store(false)
 }
 
+// handle processes one message of the client. It returns true if the connection
+// is to be closed.
 func (c *session) handle(ctx context.Context, msg pgproto3.FrontendMessage) (stop bool) {
 	c.sendMu.Lock()
 	defer c.sendMu.Unlock()
 	if _, ok := msg.(*pgproto3.Terminate); ok {
 		return true
 	}
-	if c.skip {
+	if c.skipToSync {
 		if _, ok := msg.(*pgproto3.Sync); !ok {
 			return false
 		}
@@ -147,20 +166,20 @@
 	case *pgproto3.Query:
 		err = c.simpleQuery(ctx, m.String)
 	case *pgproto3.Parse:
-		err = c.extended(c.parse(m))
+		err = c.finishExtended(c.parse(m))
 	case *pgproto3.Bind:
-		err = c.extended(c.bind(m))
+		err = c.finishExtended(c.bind(m))
 	case *pgproto3.Describe:
-		err = c.extended(c.describe(ctx, m))
+		err = c.finishExtended(c.describe(ctx, m))
 	case *pgproto3.Execute:
-		err = c.extended(c.execute(ctx, m))
+		err = c.finishExtended(c.executePortal(ctx, m))
 	case *pgproto3.Close:
-		c.closeNamed(m)
+		c.closeStatementOrPortal(m)
 	case *pgproto3.Flush:
 		err = c.flush(ctx)
 	case *pgproto3.Sync:
-		c.skip = false
-		err = c.finish(ctx)
+		c.skipToSync = false
+		err = c.finishQuery(ctx)
 	default:
 		c.fatal("08P01", "unexpected message")
 		return true
@@ -168,100 +187,106 @@
 	return err != nil
 }
 
-// errGone ends a session whose connection is no longer of use.
-type goneError struct{}
+// connClosedError reports that the session ends because its connection was closed,
+// or is to be closed after a fatal error.
+type connClosedError struct{}
 
-func (goneError) Error() string { return "the connection is closed" }
+func (connClosedError) Error() string { return "the connection is closed" }
 
-var errGone = goneError{}
+var errConnClosed = connClosedError{}
 
-func (c *session) extended(err error) error {
-	if err != nil && c.over() {
-		return c.terminated()
+// finishExtended handles the error of a message of the extended protocol: it sends
+// the error and skips to Sync. It returns an error only if the session ends.
+func (c *session) finishExtended(err error) error {
+	if err != nil && c.sessionEnded() {
+		return c.sendTerminated()
 	}
-	if err == nil || errors.Is(err, errGone) {
+	if err == nil || errors.Is(err, errConnClosed) {
 		return err
 	}
-	c.skip = true
-	c.fail(err)
+	c.skipToSync = true
+	c.sendError(err)
 	return nil
 }
 
-// over reports whether an error came from the end of the session, or of the
-// whole member, and not from the statement.
-func (c *session) over() bool { return c.ended.Load() || c.stopped() }
+// sessionEnded reports whether the session was ended by a demotion or by the stop
+// of the member, so that an error is not one of the statement.
+func (c *session) sessionEnded() bool { return c.canceledByDemotion.Load() || c.memberStopped() }
 
-// stopped reports whether the member was killed.
-func (c *session) stopped() bool {
+// memberStopped reports whether the member was stopped.
+func (c *session) memberStopped() bool {
 	select {
-	case <-c.done:
+	case <-c.memberDone:
 		return true
 	default:
 		return false
 	}
 }
 
-// terminated says that the member ended the session, as PostgreSQL does. A
-// member that was killed says nothing.
-func (c *session) terminated() error {
-	if c.stopped() {
-		return errGone
+// sendTerminated sends the error with which PostgreSQL terminates a connection,
+// and returns errConnClosed. If the member was stopped it sends nothing, because a
+// killed process cannot.
+func (c *session) sendTerminated() error {
+	if c.memberStopped() {
+		return errConnClosed
 	}
 	c.fatal("57P01", "terminating connection due to administrator command")
-	return errGone
+	return errConnClosed
 }
 
-// fail sends an error, at once as PostgreSQL does, and marks the transaction.
-func (c *session) fail(err error) {
-	e := toSQL(err)
+// sendError sends an error and flushes it, as PostgreSQL does. An explicit
+// transaction is marked as failed; an implicit one is rolled back.
+func (c *session) sendError(err error) {
+	e := toSQLError(err)
 	c.backend.Send(&pgproto3.ErrorResponse{Severity: "ERROR", SeverityUnlocalized: "ERROR", Code: e.Code, Message: e.Message})
 	_ = c.backend.Flush()
 	if c.tx.explicit {
 		c.tx.failed = true
 		return
 	}
-	c.abandon()
+	c.discardTransaction()
 }
 
 func (c *session) flush(ctx context.Context) error {
-	c.member.thaw(ctx)
+	c.member.waitWhileFrozen(ctx)
 	return c.backend.Flush()
 }
 
-// finish commits the implicit transaction and says that the session is ready.
-func (c *session) finish(ctx context.Context) error {
+// finishQuery commits an implicit transaction and sends ReadyForQuery.
+func (c *session) finishQuery(ctx context.Context) error {
 	if !c.tx.explicit && c.tx.writing {
 		if err := c.commit(); err != nil {
-			if errors.Is(err, errGone) {
+			if errors.Is(err, errConnClosed) {
 				return err
 			}
-			c.fail(err)
+			c.sendError(err)
 		}
 	}
 	c.backend.Send(&pgproto3.ReadyForQuery{TxStatus: c.status()})
 	return c.flush(ctx)
 }
 
+// simpleQuery executes all statements of a message of the simple protocol.
 func (c *session) simpleQuery(ctx context.Context, text string) error {
-	stmts, err := statements.Parse(text)
+	stmts, err := parseCache.Parse(text)
 	if err != nil {
-		c.fail(err)
-		return c.finish(ctx)
+		c.sendError(err)
+		return c.finishQuery(ctx)
 	}
 	if len(stmts) == 0 {
 		c.backend.Send(&pgproto3.EmptyQueryResponse{})
-		return c.finish(ctx)
+		return c.finishQuery(ctx)
 	}
 	for _, s := range stmts {
 		res, err := c.exec(ctx, s, nil)
-		if err != nil && c.over() {
-			return c.terminated()
+		if err != nil && c.sessionEnded() {
+			return c.sendTerminated()
 		}
-		if errors.Is(err, errGone) {
+		if errors.Is(err, errConnClosed) {
 			return err
 		}
 		if err != nil {
-			c.fail(err)
+			c.sendError(err)
 			break
 		}
 		if res.columns != nil {
@@ -272,21 +297,24 @@
 		}
 		c.backend.Send(&pgproto3.CommandComplete{CommandTag: []byte(res.tag)})
 	}
-	return c.finish(ctx)
+	return c.finishQuery(ctx)
 }
 
-// flushEvery bounds what is buffered of a large answer.
-const flushEvery = 256
+// flushRows is the number of rows after which a large result is flushed, which
+// bounds the send buffer.
+const flushRows = 256
 
+// sendRows sends the rows of a result. A row that cannot be encoded is reported to
+// the client; the returned error is that of the connection.
 func (c *session) sendRows(res *result, formats []int16) error {
 	for i, row := range res.rows {
 		msg, err := res.dataRow(row, formats)
 		if err != nil {
-			c.fail(err)
+			c.sendError(err)
 			return nil
 		}
 		c.backend.Send(msg)
-		if i%flushEvery == flushEvery-1 {
+		if i%flushRows == flushRows-1 {
 			if err := c.backend.Flush(); err != nil {
 				return err
 			}
@@ -295,7 +323,7 @@
 	return nil
 }
 
-// exec runs one statement.
+// exec runs one statement of either protocol.
 func (c *session) exec(ctx context.Context, s cwsql.Statement, args []arg) (*result, error) {
 	if c.tx.failed && s.Kind != cwsql.Commit && s.Kind != cwsql.Rollback {
 		return nil, &sqlError{"25P02", "current transaction is aborted, commands ignored until end of transaction block"}
@@ -305,9 +333,9 @@
 		c.tx.explicit = true
 		return &result{tag: "BEGIN"}, nil
 	case cwsql.Commit:
-		return c.endExplicit(c.tx.failed)
+		return c.endTransaction(c.tx.failed)
 	case cwsql.Rollback:
-		return c.endExplicit(true)
+		return c.endTransaction(true)
 	case cwsql.Set, cwsql.SetLocal:
 		c.settings[s.Name] = s.Value
 		return &result{tag: "SET"}, nil
@@ -324,17 +352,18 @@
 		return &result{tag: "DISCARD ALL"}, nil
 	case cwsql.Unsupported:
 		if s.Name == "LISTEN" {
-			go c.loopNotify()
+			go c.notifyPosition()
 			return &result{tag: "LISTEN"}, nil
 		}
 		return nil, &sqlError{"0A000", s.Name + " is not supported by this stand-in"}
 	}
-	if res, ok, err := c.special(ctx, s.Text); ok {
+	if res, ok, err := c.execBuiltin(ctx, s.Text); ok {
 		return res, err
 	}
-	return c.data(ctx, s, args)
+	return c.execData(ctx, s, args)
 }
 
+// setting returns the value that SHOW reports.
 func (c *session) setting(name string) string {
 	if v, ok := c.settings[name]; ok {
 		return v
@@ -352,15 +381,16 @@
 	return ""
 }
 
-var canceled = &sqlError{"57014", "canceling statement due to user request"}
+var errCanceled = &sqlError{"57014", "canceling statement due to user request"}
 
-func (c *session) setCancel(f context.CancelFunc) {
+func (c *session) setCancelFunc(f context.CancelFunc) {
 	c.cancelMu.Lock()
 	c.cancel = f
 	c.cancelMu.Unlock()
 }
 
-// cancelStatement ends the statement in progress, if there is one.
+// cancelStatement cancels the statement in progress. It returns false if there is
+// none.
 func (c *session) cancelStatement() bool {
 	c.cancelMu.Lock()
 	defer c.cancelMu.Unlock()
@@ -371,7 +401,7 @@
 	return true
 }
 
-// querier is what both copies of the data offer.
+// querier runs queries on committed or on the write connection of an engine.
 type querier interface {
 	QueryContext(ctx context.Context, query string, args ...any) (*sql.Rows, error)
 }
--- a/internal/standin/cwdatabase/sqlstate.go
+++ b/internal/standin/cwdatabase/sqlstate.go
@@ -10,18 +10,19 @@
 	"cicadawalk.example/cicadawalk/internal/wire/cwsql"
 )
 
-// Extended result codes of the engine.
+// Result codes of SQLite: extended codes of violated constraints, and
+// SQLITE_MISMATCH.
 const (
-	engineCheck      = 275
-	engineForeignKey = 787
-	engineNotNull    = 1299
-	enginePrimaryKey = 1555
-	engineUnique     = 2067
-	engineMismatch   = 20
+	sqliteConstraintCheck      = 275
+	sqliteConstraintForeignKey = 787
+	sqliteConstraintNotNull    = 1299
+	sqliteConstraintPrimaryKey = 1555
+	sqliteConstraintUnique     = 2067
+	sqliteMismatch             = 20
 )
 
-// toSQL finds the SQLSTATE of an error.
-func toSQL(err error) *sqlError {
+// toSQLError maps an error to the SQLSTATE and message sent to the client.
+func toSQLError(err error) *sqlError {
 	var e *sqlError
 	if errors.As(err, &e) {
 		return e
@@ -35,29 +36,31 @@
 		return &sqlError{"25006", "cannot execute a write in a read-only transaction: " + np.Error()}
 	}
 	if errors.Is(err, context.Canceled) {
-		return canceled
+		return errCanceled
 	}
 	var se *sqlite.Error
 	if errors.As(err, &se) {
-		return &sqlError{engineState(se), se.Error()}
+		return &sqlError{sqliteState(se), se.Error()}
 	}
 	return &sqlError{"XX000", err.Error()}
 }
 
-func engineState(e *sqlite.Error) string {
+// sqliteState maps an error of SQLite to a SQLSTATE; XX000 if none fits.
+func sqliteState(e *sqlite.Error) string {
 	switch e.Code() {
-	case enginePrimaryKey, engineUnique:
+	case sqliteConstraintPrimaryKey, sqliteConstraintUnique:
 		return "23505"
-	case engineNotNull:
+	case sqliteConstraintNotNull:
 		return "23502"
-	case engineCheck:
+	case sqliteConstraintCheck:
 		return "23514"
-	case engineForeignKey:
+	case sqliteConstraintForeignKey:
 		return "23503"
-	case engineMismatch:
+	case sqliteMismatch:
 		return "22P02"
 	}
-	// The engine has one code for these; only its message tells them apart.
+	// SQLite reports all of these with the same code, so they are told apart by
+	// the message.
 	for _, k := range [][2]string{
 		{"no such table", "42P01"},
 		{"no such column", "42703"},
--- a/internal/standin/cwdatabase/infer.go
+++ b/internal/standin/cwdatabase/types.go
@@ -6,7 +6,9 @@
 	pgquery "github.com/pganalyze/pg_query_go/v6"
 )
 
-func oidOfDecl(decl string) uint32 {
+// oidOfTypeName returns the PostgreSQL type of a declared column type. Every
+// integer type maps to int8, every unknown one to text.
+func oidOfTypeName(decl string) uint32 {
 	word, _, _ := strings.Cut(strings.ToUpper(decl), "(")
 	switch {
 	case strings.Contains(word, "INT") || strings.Contains(word, "SERIAL"):
@@ -22,6 +24,8 @@
 	}
 }
 
+// targetList returns the result expressions of a SELECT, or those of a RETURNING
+// clause; nil if there are none or the text cannot be parsed.
 func targetList(text string) []*pgquery.Node {
 	tree, err := pgquery.Parse(text)
 	if err != nil || len(tree.Stmts) == 0 {
@@ -41,8 +45,9 @@
 	return nil
 }
 
-// oidOfExpr guesses the type of an expression, so that Describe can answer
-// before the statement runs.
+// oidOfExpr infers the type of an expression from its syntax, because SQLite
+// declares no type for it and Describe is answered before the statement runs.
+// The default is text.
 func oidOfExpr(n *pgquery.Node) uint32 {
 	switch {
 	case n.GetAConst() != nil:
@@ -51,7 +56,7 @@
 		return oidOfFunc(n.GetFuncCall())
 	case n.GetTypeCast() != nil:
 		names := n.GetTypeCast().TypeName.GetNames()
-		return oidOfDecl(names[len(names)-1].GetString_().GetSval())
+		return oidOfTypeName(names[len(names)-1].GetString_().GetSval())
 	case n.GetAExpr() != nil:
 		return oidOfOperator(n.GetAExpr())
 	case n.GetBoolExpr() != nil, n.GetNullTest() != nil:
