--- a/internal/standin/cwreplica/conn.go
+++ b/internal/standin/cwreplica/conn.go
@@ -10,26 +10,35 @@
 	"cicadawalk.example/cicadawalk/internal/proxy/cwport"
 )
 
-// conn is one session at a member. It implements cwport.Target.
+// conn is a connection from an instance to a member. It implements cwport.Target.
+// Except for queue and timeout, its fields are guarded by the group's lock.
 type conn struct {
 	group  *Group
 	member *Member
-	// life is that of the member in which the session was opened.
-	life     int
-	instance string
-	// workspace is what the session was opened for.
+	// incarnation is the member's at the time of the dial. The connection fails
+	// once the member has restarted.
+	incarnation int
+	instance    string
+	// workspace is the workspace whose statements run on the connection; empty for
+	// the proxy's own statements.
 	workspace string
 
-	queue    []cwstatement.Command
-	state    cwstatement.State
-	reads    bool
+	// queue holds the commands sent and not yet answered.
+	queue []cwstatement.Command
+	state cwstatement.State
+	// readOnly, term and writes belong to the open transaction: whether it only
+	// reads, the member's term when it began, and its uncommitted writes by item.
+	readOnly bool
 	term     cwgroup.Term
 	writes   map[string]string
+	// values are the settings of the session, and prepared maps the name of each
+	// prepared statement to its verb.
 	values   map[string]string
 	prepared map[string]string
 	closed   bool
-	// broken is true once something was lost on the way.
-	broken  bool
+	// broken is true once a cut path has dropped data of the connection.
+	broken bool
+	// timeout is how long the connection waits for an unresponsive member.
 	timeout time.Duration
 }
 
@@ -44,37 +53,40 @@
 	g := c.group
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	c.hang()
-	if err := c.path(); err != nil || len(c.queue) == 0 {
+	c.awaitMember()
+	if err := c.checkPath(); err != nil || len(c.queue) == 0 {
 		return cwstatement.Answer{}, errLost
 	}
 	cmd := c.queue[0]
 	c.queue = c.queue[1:]
 	a := c.run(cmd)
-	if c.member.lose {
+	if c.member.loseAnswers {
 		return cwstatement.Answer{}, errLost
 	}
-	a.State, a.Mark = c.state, markOf(c.visible())
+	a.State, a.Mark = c.state, lastMark(c.visibleLog())
 	return a, nil
 }
 
-// cutPoll is how often a path that is silent is looked at.
-const cutPoll = 20 * time.Millisecond
+// cutPollInterval is the interval at which a connection checks whether a cut path
+// that holds it up has been restored.
+const cutPollInterval = 20 * time.Millisecond
 
-// hang waits for the time limit at a member that is dark, and until a silent path is
-// mended.
-func (c *conn) hang() {
-	if c.member.dark {
+// awaitMember waits for the timeout if the member is unresponsive. If cuts hold
+// connections up, it also waits until the path is restored or the member restarts;
+// the connection is broken then. The caller holds the group's lock, which is
+// released while waiting.
+func (c *conn) awaitMember() {
+	if c.member.unresponsive {
 		c.sleep(c.timeout)
 	}
-	for c.group.silent && c.group.cut[c.way()] && c.member.life == c.life {
-		c.sleep(cutPoll)
-		// What was on its way is lost.
+	for c.group.cutsHang && c.group.cutPaths[c.ownPath()] && c.member.incarnation == c.incarnation {
+		c.sleep(cutPollInterval)
+		// The data in transit is lost.
 		c.broken = true
 	}
 }
 
-// sleep waits without the group's lock.
+// sleep waits by the group's clock and releases the group's lock meanwhile.
 func (c *conn) sleep(d time.Duration) {
 	clock := c.group.clock
 	c.group.mu.Unlock()
@@ -82,28 +94,31 @@
 	c.group.mu.Lock()
 }
 
-// way is the path of the session.
-func (c *conn) way() path { return path{c.instance, string(c.member.id)} }
+// ownPath returns the path from the instance to the member.
+func (c *conn) ownPath() path { return path{c.instance, string(c.member.id)} }
 
-func (c *conn) path() error {
+// checkPath returns errLost if the connection or its member cannot be used.
+func (c *conn) checkPath() error {
 	m := c.member
-	if c.closed || c.broken || m.dark || m.down || m.life != c.life || c.group.cut[c.way()] {
+	if c.closed || c.broken || m.unresponsive || m.down || m.incarnation != c.incarnation || c.group.cutPaths[c.ownPath()] {
 		return errLost
 	}
 	return nil
 }
 
-// visible returns the log that the session's reads see.
-func (c *conn) visible() []record { return c.member.visible(c.group.now()) }
+// visibleLog returns the part of the member's log that reads see.
+func (c *conn) visibleLog() []record { return c.member.visibleLog(c.group.now()) }
 
+// run runs a command, unless the transaction has failed or the member's reads do
+// not see the command's floor. An error inside a transaction makes it fail.
 func (c *conn) run(cmd cwstatement.Command) cwstatement.Answer {
 	if cmd.ID != "" {
-		c.group.ran = append(c.group.ran, Context{ID: cmd.ID, Workspace: c.workspace, Values: maps.Clone(c.values)})
+		c.group.callerCommands = append(c.group.callerCommands, Context{ID: cmd.ID, Workspace: c.workspace, Values: maps.Clone(c.values)})
 	}
 	if c.state == cwstatement.Failed && cmd.Verb != cwstatement.Commit && cmd.Verb != cwstatement.Rollback {
 		return cwstatement.Failure(cwstatement.Malformed, "failed")
 	}
-	if !holds(c.visible(), cmd.Floor) {
+	if !containsMark(c.visibleLog(), cmd.Floor) {
 		return cwstatement.Failure(cwstatement.Behind, "")
 	}
 	a := c.execute(cmd)
@@ -120,7 +135,7 @@
 		if cmd.Verb == cwstatement.Begin && c.member.role != cwgroup.RolePrimary {
 			return cwstatement.Failure(cwstatement.NotPrimary, string(c.member.id))
 		}
-		c.state, c.reads, c.term = cwstatement.Open, cmd.Verb == cwstatement.BeginRead, c.member.term
+		c.state, c.readOnly, c.term = cwstatement.Open, cmd.Verb == cwstatement.BeginRead, c.member.term
 		c.writes = map[string]string{}
 		return cwstatement.Answer{}
 	case cwstatement.Rollback:
@@ -132,7 +147,7 @@
 		c.values[cmd.Name] = cmd.Rest
 		return cwstatement.Answer{}
 	case cwstatement.Prepare:
-		c.prepared[cmd.Name] = verbWord(cmd.Writes)
+		c.prepared[cmd.Name] = verbName(cmd.Writes)
 		return cwstatement.Answer{}
 	case cwstatement.Reset:
 		clear(c.values)
@@ -143,32 +158,36 @@
 		if !ok {
 			return cwstatement.Failure(cwstatement.NotPrepared, cmd.Name)
 		}
-		return c.statement(cmd.ID, word+" "+cmd.Rest, done)
+		return c.execStatement(cmd.ID, word+" "+cmd.Rest, done)
 	}
-	return c.statement(cmd.ID, cmd.Text, done)
+	return c.execStatement(cmd.ID, cmd.Text, done)
 }
 
-func verbWord(writes bool) string {
+// verbName returns the verb of a prepared statement.
+func verbName(writes bool) string {
 	if writes {
 		return "WRITE"
 	}
 	return "READ"
 }
 
-func (c *conn) statement(id, text string, done cwstatement.Answer) cwstatement.Answer {
-	item, data := itemOf(text)
-	lost := c.state == cwstatement.Open && !c.reads && !c.leads()
+// execStatement runs a READ or WRITE statement. It fails with NotPrimary for a
+// write that the member cannot take, and for any statement of a write transaction
+// that began before the member was demoted or changed its term.
+func (c *conn) execStatement(id, text string, done cwstatement.Answer) cwstatement.Answer {
+	item, data := parseItem(text)
+	lost := c.state == cwstatement.Open && !c.readOnly && !c.isPrimary()
 	if strings.HasPrefix(text, "READ") {
 		if lost {
 			return cwstatement.Failure(cwstatement.NotPrimary, string(c.member.id))
 		}
-		done.Rows = []string{c.seen(item)}
+		done.Rows = []string{c.readItem(item)}
 		if id != "" {
-			c.group.reads = append(c.group.reads, Run{ID: id, Member: c.member.id, Log: Log{records: c.visible()}})
+			c.group.reads = append(c.group.reads, Run{ID: id, Member: c.member.id, Log: Log{records: c.visibleLog()}})
 		}
 		return done
 	}
-	if lost || !c.leads() && c.state == cwstatement.Idle || c.state == cwstatement.Open && c.reads {
+	if lost || !c.isPrimary() && c.state == cwstatement.Idle || c.state == cwstatement.Open && c.readOnly {
 		return cwstatement.Failure(cwstatement.NotPrimary, string(c.member.id))
 	}
 	if c.state == cwstatement.Open {
@@ -179,22 +198,23 @@
 	return done
 }
 
-// leads reports whether the member leads, and, inside a transaction, still the
-// term in which that began.
-func (c *conn) leads() bool {
+// isPrimary reports whether the member is the primary, and, inside a transaction,
+// still in the term in which the transaction began.
+func (c *conn) isPrimary() bool {
 	return c.member.role == cwgroup.RolePrimary && (c.state == cwstatement.Idle || c.member.term == c.term)
 }
 
-func (c *conn) seen(item string) string {
+// readItem returns the value of an item as the transaction or session sees it.
+func (c *conn) readItem(item string) string {
 	if v, ok := c.writes[item]; ok {
 		return v
 	}
-	return value(c.visible(), item)
+	return itemValue(c.visibleLog(), item)
 }
 
 func (c *conn) commit(done cwstatement.Answer) cwstatement.Answer {
 	state := c.state
-	leads := c.leads()
+	leads := c.isPrimary()
 	c.state = cwstatement.Idle
 	switch {
 	case state != cwstatement.Open:
@@ -207,11 +227,13 @@
 	return done
 }
 
-func (c *conn) order(f func(m *Member)) (cwstatement.Health, error) {
+// withMember applies f to the member and returns the member's health. It fails
+// with errLost if the connection cannot be used.
+func (c *conn) withMember(f func(m *Member)) (cwstatement.Health, error) {
 	c.group.mu.Lock()
 	defer c.group.mu.Unlock()
-	c.hang()
-	if err := c.path(); err != nil {
+	c.awaitMember()
+	if err := c.checkPath(); err != nil {
 		return cwstatement.Health{}, err
 	}
 	f(c.member)
@@ -221,26 +243,28 @@
 
 // Health implements cwport.Target.
 func (c *conn) Health() (cwstatement.Health, error) {
-	return c.order(func(*Member) { c.group.asked++ })
+	return c.withMember(func(*Member) { c.group.healthChecks++ })
 }
 
 // Fence implements cwport.Target.
 func (c *conn) Fence(t cwgroup.Term) (cwstatement.Health, error) {
-	if err := c.refuseFence(); err != nil {
+	if err := c.fenceFault(); err != nil {
 		return cwstatement.Health{}, err
 	}
-	return c.order(func(m *Member) { m.fence = max(m.fence, t) })
+	return c.withMember(func(m *Member) { m.fenceTerm = max(m.fenceTerm, t) })
 }
 
-func (c *conn) refuseFence() error {
+// fenceFault returns the error that the next fence order is to fail with; nil if
+// no fault is set.
+func (c *conn) fenceFault() error {
 	c.group.mu.Lock()
 	defer c.group.mu.Unlock()
 	switch m := c.member; {
-	case m.refuse > 0:
-		m.refuse--
+	case m.lostFences > 0:
+		m.lostFences--
 		return errLost
-	case m.busy > 0:
-		m.busy--
+	case m.busyFences > 0:
+		m.busyFences--
 		return &cwport.RefusedError{Code: cwstatement.Busy, Detail: string(m.id)}
 	}
 	return nil
@@ -248,13 +272,13 @@
 
 // Unfence implements cwport.Target.
 func (c *conn) Unfence() error {
-	_, err := c.order(func(m *Member) { m.fence = 0 })
+	_, err := c.withMember(func(m *Member) { m.fenceTerm = 0 })
 	return err
 }
 
 // Demote implements cwport.Target.
 func (c *conn) Demote(t cwgroup.Term) (cwstatement.Health, error) {
-	return c.order(func(m *Member) {
+	return c.withMember(func(m *Member) {
 		if m.role == cwgroup.RolePrimary && m.term < t {
 			m.role = cwgroup.RoleReplica
 		}
@@ -276,7 +300,7 @@
 	defer c.group.mu.Unlock()
 	if !c.closed {
 		c.closed = true
-		c.member.opened--
+		c.member.connections--
 	}
 	return nil
 }
--- a/internal/standin/cwreplica/group.go
+++ b/internal/standin/cwreplica/group.go
@@ -1,15 +1,19 @@
-// Package cwreplica is a stand-in for a group of replicated databases that tell
-// nothing unasked and take orders from anybody, in memory and without a
-// protocol.
+// Package cwreplica emulates a group of replicated databases, for tests. It runs
+// in memory and without a wire protocol: connections implement cwport.Target
+// directly. The emulated databases push no notifications and accept orders from
+// any instance.
 //
-// Each Member has a log of writes. Replicas receive from a primary that they reach
-// unless they are deaf or fenced, and apply what they received at once or later.
-// What a member answers follows the rules of such databases: it refuses a floor
-// that the log its reads see lacks, a write where it does not lead, and a demoted
-// primary refuses to go on with a transaction. A primary that was replaced goes on
-// until it is demoted, or for a while after it reaches the new one. A member can
-// start again with its log; it forgets that it was fenced. Paths between instances
-// and members, and between members, can be cut; answers can be lost.
+// Each Member has a log of committed transactions. A replica receives the log of
+// a primary that it can reach, unless its receipt is stopped by a fault or the
+// primary's term is below its fence. Its reads see the received records at once
+// or after a delay. A member refuses a command whose floor is not in the log that
+// its reads see, and a write if it is not the primary. After a demotion it refuses
+// the remaining statements of an open write transaction.
+//
+// A primary that was replaced remains a primary of its old term until it is
+// demoted or can reach the new primary, and for a configurable time after that. A
+// member that restarts keeps its log but loses its fence. Paths between instances
+// and members, and between members, can be cut, and answers can be lost.
 package cwreplica
 
 import (
@@ -29,82 +33,103 @@
 	"cicadawalk.example/cicadawalk/internal/proxy/cwport"
 )
 
-// Member is one database. Its fields are guarded by the group's lock.
+// Member is one database of a Group. Its fields are guarded by the group's lock.
 type Member struct {
 	id   cwgroup.MemberID
 	role cwgroup.Role
-	// term is that of the primary that it follows, or in which it leads.
-	term  cwgroup.Term
-	fence cwgroup.Term
-	// log is what it has received; what is there is never overwritten in place.
+	// term is the term of the primary that a replica follows, or in which the
+	// member is the primary.
+	term cwgroup.Term
+	// fenceTerm is the fence: a replica receives nothing from a primary of an
+	// earlier term. Zero means that there is none.
+	fenceTerm cwgroup.Term
+	// log holds the received records. They are never overwritten in place, so that
+	// a Log can share them.
 	log []record
-	// late is how much later than it receives a record its reads see it, and
-	// receivedAt has when it received each. Reads see the first applied of them.
-	late       time.Duration
+	// applyDelay is the time between the receipt of a record and its visibility to
+	// reads. receivedAt has the time of receipt of each record, and applied is the
+	// number of records that reads see.
+	applyDelay time.Duration
 	receivedAt []time.Time
 	applied    int
-	deaf       bool
-	lose       bool
-	dark       bool
-	limit      int
-	// refuse is how many more orders to stop receiving get no answer, busy how
-	// many are refused as too much.
-	refuse, busy int
-	opened       int
-	// life counts its starts; down is true between two.
-	life int
-	down bool
-	// leaving is true while a primary that reaches the one that replaced it is
-	// about to step down.
-	leaving bool
+	// receiveStopped, loseAnswers and unresponsive are faults: see SetDeaf,
+	// LoseAnswers and SetDark.
+	receiveStopped bool
+	loseAnswers    bool
+	unresponsive   bool
+	// connectionLimit bounds connections, the number of open connections; zero
+	// means no bound.
+	connectionLimit int
+	// lostFences is the number of further fence orders that get no answer, and
+	// busyFences the number that are refused as busy.
+	lostFences, busyFences int
+	connections            int
+	// incarnation is incremented when the member goes down; down is true until it
+	// starts again.
+	incarnation int
+	down        bool
+	// steppingDown is true while a replaced primary that can reach the new one
+	// waits for stepDownDelay before it becomes a replica.
+	steppingDown bool
 }
 
-// Group is a replica set. Make one with NewGroup.
+// Group is a group of replicated databases. NewGroup creates one.
 type Group struct {
+	// Service is the name of the group's service.
 	Service string
 
 	mu      sync.Mutex
 	members map[cwgroup.MemberID]*Member
-	order   []cwgroup.MemberID
-	// cut holds the paths that are cut, from either end to the other.
-	cut map[path]bool
-	// promotions are the orders that were taken, in order.
+	// memberOrder has the ids in the order given to NewGroup, for deterministic
+	// iteration.
+	memberOrder []cwgroup.MemberID
+	// cutPaths is true for each cut path, in both directions.
+	cutPaths map[path]bool
+	// promotions are the accepted promotion orders, in order.
 	promotions []cwport.Promotion
-	// ran holds the callers' statements that were run, asked counts
-	// the questions about health.
-	ran   []Context
-	asked int
-	// reads are the callers' reads that were run, in order.
+	// callerCommands are the callers' commands that members processed, in order.
+	callerCommands []Context
+	// healthChecks counts the health requests.
+	healthChecks int
+	// reads are the executions of callers' reads, in order.
 	reads []Run
-	// takes is how long a promotion takes by clock.
-	takes time.Duration
+	// promotionDelay is the time by clock between the order to promote a member and
+	// the promotion.
+	promotionDelay time.Duration
+	// clock is the clock that the last setting with a duration gave; nil before.
 	clock clockwork.Clock
-	// goesOn is how long a replaced primary goes on once it reaches the new one.
-	goesOn time.Duration
-	// silent is true if what goes over a path that is cut waits until it is mended.
-	silent bool
+	// stepDownDelay is how long a replaced primary remains a primary once it can
+	// reach the new one.
+	stepDownDelay time.Duration
+	// cutsHang is true if connections over a cut path wait until it is restored,
+	// and false if they fail at once.
+	cutsHang bool
 }
 
-// Context is under which settings, and for which workspace, a statement of a
-// caller ran.
+// Context is the session state under which a member processed a caller's command.
 type Context struct {
+	// ID is the id of the command.
 	ID        string
 	Workspace string
-	Values    map[string]string
+	// Values are the settings of the session by name.
+	Values map[string]string
 }
 
-// Contexts returns the callers' statements that were run, in order.
+// Contexts returns the session states of the callers' commands that members
+// processed, in order. Commands that were refused are included.
 func (g *Group) Contexts() []Context {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return slices.Clone(g.ran)
+	return slices.Clone(g.callerCommands)
 }
 
+// path connects an instance and a member, or two members.
 type path struct{ a, b string }
 
-// NewGroup returns a group whose first member leads term 1.
+// NewGroup returns a group whose first member is the primary of term 1. At least
+// one id must be given.
 func NewGroup(service string, ids ...cwgroup.MemberID) *Group {
-	g := &Group{Service: service, members: make(map[cwgroup.MemberID]*Member), order: ids, cut: make(map[path]bool)}
+	g := &Group{Service: service, members: make(map[cwgroup.MemberID]*Member), memberOrder: ids, cutPaths: make(map[path]bool)}
 	for _, id := range ids {
 		g.members[id] = &Member{id: id, term: 1}
 	}
@@ -112,7 +137,7 @@
 	return g
 }
 
-// Role returns how a member sees itself; false while it is down.
+// Role returns the role of a member, and false while it is down.
 func (g *Group) Role(id cwgroup.MemberID) (cwgroup.Role, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -120,107 +145,112 @@
 	return m.role, !m.down
 }
 
-// SilenceCuts makes paths that are cut hold back what is sent over them, by a
-// clock, instead of failing at once.
+// SilenceCuts makes connections over a cut path wait, by the clock, until the path
+// is restored, instead of failing at once.
 func (g *Group) SilenceCuts(clock clockwork.Clock) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.silent, g.clock = true, clock
+	g.cutsHang, g.clock = true, clock
 }
 
-// SetLate makes a member's reads see records later than it receives them.
+// SetLate sets the time by the clock between a member's receipt of a record and
+// its visibility to reads.
 func (g *Group) SetLate(id cwgroup.MemberID, late time.Duration, clock clockwork.Clock) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m := g.members[id]
-	m.apply(g.now())
-	m.late, g.clock = late, clock
+	m.applyDue(g.now())
+	m.applyDelay, g.clock = late, clock
 }
 
-// Cut cuts the path between an instance or member and another one, or mends it.
+// Cut cuts or restores the path between an instance and a member, or between two
+// members, in both directions.
 func (g *Group) Cut(a, b string, cut bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.cut[path{a, b}], g.cut[path{b, a}] = cut, cut
+	g.cutPaths[path{a, b}], g.cutPaths[path{b, a}] = cut, cut
 	g.replicate()
 }
 
-// SetDeaf makes a replica stop receiving, or receive again.
+// SetDeaf stops a replica's receipt of records, or resumes it.
 func (g *Group) SetDeaf(id cwgroup.MemberID, deaf bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.members[id].deaf = deaf
+	g.members[id].receiveStopped = deaf
 	g.replicate()
 }
 
-// LoseAnswers makes a member run what it is sent and answer nothing.
+// LoseAnswers makes a member run its commands but lose the answers.
 func (g *Group) LoseAnswers(id cwgroup.MemberID, lose bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.members[id].lose = lose
+	g.members[id].loseAnswers = lose
 }
 
-// SetDark makes a member swallow what it is sent, by a clock, without a reset
-// and without an answer; connections to it hang.
+// SetDark makes a member unresponsive, or responsive again. Commands to an
+// unresponsive member are not run; they fail when the connection's timeout has
+// passed by the clock. New connections to it hang until their context ends.
 func (g *Group) SetDark(id cwgroup.MemberID, dark bool, clock clockwork.Clock) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.members[id].dark, g.clock = dark, clock
+	g.members[id].unresponsive, g.clock = dark, clock
 }
 
-// RefuseFences makes a member give no answer to the next orders to stop
-// receiving.
+// RefuseFences makes the next n fence orders to a member get no answer. They are
+// not carried out.
 func (g *Group) RefuseFences(id cwgroup.MemberID, n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.members[id].refuse = n
+	g.members[id].lostFences = n
 }
 
-// BusyAtFences makes a member refuse the next orders to stop receiving as too
-// busy.
+// BusyAtFences makes a member refuse the next n fence orders as busy.
 func (g *Group) BusyAtFences(id cwgroup.MemberID, n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.members[id].busy = n
+	g.members[id].busyFences = n
 }
 
-// LimitConnections bounds the connections of a member; zero means no bound.
+// LimitConnections limits the open connections of a member; zero means no limit.
 func (g *Group) LimitConnections(id cwgroup.MemberID, n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.members[id].limit = n
+	g.members[id].connectionLimit = n
 }
 
-// SetPromotionTakes makes promotions take effect a while after the order.
+// SetPromotionTakes sets the time by the clock between an order to promote and the
+// promotion.
 func (g *Group) SetPromotionTakes(d time.Duration, clock clockwork.Clock) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.takes, g.clock = d, clock
+	g.promotionDelay, g.clock = d, clock
 }
 
-// Promotions returns the orders to promote that were taken.
+// Promotions returns the accepted promotion orders, in order.
 func (g *Group) Promotions() []cwport.Promotion {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return slices.Clone(g.promotions)
 }
 
-// Value returns an item as the newest primary's log has it.
+// Value returns the value of an item in the log of the primary with the highest
+// term; empty if there is no such value.
 func (g *Group) Value(item string) string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if p := g.primary(); p != nil {
-		return value(p.log, item)
+	if p := g.newestPrimary(); p != nil {
+		return itemValue(p.log, item)
 	}
 	return ""
 }
 
-// Records returns the writes of each transaction in the newest primary's log.
+// Records returns the writes of each transaction in the log of the primary with
+// the highest term, by item.
 func (g *Group) Records() []map[string]string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var out []map[string]string
-	if p := g.primary(); p != nil {
+	if p := g.newestPrimary(); p != nil {
 		for _, r := range p.log {
 			out = append(out, maps.Clone(r.writes))
 		}
@@ -228,22 +258,24 @@
 	return out
 }
 
-// Primary returns the member that leads the highest term; empty if none does.
+// Primary returns the id of the primary with the highest term; empty if there is
+// no primary.
 func (g *Group) Primary() cwgroup.MemberID {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if p := g.primary(); p != nil {
+	if p := g.newestPrimary(); p != nil {
 		return p.id
 	}
 	return ""
 }
 
-// Runs returns how often a member ran a statement with the caller's id.
+// Runs returns how often members processed the caller's command with the id.
+// Attempts that were refused are included.
 func (g *Group) Runs(id string) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	n := 0
-	for _, r := range g.ran {
+	for _, r := range g.callerCommands {
 		if r.ID == id {
 			n++
 		}
@@ -251,19 +283,19 @@
 	return n
 }
 
-// Questions returns how often the members were asked about themselves.
+// Questions returns the number of health requests that members answered.
 func (g *Group) Questions() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.asked
+	return g.healthChecks
 }
 
 func (m *Member) health() cwstatement.Health {
-	return cwstatement.Health{Role: m.role, Term: m.term, Fence: m.fence, Received: m.received(), Connections: m.opened}
+	return cwstatement.Health{Role: m.role, Term: m.term, Fence: m.fenceTerm, Received: m.lastReceived(), Connections: m.connections}
 }
 
-// From returns a dialer as the instance sees the group. An empty name stands for
-// whoever each connection is opened for.
+// From returns a dialer for connections of an instance. If the name is empty, the
+// workspace of each connection is used as the instance's name.
 func (g *Group) From(instance string) cwport.Dialer { return dialer{group: g, instance: instance} }
 
 type dialer struct {
@@ -281,31 +313,31 @@
 	if instance == "" {
 		instance = workspace
 	}
-	if m != nil && m.dark {
+	if m != nil && m.unresponsive {
 		g.mu.Unlock()
 		<-ctx.Done()
 		g.mu.Lock()
 		return nil, ctx.Err()
 	}
-	for m != nil && g.silent && g.cut[path{instance, string(to.ID)}] && ctx.Err() == nil {
+	for m != nil && g.cutsHang && g.cutPaths[path{instance, string(to.ID)}] && ctx.Err() == nil {
 		g.mu.Unlock()
-		g.clock.Sleep(cutPoll)
+		g.clock.Sleep(cutPollInterval)
 		g.mu.Lock()
 	}
-	if m == nil || m.down || g.cut[path{instance, string(to.ID)}] {
+	if m == nil || m.down || g.cutPaths[path{instance, string(to.ID)}] {
 		return nil, &cutError{instance: instance, member: to.ID}
 	}
-	if m.limit > 0 && m.opened >= m.limit {
+	if m.connectionLimit > 0 && m.connections >= m.connectionLimit {
 		return nil, &cwport.RefusedError{Code: cwstatement.TooManyConnections}
 	}
-	m.opened++
+	m.connections++
 	return &conn{
-		group: g, member: m, life: m.life, instance: instance, workspace: workspace,
+		group: g, member: m, incarnation: m.incarnation, instance: instance, workspace: workspace,
 		values: map[string]string{}, prepared: map[string]string{},
 	}, nil
 }
 
-// cutError reports a path that is cut.
+// cutError reports a dial over a cut path, or to a member that is down or unknown.
 type cutError struct {
 	instance string
 	member   cwgroup.MemberID
@@ -313,11 +345,11 @@
 
 func (e *cutError) Error() string { return fmt.Sprintf("no path from %s to %s", e.instance, e.member) }
 
-// errLost is the failure of an answer that was lost.
+// errLost reports that the answer to a command was lost.
 var errLost = fmt.Errorf("answer lost: %w", io.ErrUnexpectedEOF)
 
-// itemOf returns the item and data of a statement.
-func itemOf(text string) (item, data string) {
+// parseItem returns the item and data of a statement such as WRITE item data.
+func parseItem(text string) (item, data string) {
 	_, rest, _ := strings.Cut(text, " ")
 	item, data, _ = strings.Cut(rest, " ")
 	return item, data
--- a/internal/standin/cwreplica/log.go
+++ b/internal/standin/cwreplica/log.go
@@ -7,24 +7,25 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwgroup"
 )
 
-// record is one committed transaction.
+// record is one committed transaction. Its writes map items to values.
 type record struct {
 	mark   cwgroup.Mark
 	writes map[string]string
 }
 
-// Log is a log as it stood at some moment.
+// Log is an immutable snapshot of a member's log.
 type Log struct{ records []record }
 
-// Len returns the number of transactions.
+// Len returns the number of transactions in the log.
 func (l Log) Len() int { return len(l.records) }
 
-// Writes returns the writes of the transaction at an index.
+// Writes returns a copy of the writes of the transaction at index i, by item.
 func (l Log) Writes(i int) map[string]string { return maps.Clone(l.records[i].writes) }
 
-// Common returns how many transactions two logs have in common, from the first on.
+// Common returns the number of transactions in the common prefix of two logs.
 func (l Log) Common(o Log) int {
-	// Logs that differ at one place differ at all later ones.
+	// Logs that differ at one index differ at all later ones, so a binary search
+	// finds the end of the common prefix.
 	low, high := 0, min(len(l.records), len(o.records))
 	for low < high {
 		mid := (low + high + 1) / 2
@@ -37,63 +38,68 @@
 	return low
 }
 
-// Run is a caller's read that was run.
+// Run records one execution of a caller's read.
 type Run struct {
+	// ID is the id of the statement.
 	ID     string
 	Member cwgroup.MemberID
-	// Log is the log that it ran on.
+	// Log is the log that the read saw.
 	Log Log
 }
 
-// Reads returns the callers' reads that were run, in order.
+// Reads returns the executions of callers' reads with an id, in order.
 func (g *Group) Reads() []Run {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return append([]Run(nil), g.reads...)
 }
 
-// Log returns the newest primary's log.
+// Log returns the log of the primary with the highest term; an empty log if there
+// is no primary.
 func (g *Group) Log() Log {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if p := g.primary(); p != nil {
+	if p := g.newestPrimary(); p != nil {
 		return Log{records: p.log}
 	}
 	return Log{}
 }
 
-func markOf(log []record) cwgroup.Mark {
+// lastMark returns the mark of the last record; position 0 of term 1 for an empty
+// log.
+func lastMark(log []record) cwgroup.Mark {
 	if len(log) == 0 {
 		return cwgroup.Mark{Term: 1}
 	}
 	return log[len(log)-1].mark
 }
 
-// received returns where the log ends that the member has received.
-func (m *Member) received() cwgroup.Mark { return markOf(m.log) }
+// lastReceived returns the mark of the last record that the member has received.
+func (m *Member) lastReceived() cwgroup.Mark { return lastMark(m.log) }
 
-// visible returns the log that reads see.
-func (m *Member) visible(now time.Time) []record {
-	m.apply(now)
+// visibleLog returns the part of the log that reads see.
+func (m *Member) visibleLog(now time.Time) []record {
+	m.applyDue(now)
 	return m.log[:m.applied:m.applied]
 }
 
-// apply lets reads see what is due.
-func (m *Member) apply(now time.Time) {
-	if m.role == cwgroup.RolePrimary || m.late == 0 {
+// applyDue makes the records visible to reads whose delay has passed. A primary's
+// records are always visible.
+func (m *Member) applyDue(now time.Time) {
+	if m.role == cwgroup.RolePrimary || m.applyDelay == 0 {
 		m.applied = len(m.log)
 		return
 	}
-	for m.applied < len(m.log) && now.Sub(m.receivedAt[m.applied]) >= m.late {
+	for m.applied < len(m.log) && now.Sub(m.receivedAt[m.applied]) >= m.applyDelay {
 		m.applied++
 	}
 }
 
-// take makes the member's log that of its primary: what it had beyond the common
-// part is cut.
-func (m *Member) take(log []record, now time.Time) {
+// receiveLog replaces the member's log by that of its primary. Records after the
+// common prefix of the two are removed.
+func (m *Member) receiveLog(log []record, now time.Time) {
 	common := Log{records: m.log}.Common(Log{records: log})
-	m.apply(now)
+	m.applyDue(now)
 	m.applied = min(m.applied, common)
 	m.receivedAt = m.receivedAt[:common]
 	for range log[common:] {
@@ -104,27 +110,30 @@
 	} else {
 		m.log = append([]record(nil), log...)
 	}
-	m.apply(now)
+	m.applyDue(now)
 }
 
-// append adds a transaction of the member's own.
-func (m *Member) append(writes map[string]string, now time.Time) {
-	next := cwgroup.Mark{Term: m.term, Position: m.received().Position + 1}
+// appendRecord appends a transaction that was committed at the member itself.
+func (m *Member) appendRecord(writes map[string]string, now time.Time) {
+	next := cwgroup.Mark{Term: m.term, Position: m.lastReceived().Position + 1}
 	m.log = append(m.log, record{mark: next, writes: maps.Clone(writes)})
 	m.receivedAt = append(m.receivedAt, now)
-	m.apply(now)
+	m.applyDue(now)
 }
 
-func holds(log []record, floor cwgroup.Mark) bool {
+// containsMark reports whether a log has the record with the mark. A mark with
+// position 0 is in every log.
+func containsMark(log []record, floor cwgroup.Mark) bool {
 	if floor.Position == 0 {
 		return true
 	}
-	// Positions count from 1.
+	// The first record has position 1.
 	i := int(floor.Position) - 1
 	return i < len(log) && log[i].mark == floor
 }
 
-func value(log []record, item string) string {
+// itemValue returns the last value that a log has for an item; empty if none.
+func itemValue(log []record, item string) string {
 	for i := len(log) - 1; i >= 0; i-- {
 		if v, ok := log[i].writes[item]; ok {
 			return v
--- a/internal/standin/cwreplica/replicate.go
+++ b/internal/standin/cwreplica/replicate.go
@@ -11,17 +11,19 @@
 	"cicadawalk.example/cicadawalk/internal/proxy/cwport"
 )
 
-// SetReplacedGoesOn makes a primary that was replaced go on for a while, by a clock,
-// after it can reach the new one, unless it is demoted.
+// SetReplacedGoesOn sets how long, by the clock, a primary that was replaced
+// remains a primary after it can reach the new one. A demotion ends that earlier.
 func (g *Group) SetReplacedGoesOn(d time.Duration, clock clockwork.Clock) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.goesOn, g.clock = d, clock
+	g.stepDownDelay, g.clock = d, clock
 }
 
-// Restart ends a member, with all connections to it, and starts it again after a
-// while, by a clock. It has its log and has forgotten that it was fenced. One that
-// led is a replica if another one leads a later term by then.
+// Restart stops a member, breaks all connections to it, and starts it again after
+// the duration by the clock. It returns when the member has started. The member
+// keeps its log and loses its fence. If it was a primary and another member is
+// the primary of a later term by then, it starts as a replica. Restart does
+// nothing if the member is already down.
 func (g *Group) Restart(id cwgroup.MemberID, after time.Duration, clock clockwork.Clock) {
 	g.mu.Lock()
 	m := g.members[id]
@@ -29,20 +31,21 @@
 		g.mu.Unlock()
 		return
 	}
-	m.life++
+	m.incarnation++
 	m.down = true
 	g.mu.Unlock()
 	clock.Sleep(after)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	m.down, m.fence = false, 0
-	if p := g.primary(); p != nil && p != m && p.term > m.term {
+	m.down, m.fenceTerm = false, 0
+	if p := g.newestPrimary(); p != nil && p != m && p.term > m.term {
 		m.role = cwgroup.RoleReplica
 	}
 	g.replicate()
 }
 
-// Promote implements cwport.Promoter.
+// Promote implements cwport.Promoter. Any instance may give the order, and neither
+// its holder nor its fencing token is checked.
 func (g *Group) Promote(_ context.Context, p cwport.Promotion) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -51,25 +54,28 @@
 		return &cwport.RefusedError{Code: cwstatement.WrongTarget}
 	}
 	g.promotions = append(g.promotions, p)
-	if g.takes > 0 {
-		go g.runPromotion(m)
+	if g.promotionDelay > 0 {
+		go g.promoteLater(m)
 		return nil
 	}
-	g.lead(m)
+	g.makePrimary(m)
 	return nil
 }
 
-func (g *Group) runPromotion(m *Member) {
-	g.clock.Sleep(g.takes)
+// promoteLater makes a member the primary after promotionDelay, unless it is down
+// by then.
+func (g *Group) promoteLater(m *Member) {
+	g.clock.Sleep(g.promotionDelay)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !m.down {
-		g.lead(m)
+		g.makePrimary(m)
 	}
 }
 
-// lead makes a member the primary of the next term.
-func (g *Group) lead(m *Member) {
+// makePrimary makes a member the primary of the next term and removes its fence. It
+// does nothing if the member is already a primary.
+func (g *Group) makePrimary(m *Member) {
 	if m.role == cwgroup.RolePrimary {
 		return
 	}
@@ -77,15 +83,15 @@
 	for _, o := range g.members {
 		next = max(next, o.term)
 	}
-	m.role, m.term, m.fence = cwgroup.RolePrimary, next+1, 0
-	m.apply(g.now())
+	m.role, m.term, m.fenceTerm = cwgroup.RolePrimary, next+1, 0
+	m.applyDue(g.now())
 	g.replicate()
 }
 
-// primary returns the member that leads the highest term.
-func (g *Group) primary() *Member {
+// newestPrimary returns the primary with the highest term; nil if there is none.
+func (g *Group) newestPrimary() *Member {
 	var best *Member
-	for _, id := range g.order {
+	for _, id := range g.memberOrder {
 		if m := g.members[id]; m.role == cwgroup.RolePrimary && (best == nil || m.term > best.term) {
 			best = m
 		}
@@ -93,34 +99,38 @@
 	return best
 }
 
-// joined reports whether two members can reach each other.
-func (g *Group) joined(a, b *Member) bool {
-	return !a.down && !b.down && !a.dark && !b.dark && !g.cut[path{string(a.id), string(b.id)}]
+// connected reports whether two members can reach each other: both are up and
+// responsive, and the path between them is not cut.
+func (g *Group) connected(a, b *Member) bool {
+	return !a.down && !b.down && !a.unresponsive && !b.unresponsive && !g.cutPaths[path{string(a.id), string(b.id)}]
 }
 
-// replicate lets every replica receive what it can, from the newest primary that it
-// reaches and that is not older than the one it follows.
+// replicate makes every replica receive the log of its upstream primary, if it has
+// one and its receipt is not stopped. That also removes its fence. Replaced
+// primaries step down first.
 func (g *Group) replicate() {
-	g.replaceOld()
+	g.stepDownReplaced()
 	now := g.now()
-	for _, id := range g.order {
+	for _, id := range g.memberOrder {
 		m := g.members[id]
-		if m.role == cwgroup.RolePrimary || m.deaf {
+		if m.role == cwgroup.RolePrimary || m.receiveStopped {
 			continue
 		}
-		if p := g.source(m); p != nil {
-			m.role, m.term, m.fence = cwgroup.RoleReplica, p.term, 0
-			m.take(p.log, now)
+		if p := g.upstreamOf(m); p != nil {
+			m.role, m.term, m.fenceTerm = cwgroup.RoleReplica, p.term, 0
+			m.receiveLog(p.log, now)
 		}
 	}
 }
 
-// source returns the primary that a replica receives from; nil if there is none.
-func (g *Group) source(m *Member) *Member {
+// upstreamOf returns the primary that a replica receives from: of those that it can
+// reach, the one with the highest term, unless that is below the replica's own term
+// or its fence. It returns nil if there is none.
+func (g *Group) upstreamOf(m *Member) *Member {
 	var best *Member
-	for _, id := range g.order {
+	for _, id := range g.memberOrder {
 		p := g.members[id]
-		usable := p.role == cwgroup.RolePrimary && p.term >= max(m.term, m.fence) && g.joined(p, m)
+		usable := p.role == cwgroup.RolePrimary && p.term >= max(m.term, m.fenceTerm) && g.connected(p, m)
 		if usable && (best == nil || p.term > best.term) {
 			best = p
 		}
@@ -128,35 +138,39 @@
 	return best
 }
 
-// replaceOld lets primaries that were replaced step down, at once or in a while.
-func (g *Group) replaceOld() {
-	p := g.primary()
+// stepDownReplaced makes replicas of the primaries that can reach a primary of a
+// later term, at once or after stepDownDelay.
+func (g *Group) stepDownReplaced() {
+	p := g.newestPrimary()
 	for _, old := range g.members {
-		replaced := old.role == cwgroup.RolePrimary && old != p && old.term < p.term && g.joined(old, p)
-		if !replaced || old.leaving {
+		replaced := old.role == cwgroup.RolePrimary && old != p && old.term < p.term && g.connected(old, p)
+		if !replaced || old.steppingDown {
 			continue
 		}
-		if g.goesOn == 0 {
+		if g.stepDownDelay == 0 {
 			old.role = cwgroup.RoleReplica
 			continue
 		}
-		old.leaving = true
-		go g.runStepDown(old, old.term)
+		old.steppingDown = true
+		go g.stepDownLater(old, old.term)
 	}
 }
 
-func (g *Group) runStepDown(m *Member, term cwgroup.Term) {
-	g.clock.Sleep(g.goesOn)
+// stepDownLater makes a replaced primary a replica after stepDownDelay, if it is
+// still a primary in the same term and can reach the new primary.
+func (g *Group) stepDownLater(m *Member, term cwgroup.Term) {
+	g.clock.Sleep(g.stepDownDelay)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	m.leaving = false
-	if p := g.primary(); m.role == cwgroup.RolePrimary && m.term == term && p != m && g.joined(m, p) {
+	m.steppingDown = false
+	if p := g.newestPrimary(); m.role == cwgroup.RolePrimary && m.term == term && p != m && g.connected(m, p) {
 		m.role = cwgroup.RoleReplica
 	}
 	g.replicate()
 }
 
-// now returns the time, zero where nothing takes any.
+// now returns the time by the group's clock; the zero time if none was set, since
+// no delay is configured then.
 func (g *Group) now() time.Time {
 	if g.clock == nil {
 		return time.Time{}
@@ -164,10 +178,12 @@
 	return g.clock.Now()
 }
 
+// commit appends a transaction to the member's log and replicates it. A transaction
+// without writes appends nothing.
 func (g *Group) commit(m *Member, writes map[string]string) {
 	if len(writes) == 0 {
 		return
 	}
-	m.append(writes, g.now())
+	m.appendRecord(writes, g.now())
 	g.replicate()
 }
