--- a/internal/standin/cwtable/table.go
+++ b/internal/standin/cwtable/table.go
@@ -1,6 +1,10 @@
-// Package cwtable is a stand-in for the platform: the transactional table, the
-// object store and the lagging list of instances, in memory, over HTTP. It can be down, slow, or
-// lose the answer after a change took effect.
+// Package cwtable emulates the platform over HTTP, in memory, for tests and demos:
+// the transactional table, the object store, and the list of instances, which
+// shows changes with a delay.
+//
+// Each row has a version, which clients see as an ETag. A commit writes several
+// rows atomically if the expected ETags still match. Faults make the platform
+// unavailable or slow, or lose the answer to a commit that took effect.
 package cwtable
 
 import (
@@ -21,49 +25,52 @@
 	"cicadawalk.example/cicadawalk/internal/wire/cwplatform"
 )
 
-// Error is the class of the stand-in's own failures.
+// Error is the class of the package's own errors.
 var Error = errs.Class("platform stand-in")
 
-// Faults are set at run time.
+// Faults are the faults that a platform injects. The zero value injects none.
 type Faults struct {
-	// Down refuses every request with status 503.
+	// Down answers every request with status 503.
 	Down bool
 	// Delay is added to every answer.
 	Delay time.Duration
-	// LoseAnswers is the number of commits whose answer is lost after the
-	// change took effect.
+	// LoseAnswers is the number of commits that take effect but whose connection
+	// is closed instead of the answer being sent.
 	LoseAnswers int
 }
 
+// row is the value of a row and the version that its last commit gave it.
 type row struct {
 	value   []byte
 	version uint64
 }
 
-type listed struct {
-	at   time.Time
-	list []cwplatform.InstanceBody
+// listVersion is a version of the list of instances and the time when it was set.
+type listVersion struct {
+	publishedAt time.Time
+	list        []cwplatform.InstanceBody
 }
 
-// Platform is the stand-in. Make one with Start.
+// Platform is the emulated platform. Start creates and serves one.
 type Platform struct {
-	// ListLag is how long the list of instances lags.
+	// ListLag is the delay before a new list of instances is visible.
 	ListLag time.Duration
 
 	ln  net.Listener
 	srv *http.Server
 
-	mu        sync.Mutex
-	rows      map[string]row
-	objects   map[string][]byte
-	versions  uint64
-	instances []listed
-	faults    Faults
-	reads     int
-	writes    int
+	mu            sync.Mutex
+	rows          map[string]row
+	objects       map[string][]byte
+	lastVersion   uint64
+	instanceLists []listVersion
+	faults        Faults
+	reads         int
+	writes        int
 }
 
-// Start serves a platform at an IP address and port.
+// Start creates a platform and serves it at an IP address and port until Stop. It
+// returns an error if the address cannot be listened on.
 func Start(listen string, listLag time.Duration) (*Platform, error) {
 	ln, err := net.Listen("tcp", listen)
 	if err != nil {
@@ -72,54 +79,58 @@
 	p := &Platform{ListLag: listLag, ln: ln, rows: make(map[string]row), objects: make(map[string][]byte)}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+cwplatform.PathRows+"{key...}", p.getRow)
-	mux.HandleFunc("GET "+cwplatform.PathList, p.list)
+	mux.HandleFunc("GET "+cwplatform.PathList, p.listRows)
 	mux.HandleFunc("POST "+cwplatform.PathCommit, p.commit)
 	mux.HandleFunc("GET "+cwplatform.PathInstances, p.getInstances)
 	mux.HandleFunc("GET "+cwplatform.PathObjects+"{key...}", p.getObject)
 	mux.HandleFunc("PUT "+cwplatform.PathObjects+"{key...}", p.putObject)
 	mux.HandleFunc("PUT "+cwplatform.PathInstances, p.putInstances)
-	p.srv = &http.Server{Handler: p.faulty(mux), ReadHeaderTimeout: 5 * time.Second}
-	go p.run()
+	p.srv = &http.Server{Handler: p.withFaults(mux), ReadHeaderTimeout: 5 * time.Second}
+	go p.serve()
 	return p, nil
 }
 
-func (p *Platform) run() { _ = p.srv.Serve(p.ln) }
+func (p *Platform) serve() { _ = p.srv.Serve(p.ln) }
 
-// URL returns the base for clients.
+// URL returns the base URL for clients.
 func (p *Platform) URL() string { return "http://" + p.ln.Addr().String() }
 
-// Stop ends the platform.
+// Stop closes the listener and all connections.
 func (p *Platform) Stop() { _ = p.srv.Close() }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the injected faults.
 func (p *Platform) SetFaults(f Faults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults = f
 }
 
-// Faults returns the present faults.
+// Faults returns the injected faults. LoseAnswers is the number that remains.
 func (p *Platform) Faults() Faults {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.faults
 }
 
-// Operations returns how many reads and writes were served.
+// Operations returns the numbers of reads and commits that were served: reads of
+// rows and of the list of instances, and commits whether they succeeded or not.
+// Requests for objects are not counted.
 func (p *Platform) Operations() (reads, writes int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.reads, p.writes
 }
 
-// SetInstances replaces the list; it shows after ListLag.
+// SetInstances replaces the list of instances. The new list is visible after
+// ListLag.
 func (p *Platform) SetInstances(list []cwplatform.InstanceBody) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.instances = append(p.instances, listed{at: time.Now(), list: list})
+	p.instanceLists = append(p.instanceLists, listVersion{publishedAt: time.Now(), list: list})
 }
 
-func (p *Platform) faulty(next http.Handler) http.Handler {
+// withFaults delays or refuses requests as Faults.Delay and Faults.Down say.
+func (p *Platform) withFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		f := p.Faults()
 		time.Sleep(f.Delay)
@@ -131,6 +142,7 @@
 	})
 }
 
+// etag returns the ETag of a version.
 func etag(v uint64) string { return strconv.Quote(strconv.FormatUint(v, 10)) }
 
 func (p *Platform) getRow(w http.ResponseWriter, r *http.Request) {
@@ -146,7 +158,7 @@
 	_, _ = w.Write(row.value)
 }
 
-func (p *Platform) list(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) listRows(w http.ResponseWriter, r *http.Request) {
 	prefix := r.URL.Query().Get("prefix")
 	p.mu.Lock()
 	p.reads++
@@ -180,7 +192,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// apply carries out a change whole, or names the row that was in the way.
+// apply writes all rows of a commit, or none if an expected ETag does not match; it
+// then returns the key of that row. With lose the answer is to be lost.
 func (p *Platform) apply(c cwplatform.CommitBody) (conflict string, lose bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -192,8 +205,8 @@
 		}
 	}
 	for _, put := range c.Put {
-		p.versions++
-		p.rows[put.Key] = row{value: put.Value, version: p.versions}
+		p.lastVersion++
+		p.rows[put.Key] = row{value: put.Value, version: p.lastVersion}
 	}
 	if p.faults.LoseAnswers > 0 {
 		p.faults.LoseAnswers--
@@ -206,8 +219,8 @@
 	p.mu.Lock()
 	p.reads++
 	out, tag := []cwplatform.InstanceBody{}, etag(0)
-	for i, l := range p.instances {
-		if time.Since(l.at) >= p.ListLag {
+	for i, l := range p.instanceLists {
+		if time.Since(l.publishedAt) >= p.ListLag {
 			out, tag = l.list, etag(uint64(i+1))
 		}
 	}
--- a/internal/standin/cwtable/table_test.go
+++ b/internal/standin/cwtable/table_test.go
@@ -10,29 +10,29 @@
 	"cicadawalk.example/cicadawalk/internal/wire/cwplatform"
 )
 
-// counting counts the bytes of answers.
-type counting struct{ bodies int64 }
+// countingTransport counts the bytes of response bodies.
+type countingTransport struct{ bodyBytes int64 }
 
 // RoundTrip implements http.RoundTripper.
-func (c *counting) RoundTrip(r *http.Request) (*http.Response, error) {
+func (c *countingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	resp, err := http.DefaultTransport.RoundTrip(r)
 	if err == nil && resp.ContentLength > 0 {
-		c.bodies += resp.ContentLength
+		c.bodyBytes += resp.ContentLength
 	}
 	return resp, err
 }
 
-func start(c *qt.C) (*Platform, *cwplatform.Client, *counting) {
+func startPlatform(c *qt.C) (*Platform, *cwplatform.Client, *countingTransport) {
 	p, err := Start("127.0.0.1:0", 0)
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(p.Stop)
-	rt := &counting{}
+	rt := &countingTransport{}
 	return p, &cwplatform.Client{URL: p.URL(), HTTP: &http.Client{Transport: rt}}, rt
 }
 
 func TestConditionalCommit(t *testing.T) {
 	c := qt.New(t)
-	p, client, _ := start(c)
+	p, client, _ := startPlatform(c)
 	ctx := context.Background()
 	put := func(tag, value string) error {
 		return client.Commit(ctx, cwplatform.Change{
@@ -59,15 +59,15 @@
 	var away *cwplatform.UnavailableError
 	c.Assert(put("", "5"), qt.ErrorAs, &away)
 	p.Stop()
-	// Over a connection that was open the request may have arrived; a new one
-	// is refused, and then it certainly did not.
+	// A request that fails on an open connection may have reached the platform. A
+	// refused new connection proves that it did not.
 	http.DefaultClient.CloseIdleConnections()
 	c.Assert(put("", "5"), qt.ErrorAs, &away)
 }
 
 func TestUnchangedListIsNotSentAgain(t *testing.T) {
 	c := qt.New(t)
-	p, client, rt := start(c)
+	p, client, rt := startPlatform(c)
 	ctx := context.Background()
 	p.SetInstances([]cwplatform.InstanceBody{{ID: "entry-1", State: "live"}})
 	for range 3 {
@@ -75,7 +75,7 @@
 		c.Assert(err, qt.IsNil)
 		c.Assert(list, qt.HasLen, 1)
 	}
-	once := rt.bodies
+	once := rt.bodyBytes
 	c.Assert(once > 0 && once < 100, qt.IsTrue, qt.Commentf("%d", once))
 	p.SetInstances([]cwplatform.InstanceBody{{ID: "entry-1", State: "live"}, {ID: "entry-2", State: "leaving"}})
 	list, err := client.Instances(ctx)
@@ -86,7 +86,7 @@
 
 func TestObjectsAreWrittenOnce(t *testing.T) {
 	c := qt.New(t)
-	_, client, _ := start(c)
+	_, client, _ := startPlatform(c)
 	ctx := context.Background()
 	_, err := client.GetObject(ctx, "a/b")
 	var absent *cwplatform.NotFoundError
