--- a/internal/standin/cwlink/link.go
+++ b/internal/standin/cwlink/link.go
@@ -1,6 +1,7 @@
-// Package cwlink is a stand-in for a network path: a TCP relay that can be
-// delayed, cut, or made silent for the connections that are open while new ones
-// work.
+// Package cwlink emulates a network path with a TCP relay, for tests and demos. A
+// Link accepts connections and relays each to a target. It can delay or drop the
+// data, close and refuse connections, or drop the data of the open connections
+// while new ones work.
 package cwlink
 
 import (
@@ -12,101 +13,108 @@
 	"github.com/zeebo/errs"
 )
 
-// Error is the class of the stand-in's own failures.
+// Error is the class of the package's own errors.
 var Error = errs.Class("link stand-in")
 
-// Faults are set at run time.
+// Faults are the faults that a link injects. The zero value injects none.
 type Faults struct {
-	// Delay is added in each direction.
+	// Delay is added to the data in each direction.
 	Delay time.Duration
-	// Cut drops everything: open connections bring nothing, and new ones are
-	// accepted but bring nothing either, as over a path that loses packets.
+	// Cut drops the data in both directions, as a path that loses all packets
+	// does. New connections are accepted, but their data is dropped too. A
+	// connection that was accepted during a cut, or that lost data, stays silent
+	// after the cut.
 	Cut bool
-	// CutBack drops what comes back from the target.
+	// CutBack drops the data from the target. A connection that lost data stays
+	// silent afterwards in both directions.
 	CutBack bool
-	// Refuse closes open connections and refuses new ones.
+	// Refuse closes open connections, and new ones as soon as they are accepted.
 	Refuse bool
 }
 
-// Link is one path. Make one with Start.
+// Link is one network path to a target. Start creates and serves one.
 type Link struct {
 	ln     net.Listener
 	target string
 
 	mu     sync.Mutex
 	faults Faults
-	// epoch counts the calls of Silence; connections of an earlier epoch bring
-	// nothing any more.
-	epoch int
-	pipes map[*pipe]struct{}
+	// silenceCount counts the calls of Silence. The data of connections that were
+	// accepted under a lower count is dropped.
+	silenceCount int
+	conns        map[*relayedConn]struct{}
 }
 
-// pipe is one relayed connection.
-type pipe struct {
-	link      *Link
-	epoch     int
-	near, far net.Conn
-	// lossy is true once something was dropped: a connection that lost a part
-	// of what it carries brings nothing more.
+// relayedConn is a connection of a client and the one to the target that it is
+// relayed to. Its targetConn is nil until the target is connected, and is guarded
+// by the link's lock.
+type relayedConn struct {
+	link                   *Link
+	silenceCount           int
+	clientConn, targetConn net.Conn
+	// lossy is true once data was dropped. All later data is dropped too, because
+	// a byte stream must not have gaps.
 	lossy atomic.Bool
 }
 
-// Start relays from an address to a target.
+// Start relays connections from a listen address to a target address until Stop.
+// It returns an error if the address cannot be listened on.
 func Start(listen, target string) (*Link, error) {
 	ln, err := net.Listen("tcp", listen)
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	l := &Link{ln: ln, target: target, pipes: make(map[*pipe]struct{})}
-	go l.run()
+	l := &Link{ln: ln, target: target, conns: make(map[*relayedConn]struct{})}
+	go l.acceptLoop()
 	return l, nil
 }
 
-// Addr returns the near end's address.
+// Addr returns the address on which the link listens.
 func (l *Link) Addr() string { return l.ln.Addr().String() }
 
-// Stop closes everything.
+// Stop closes the listener and all connections.
 func (l *Link) Stop() {
 	_ = l.ln.Close()
-	l.closePipes()
+	l.closeConns()
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the injected faults.
 func (l *Link) SetFaults(f Faults) {
 	l.mu.Lock()
 	l.faults = f
 	l.mu.Unlock()
 	if f.Refuse {
-		l.closePipes()
+		l.closeConns()
 	}
 }
 
-// Faults returns the present faults.
+// Faults returns the injected faults.
 func (l *Link) Faults() Faults {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.faults
 }
 
-// Silence makes the open connections silent for good. New ones work.
+// Silence drops all further data of the connections that are open, without closing
+// them. Connections accepted later work.
 func (l *Link) Silence() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.epoch++
+	l.silenceCount++
 }
 
-func (l *Link) closePipes() {
+func (l *Link) closeConns() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for p := range l.pipes {
-		_ = p.near.Close()
-		if p.far != nil {
-			_ = p.far.Close()
+	for relayed := range l.conns {
+		_ = relayed.clientConn.Close()
+		if relayed.targetConn != nil {
+			_ = relayed.targetConn.Close()
 		}
 	}
 }
 
-func (l *Link) run() {
+func (l *Link) acceptLoop() {
 	for {
 		conn, err := l.ln.Accept()
 		if err != nil {
@@ -117,51 +125,54 @@
 			continue
 		}
 		l.mu.Lock()
-		p := &pipe{link: l, epoch: l.epoch, near: conn}
-		l.pipes[p] = struct{}{}
+		relayed := &relayedConn{link: l, silenceCount: l.silenceCount, clientConn: conn}
+		l.conns[relayed] = struct{}{}
 		l.mu.Unlock()
-		go p.run()
+		go relayed.relay()
 	}
 }
 
-func (p *pipe) run() {
-	defer p.end()
-	if p.link.Faults().Cut {
-		p.copy(nil, p.near, false)
+// relay connects to the target and copies data in both directions until one side
+// ends. During a cut it does not connect, and only discards what the client sends.
+func (c *relayedConn) relay() {
+	defer c.close()
+	if c.link.Faults().Cut {
+		c.copy(nil, c.clientConn, false)
 		return
 	}
-	far, err := net.Dial("tcp", p.link.target)
+	targetConn, err := net.Dial("tcp", c.link.target)
 	if err != nil {
 		return
 	}
-	p.link.mu.Lock()
-	p.far = far
-	p.link.mu.Unlock()
+	c.link.mu.Lock()
+	c.targetConn = targetConn
+	c.link.mu.Unlock()
 	go func() {
-		p.copy(p.near, far, true)
-		_ = p.near.Close()
+		c.copy(c.clientConn, targetConn, true)
+		_ = c.clientConn.Close()
 	}()
-	p.copy(far, p.near, false)
+	c.copy(targetConn, c.clientConn, false)
 }
 
-func (p *pipe) end() {
-	p.link.mu.Lock()
-	delete(p.link.pipes, p)
-	far := p.far
-	p.link.mu.Unlock()
-	_ = p.near.Close()
-	if far != nil {
-		_ = far.Close()
+// close closes both connections and removes them from the link.
+func (c *relayedConn) close() {
+	c.link.mu.Lock()
+	delete(c.link.conns, c)
+	targetConn := c.targetConn
+	c.link.mu.Unlock()
+	_ = c.clientConn.Close()
+	if targetConn != nil {
+		_ = targetConn.Close()
 	}
 }
 
-// copy relays one direction until the source ends. What is read while the
-// connection is silent is dropped. Back is true for what comes from the target.
-func (p *pipe) copy(dst, src net.Conn, back bool) {
+// copy relays one direction until src ends or dst fails. fromTarget is true for
+// the direction from the target to the client.
+func (c *relayedConn) copy(dst, src net.Conn, fromTarget bool) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := src.Read(buf)
-		if n > 0 && !p.pass(dst, buf[:n], back) {
+		if n > 0 && !c.forward(dst, buf[:n], fromTarget) {
 			return
 		}
 		if err != nil {
@@ -170,21 +181,24 @@
 	}
 }
 
-func (p *pipe) silent() bool {
-	p.link.mu.Lock()
-	defer p.link.mu.Unlock()
-	return p.link.epoch != p.epoch
+// silenced reports whether Silence was called after the connection was accepted.
+func (c *relayedConn) silenced() bool {
+	c.link.mu.Lock()
+	defer c.link.mu.Unlock()
+	return c.link.silenceCount != c.silenceCount
 }
 
-func (p *pipe) pass(dst net.Conn, b []byte, back bool) bool {
-	f := p.link.Faults()
+// forward delays data and writes it to dst, or drops it as the faults say. It
+// returns false if the write fails.
+func (c *relayedConn) forward(dst net.Conn, b []byte, fromTarget bool) bool {
+	f := c.link.Faults()
 	if f.Delay > 0 {
 		time.Sleep(f.Delay)
 	}
-	if f.Cut || f.CutBack && back {
-		p.lossy.Store(true)
+	if f.Cut || f.CutBack && fromTarget {
+		c.lossy.Store(true)
 	}
-	if p.silent() || p.lossy.Load() || dst == nil {
+	if c.silenced() || c.lossy.Load() || dst == nil {
 		return true
 	}
 	_, err := dst.Write(b)
