--- a/internal/standin/cwcontrol/control.go
+++ b/internal/standin/cwcontrol/control.go
@@ -1,5 +1,7 @@
-// Package cwcontrol is the one control interface of all stand-ins: an HTTP
-// address where faults are read and replaced at run time as JSON.
+// Package cwcontrol serves the HTTP control interface of the stand-ins, the
+// emulators of databases, platform and network paths. Their faults can be read
+// and replaced at run time as JSON; durations are in milliseconds (Ms) or
+// microseconds (Us). POST /silence exists for network paths only.
 //
 //	curl http://ADDRESS/faults
 //	curl -X PUT -d '{"streamLagMs":100}' http://ADDRESS/faults
@@ -19,9 +21,10 @@
 	"cicadawalk.example/cicadawalk/internal/standin/cwtable"
 )
 
-// Error is the class of failures to serve the control interface.
+// Error is the class of the package's own errors.
 var Error = errs.Class("stand-in control")
 
+// databaseFaults is the JSON form of cwdatabase.Faults.
 type databaseFaults struct {
 	StreamLagMs      int64 `json:"streamLagMs"`
 	ApplyLagMs       int64 `json:"applyLagMs"`
@@ -32,21 +35,23 @@
 	NoReplication    bool  `json:"noReplication"`
 }
 
-type tableFaults struct {
+// platformFaults is the JSON form of cwtable.Faults.
+type platformFaults struct {
 	Down        bool  `json:"down"`
 	DelayMs     int64 `json:"delayMs"`
 	LoseAnswers int   `json:"loseAnswers"`
 }
 
+// linkFaults is the JSON form of cwlink.Faults, without CutBack.
 type linkFaults struct {
 	DelayMs int64 `json:"delayMs"`
 	Cut     bool  `json:"cut"`
 	Refuse  bool  `json:"refuse"`
 }
 
-// Database returns the handler for a database's faults.
+// Database returns the control handler of a database.
 func Database(m *cwdatabase.Running) http.Handler {
-	return faults(func(f databaseFaults) {
+	return faultsHandler(func(f databaseFaults) {
 		m.SetFaults(cwdatabase.Faults{
 			StreamLag:        time.Duration(f.StreamLagMs) * time.Millisecond,
 			ApplyLag:         time.Duration(f.ApplyLagMs) * time.Millisecond,
@@ -66,19 +71,19 @@
 	})
 }
 
-// Platform returns the handler for the platform's faults.
+// Platform returns the control handler of a platform.
 func Platform(p *cwtable.Platform) http.Handler {
-	return faults(func(f tableFaults) {
+	return faultsHandler(func(f platformFaults) {
 		p.SetFaults(cwtable.Faults{Down: f.Down, Delay: time.Duration(f.DelayMs) * time.Millisecond, LoseAnswers: f.LoseAnswers})
-	}, func() tableFaults {
+	}, func() platformFaults {
 		f := p.Faults()
-		return tableFaults{Down: f.Down, DelayMs: f.Delay.Milliseconds(), LoseAnswers: f.LoseAnswers}
+		return platformFaults{Down: f.Down, DelayMs: f.Delay.Milliseconds(), LoseAnswers: f.LoseAnswers}
 	})
 }
 
-// Link returns the handler for a path's faults.
+// Link returns the control handler of a network path.
 func Link(l *cwlink.Link) http.Handler {
-	mux := faults(func(f linkFaults) {
+	mux := faultsHandler(func(f linkFaults) {
 		l.SetFaults(cwlink.Faults{Delay: time.Duration(f.DelayMs) * time.Millisecond, Cut: f.Cut, Refuse: f.Refuse})
 	}, func() linkFaults {
 		f := l.Faults()
@@ -91,7 +96,10 @@
 	return mux
 }
 
-func faults[F any](set func(F), get func() F) *http.ServeMux {
+// faultsHandler returns a handler that reads faults with GET /faults and replaces
+// all of them with PUT /faults. Fields that are absent from the request are reset;
+// unknown fields are refused with status 400.
+func faultsHandler[F any](set func(F), get func() F) *http.ServeMux {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT /faults", func(w http.ResponseWriter, r *http.Request) {
 		var f F
@@ -110,7 +118,9 @@
 	return mux
 }
 
-// Serve serves a handler at an address; an empty address serves nothing.
+// Serve serves a handler at an address until the process ends, and returns the
+// address on which it listens. An empty address serves nothing, and the returned
+// address is nil.
 func Serve(listen string, h http.Handler) (net.Addr, error) {
 	if listen == "" {
 		return nil, nil
