--- a/internal/standin/cwprogram/program.go
+++ b/internal/standin/cwprogram/program.go
@@ -1,4 +1,5 @@
-// Package cwprogram is the command line of the stand-ins.
+// Package cwprogram implements cicadastandin, the command line of the stand-ins:
+// it runs an emulated database, platform or network path in a process of its own.
 package cwprogram
 
 import (
@@ -18,10 +19,11 @@
 	"cicadawalk.example/cicadawalk/internal/wire/cwplatform"
 )
 
-// Error is the class of the program's own failures.
+// Error is the class of the program's own errors.
 var Error = errs.Class("cicadastandin")
 
-// Root returns the cicadastandin command.
+// Root returns the cicadastandin command with its subcommands database, platform
+// and link.
 func Root() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "cicadastandin",
@@ -52,17 +54,17 @@
 			if _, err := cwcontrol.Serve(control, cwcontrol.Database(m)); err != nil {
 				return err
 			}
-			return until(cmd, "database "+id+" at "+m.Addr())
+			return serveUntilDone(cmd, "database "+id+" at "+m.Addr())
 		},
 	}
 	fs := cmd.Flags()
 	fs.StringVar(&id, "id", "db", "the database's id in the catalogue")
-	fs.StringVar(&cfg.Listen, "listen", "127.0.0.1:5432", "address, IP:port")
+	fs.StringVar(&cfg.Listen, "listen", "127.0.0.1:5432", "address to listen on, IP:port")
 	fs.StringVar(&control, "control", "", "address of the control interface, IP:port")
-	fs.IntVar(&cfg.Connections, "connections", 25, "connections accepted")
-	fs.IntVar(&cfg.Slots, "slots", 3, "statements executed at once")
-	fs.DurationVar(&cfg.ConnectDelay, "connect-delay", 10*time.Millisecond, "time that a new connection takes")
-	fs.BoolVar(&cfg.ChecksTerm, "checks-term", true, "check the term of every order")
+	fs.IntVar(&cfg.Connections, "connections", 25, "maximum number of client connections")
+	fs.IntVar(&cfg.Slots, "slots", 3, "statements executed concurrently")
+	fs.DurationVar(&cfg.ConnectDelay, "connect-delay", 10*time.Millisecond, "delay of each new connection")
+	fs.BoolVar(&cfg.ChecksTerm, "checks-term", true, "check the term of every control command")
 	fs.BoolVar(&cfg.Primary, "primary", false, "start as the primary of term 1")
 	fs.StringVar(&cfg.Follow, "follow", "", "address of the primary of term 1")
 	fs.StringVar(&followID, "follow-id", "", "id of the primary of term 1")
@@ -92,17 +94,18 @@
 			if _, err := cwcontrol.Serve(control, cwcontrol.Platform(p)); err != nil {
 				return err
 			}
-			return until(cmd, "platform at "+p.URL())
+			return serveUntilDone(cmd, "platform at "+p.URL())
 		},
 	}
 	fs := cmd.Flags()
-	fs.StringVar(&listen, "listen", "127.0.0.1:7000", "address, IP:port")
+	fs.StringVar(&listen, "listen", "127.0.0.1:7000", "address to listen on, IP:port")
 	fs.StringVar(&control, "control", "", "address of the control interface, IP:port")
-	fs.StringVar(&instances, "instances", "", "file with the list of instances")
-	fs.DurationVar(&lag, "list-lag", time.Second, "how long the list of instances lags")
+	fs.StringVar(&instances, "instances", "", "JSON file with the list of instances")
+	fs.DurationVar(&lag, "list-lag", time.Second, "delay before a new list of instances is visible")
 	return cmd
 }
 
+// loadInstances sets the platform's list of instances from a JSON file.
 func loadInstances(p *cwtable.Platform, name string) error {
 	text, err := os.ReadFile(name)
 	if err != nil {
@@ -132,19 +135,19 @@
 			if _, err := cwcontrol.Serve(control, cwcontrol.Link(l)); err != nil {
 				return err
 			}
-			return until(cmd, "link at "+l.Addr())
+			return serveUntilDone(cmd, "link at "+l.Addr())
 		},
 	}
 	fs := cmd.Flags()
-	fs.StringVar(&listen, "listen", "127.0.0.1:5433", "near address, IP:port")
-	fs.StringVar(&target, "target", "127.0.0.1:5432", "far address, IP:port")
+	fs.StringVar(&listen, "listen", "127.0.0.1:5433", "address to listen on, IP:port")
+	fs.StringVar(&target, "target", "127.0.0.1:5432", "address of the target, IP:port")
 	fs.StringVar(&control, "control", "", "address of the control interface, IP:port")
 	return cmd
 }
 
-// until says that a stand-in serves, and waits for a signal.
-func until(cmd *cobra.Command, what string) error {
-	fmt.Fprintln(cmd.OutOrStdout(), what)
+// serveUntilDone prints what is served and waits until the command's context ends.
+func serveUntilDone(cmd *cobra.Command, description string) error {
+	fmt.Fprintln(cmd.OutOrStdout(), description)
 	<-cmd.Context().Done()
 	return nil
 }
