--- a/internal/standin/cwdatabase/builtin.go
+++ b/internal/standin/cwdatabase/builtin.go
@@ -90,7 +90,7 @@
 	return textResult("pg_sleep", "", "SELECT 1"), true, nil
 }
 
-// functionCall is a statement that is nothing but one function functionCall: SELECT f(...),
+// functionCall is a statement that consists of one function call: SELECT f(...) or
 // SELECT * FROM f(...). A query of pg_stat_activity for one pid is treated as a
 // call with the pid as its argument.
 type functionCall struct {
--- a/internal/standin/cwdatabase/member.go
+++ b/internal/standin/cwdatabase/member.go
@@ -40,9 +40,9 @@
 	Slots int
 	// ConnectDelay is added to the startup of each client connection.
 	ConnectDelay time.Duration
-	// ChecksTerm makes the member refuse control commands and replication
-	// requests of a term or claim other than its own. A member without it
-	// accepts any.
+	// ChecksTerm makes the member refuse control commands of an earlier term, or
+	// of its own term under another claim, and replication requests of another
+	// term. Without it the member accepts any.
 	ChecksTerm bool
 	// Databases lists the database names that clients can connect to; if it is
 	// empty, every name is accepted.
@@ -102,14 +102,18 @@
 	// log holds the record of position i at index i-1.
 	log []record
 	// applied is the position of the last record that the engine has run.
-	applied     cwgroup.Position
+	applied cwgroup.Position
+	// primaryAddr and primaryID are the address and id of the primary that a
+	// replica follows; empty if there is none.
 	primaryAddr string
 	primaryID   cwgroup.MemberID
 	// lastHeard is when this replica last received a message from its primary.
-	lastHeard  time.Time
+	lastHeard time.Time
+	// openWrites is the number of open write transactions.
 	openWrites int
 	faults     Faults
-	// changed is closed and replaced by notify when a field above changes.
+	// changed is closed and replaced by notify after a change of the role, term,
+	// log, data or faults.
 	changed chan struct{}
 }
 
--- a/internal/standin/cwdatabase/server.go
+++ b/internal/standin/cwdatabase/server.go
@@ -102,6 +102,7 @@
 	return len(r.server.sessions)
 }
 
+// run accepts connections until ctx ends, and returns when all are closed.
 func (s *server) run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, s.closeConnections)
 	defer stop()
--- a/internal/standin/cwdatabase/session.go
+++ b/internal/standin/cwdatabase/session.go
@@ -46,8 +46,11 @@
 	cancelMu sync.Mutex
 	cancel   context.CancelFunc
 
+	// settings holds the values of SET by name.
 	settings map[string]string
 	tx       transaction
+	// prepared and portals hold the prepared statements and portals of the extended
+	// protocol by name; the empty name is the unnamed one.
 	prepared map[string]*preparedStatement
 	portals  map[string]*portal
 	// skipToSync is true after an error in the extended protocol. All messages up
@@ -70,6 +73,7 @@
 	stmts []statement
 }
 
+// init makes the maps of the extended protocol.
 func (c *session) init() {
 	c.prepared = make(map[string]*preparedStatement)
 	c.portals = make(map[string]*portal)
@@ -247,6 +251,7 @@
 	c.discardTransaction()
 }
 
+// flush sends the buffered answers. While the member is frozen it waits.
 func (c *session) flush(ctx context.Context) error {
 	c.member.waitWhileFrozen(ctx)
 	return c.backend.Flush()
@@ -381,8 +386,12 @@
 	return ""
 }
 
+// errCanceled is the error of a statement that was canceled while it waited or
+// slept.
 var errCanceled = &sqlError{"57014", "canceling statement due to user request"}
 
+// setCancelFunc sets the function that cancels the statement in progress; nil if
+// none is in progress.
 func (c *session) setCancelFunc(f context.CancelFunc) {
 	c.cancelMu.Lock()
 	c.cancel = f
