--- a/internal/standin/cwreplica/conn.go
+++ b/internal/standin/cwreplica/conn.go
@@ -20,7 +20,7 @@
 	incarnation int
 	instance    string
 	// workspace is the workspace whose statements run on the connection; empty for
-	// the proxy's own statements.
+	// statements of the proxy itself and of callers without a workspace.
 	workspace string
 
 	// queue holds the commands sent and not yet answered.
@@ -67,14 +67,14 @@
 	return a, nil
 }
 
-// cutPollInterval is the interval at which a connection checks whether a cut path
-// that holds it up has been restored.
+// cutPollInterval is the interval at which a connection that hangs on a cut path
+// checks whether the path has been restored.
 const cutPollInterval = 20 * time.Millisecond
 
-// awaitMember waits for the timeout if the member is unresponsive. If cuts hold
-// connections up, it also waits until the path is restored or the member restarts;
-// the connection is broken then. The caller holds the group's lock, which is
-// released while waiting.
+// awaitMember waits for the timeout if the member is unresponsive. If the path is
+// cut and cuts make connections hang, it also waits until the path is restored or
+// the member restarts; the connection is broken after such a wait. The caller
+// holds the group's lock, which is released meanwhile.
 func (c *conn) awaitMember() {
 	if c.member.unresponsive {
 		c.sleep(c.timeout)
@@ -128,6 +128,8 @@
 	return a
 }
 
+// execute runs a command of any verb. Answers to statements and commits carry a
+// proof with the command's id.
 func (c *conn) execute(cmd cwstatement.Command) cwstatement.Answer {
 	done := cwstatement.Answer{Proof: "proof-" + cmd.ID}
 	switch cmd.Verb {
@@ -154,11 +156,11 @@
 		clear(c.prepared)
 		return cwstatement.Answer{}
 	case cwstatement.Execute:
-		word, ok := c.prepared[cmd.Name]
+		verb, ok := c.prepared[cmd.Name]
 		if !ok {
 			return cwstatement.Failure(cwstatement.NotPrepared, cmd.Name)
 		}
-		return c.execStatement(cmd.ID, word+" "+cmd.Rest, done)
+		return c.execStatement(cmd.ID, verb+" "+cmd.Rest, done)
 	}
 	return c.execStatement(cmd.ID, cmd.Text, done)
 }
@@ -176,9 +178,9 @@
 // that began before the member was demoted or changed its term.
 func (c *conn) execStatement(id, text string, done cwstatement.Answer) cwstatement.Answer {
 	item, data := parseItem(text)
-	lost := c.state == cwstatement.Open && !c.readOnly && !c.isPrimary()
+	demoted := c.state == cwstatement.Open && !c.readOnly && !c.isPrimary()
 	if strings.HasPrefix(text, "READ") {
-		if lost {
+		if demoted {
 			return cwstatement.Failure(cwstatement.NotPrimary, string(c.member.id))
 		}
 		done.Rows = []string{c.readItem(item)}
@@ -187,7 +189,7 @@
 		}
 		return done
 	}
-	if lost || !c.isPrimary() && c.state == cwstatement.Idle || c.state == cwstatement.Open && c.readOnly {
+	if demoted || !c.isPrimary() && c.state == cwstatement.Idle || c.state == cwstatement.Open && c.readOnly {
 		return cwstatement.Failure(cwstatement.NotPrimary, string(c.member.id))
 	}
 	if c.state == cwstatement.Open {
@@ -204,7 +206,8 @@
 	return c.member.role == cwgroup.RolePrimary && (c.state == cwstatement.Idle || c.member.term == c.term)
 }
 
-// readItem returns the value of an item as the transaction or session sees it.
+// readItem returns the value of an item: that of the open transaction's own write
+// if there is one, else that of the visible log.
 func (c *conn) readItem(item string) string {
 	if v, ok := c.writes[item]; ok {
 		return v
@@ -212,14 +215,17 @@
 	return itemValue(c.visibleLog(), item)
 }
 
+// commit ends the transaction. It fails with Aborted if the transaction has failed
+// or none is open, and with NotPrimary if there are writes and the member is no
+// longer the primary of the transaction's term.
 func (c *conn) commit(done cwstatement.Answer) cwstatement.Answer {
 	state := c.state
-	leads := c.isPrimary()
+	isPrimary := c.isPrimary()
 	c.state = cwstatement.Idle
 	switch {
 	case state != cwstatement.Open:
 		return cwstatement.Failure(cwstatement.Aborted, "")
-	case len(c.writes) > 0 && !leads:
+	case len(c.writes) > 0 && !isPrimary:
 		return cwstatement.Failure(cwstatement.NotPrimary, string(c.member.id))
 	}
 	c.group.commit(c.member, c.writes)
--- a/internal/standin/cwreplica/group.go
+++ b/internal/standin/cwreplica/group.go
@@ -96,7 +96,8 @@
 	// promotionDelay is the time by clock between the order to promote a member and
 	// the promotion.
 	promotionDelay time.Duration
-	// clock is the clock that the last setting with a duration gave; nil before.
+	// clock is the clock given last to a method that sets a delay or a fault; nil
+	// if none was given.
 	clock clockwork.Clock
 	// stepDownDelay is how long a replaced primary remains a primary once it can
 	// reach the new one.
@@ -298,6 +299,7 @@
 // workspace of each connection is used as the instance's name.
 func (g *Group) From(instance string) cwport.Dialer { return dialer{group: g, instance: instance} }
 
+// dialer opens connections of an instance. It implements cwport.Dialer.
 type dialer struct {
 	group    *Group
 	instance string
