--- a/internal/standin/cwdatabase/extended.go
+++ b/internal/standin/cwdatabase/extended.go
@@ -158,7 +158,7 @@
 }
 
 // columnsOf returns a result without rows that has the columns of a statement;
-// nil if the statement returns no rows. The statement is not run.
+// nil if the statement returns no rows. The statement itself is not run.
 func (c *session) columnsOf(ctx context.Context, p *preparedStatement) (*result, error) {
 	switch {
 	case p.empty:
