--- a/internal/proxy/cwfront/bench_test.go
+++ b/internal/proxy/cwfront/bench_test.go
@@ -15,9 +15,9 @@
 	"cicadawalk.example/cicadawalk/internal/tool/cwdemo"
 )
 
-// benchConn starts a demo and returns one connection to a proxy and one
+// startBenchmark starts a demo and returns one connection to a proxy and one
 // straight to the primary, with a table of 100 rows.
-func benchConn(b *testing.B) (proxy, direct *pgx.Conn, bench *cwdemo.Bench) {
+func startBenchmark(b *testing.B) (proxy, direct *pgx.Conn, bench *cwdemo.Bench) {
 	b.Helper()
 	bench, err := cwdemo.Start(cwdemo.Options{Proxies: 1})
 	qt.Assert(b, err, qt.IsNil)
@@ -48,7 +48,7 @@
 }
 
 func BenchmarkPointRead(b *testing.B) {
-	proxy, direct, _ := benchConn(b)
+	proxy, direct, _ := startBenchmark(b)
 	for name, conn := range map[string]*pgx.Conn{"direct": direct, "proxy": proxy} {
 		b.Run(name, func(b *testing.B) {
 			for i := range b.N {
@@ -59,7 +59,7 @@
 }
 
 func BenchmarkWrite(b *testing.B) {
-	proxy, direct, _ := benchConn(b)
+	proxy, direct, _ := startBenchmark(b)
 	for name, conn := range map[string]*pgx.Conn{"direct": direct, "proxy": proxy} {
 		b.Run(name, func(b *testing.B) {
 			for i := range b.N {
@@ -73,7 +73,7 @@
 
 // BenchmarkPointReads measures throughput with eight callers at once.
 func BenchmarkPointReads(b *testing.B) {
-	_, _, bench := benchConn(b)
+	_, _, bench := startBenchmark(b)
 	for name, url := range map[string]string{"direct": cwdemo.URL(bench.Databases[0].Addr()), "proxy": bench.URL(0)} {
 		b.Run(name, func(b *testing.B) {
 			var wg sync.WaitGroup
@@ -117,10 +117,10 @@
 	cwbound.Check(t, "allocationsPerForwardedStatement", proxy-direct)
 }
 
-// TestMemoryOfAnIdleCaller bounds the heap and stacks of a caller that is
+// TestMemoryOfAnIdleClient bounds the heap and stacks of a caller that is
 // connected and does nothing. The callers are bare sockets in the same process,
 // so the figure is a little too high.
-func TestMemoryOfAnIdleCaller(t *testing.T) {
+func TestMemoryOfAnIdleClient(t *testing.T) {
 	bench, err := cwdemo.Start(cwdemo.Options{Proxies: 1})
 	qt.Assert(t, err, qt.IsNil)
 	t.Cleanup(bench.Stop)
--- a/internal/proxy/cwfront/promise_test.go
+++ b/internal/proxy/cwfront/consistency_test.go
@@ -25,7 +25,7 @@
 // without, the second proxy must not answer from data that is too old.
 func TestReadsOwnWritesAfterRoaming(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, cwdemo.Options{})
+	b := startProxies(c, cwdemo.Options{})
 	conn := b.connect(c, 0)
 	exec(c, conn, "CREATE TABLE ronda (id bigint PRIMARY KEY)")
 	for _, d := range b.Databases[1:] {
@@ -50,13 +50,13 @@
 // get an answer, not wait for a record that never comes.
 func TestTokenFromTheFuture(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, cwdemo.Options{})
+	b := startProxies(c, cwdemo.Options{})
 	conn := b.connect(c, 0)
 	exec(c, conn, "CREATE TABLE ronda (id bigint PRIMARY KEY)")
-	forged := forge(c, "rondas-1", cwgroup.Mark{Term: 9, Position: 1 << 40})
+	forged := forgeToken(c, "rondas-1", cwgroup.Mark{Term: 9, Position: 1 << 40})
 	late := b.connect(c, 1, "cicadawalk.sessionToken", forged)
 	began := time.Now()
-	_, err := late.Exec(background, "SELECT count(*) FROM ronda")
+	_, err := late.Exec(testContext, "SELECT count(*) FROM ronda")
 	assertRefused(c, err, "22023")
 	c.Assert(time.Since(began) < 5*time.Second, qt.IsTrue)
 }
@@ -65,19 +65,19 @@
 // same connection must not be hit by a cancel that arrives late.
 func TestCancel(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, cwdemo.Options{})
+	b := startProxies(c, cwdemo.Options{})
 	conn, other := b.connect(c, 0), b.connect(c, 0)
-	ctx, cancel := context.WithCancel(background)
+	ctx, cancel := context.WithCancel(testContext)
 	go func() {
 		<-time.After(100 * time.Millisecond)
-		_ = conn.PgConn().CancelRequest(background)
+		_ = conn.PgConn().CancelRequest(testContext)
 	}()
 	_, err := conn.Exec(ctx, "SELECT pg_sleep(20)")
 	cancel()
 	assertRefused(c, err, "57014")
 	c.Assert(queryInt(c, conn, "SELECT 1"), qt.Equals, int64(1))
 	for range 20 {
-		_ = conn.PgConn().CancelRequest(background)
+		_ = conn.PgConn().CancelRequest(testContext)
 		c.Assert(queryInt(c, other, "SELECT 1"), qt.Equals, int64(1))
 	}
 	c.Run("through another proxy", func(c *qt.C) {
@@ -85,7 +85,7 @@
 			<-time.After(100 * time.Millisecond)
 			c.Check(cancelAt(b.Proxies[1].Addr(), conn.PgConn()), qt.IsNil)
 		}()
-		_, err := conn.Exec(background, "SELECT pg_sleep(20)")
+		_, err := conn.Exec(testContext, "SELECT pg_sleep(20)")
 		assertRefused(c, err, "57014")
 	})
 }
@@ -110,7 +110,7 @@
 	c := qt.New(t)
 	contract := cwdemo.DefaultContract()
 	contract.Connections = 6
-	b := newBench(c, cwdemo.Options{Contract: contract})
+	b := startProxies(c, cwdemo.Options{Contract: contract})
 	conns := make([]*pgx.Conn, 8)
 	for i := range conns {
 		conns[i] = b.connect(c, i%2)
@@ -121,7 +121,7 @@
 			for n := range 50 {
 				want := fmt.Sprintf("%d-%d", i, n)
 				var got string
-				err := conn.QueryRow(background, "SELECT CAST($1 AS text)", want).Scan(&got)
+				err := conn.QueryRow(testContext, "SELECT CAST($1 AS text)", want).Scan(&got)
 				if err == nil && got != want {
 					err = fmt.Errorf("got %q, want %q", got, want)
 				}
@@ -142,9 +142,9 @@
 // records in three groups, and every proxy must find the same one for a shard.
 func TestShards(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, cwdemo.Options{Groups: 3})
+	b := startProxies(c, cwdemo.Options{Groups: 3})
 	conn := b.connect(c, 0)
-	_, err := conn.Exec(background, "SELECT 1")
+	_, err := conn.Exec(testContext, "SELECT 1")
 	assertRefused(c, err, "22023")
 	used := make(map[string]bool)
 	for i := range 9 {
@@ -172,10 +172,10 @@
 	c := qt.New(t)
 	contract := cwdemo.DefaultContract()
 	contract.Connections, contract.StatementTimeout = 6, 300*time.Millisecond
-	b := newBench(c, cwdemo.Options{Contract: contract})
+	b := startProxies(c, cwdemo.Options{Contract: contract})
 	conn, other := b.connect(c, 0), b.connect(c, 0)
 	for range 3 {
-		_, err := conn.Exec(background, "SELECT pg_sleep(0.8)")
+		_, err := conn.Exec(testContext, "SELECT pg_sleep(0.8)")
 		pe := assertRefused(c, err, "40001")
 		c.Assert(pe.Detail, qt.Contains, "notRun=true")
 		for range 5 {
@@ -189,7 +189,7 @@
 // others alone; a long statement looks the same and must not be cut.
 func TestSilentConnections(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, cwdemo.Options{})
+	b := startProxies(c, cwdemo.Options{})
 	exec(c, b.connect(c, 0), "CREATE TABLE ronda (id bigint)")
 	silence := func() {
 		for _, l := range b.links {
@@ -215,7 +215,7 @@
 		exec(c, conn, "BEGIN")
 		exec(c, conn, "INSERT INTO ronda VALUES (1)")
 		silence()
-		_, err := conn.Exec(background, "INSERT INTO ronda VALUES (2)")
+		_, err := conn.Exec(testContext, "INSERT INTO ronda VALUES (2)")
 		pe := assertRefused(c, err, "40001")
 		c.Assert(pe.Detail, qt.Contains, "notRun=true")
 		exec(c, conn, "ROLLBACK")
@@ -232,7 +232,7 @@
 		conn := b.connect(c, 0)
 		exec(c, conn, "INSERT INTO ronda VALUES (4)")
 		silence()
-		_, err := conn.Exec(background, "INSERT INTO ronda VALUES (5)")
+		_, err := conn.Exec(testContext, "INSERT INTO ronda VALUES (5)")
 		assertRefused(c, err, "08007")
 	})
 }
@@ -241,27 +241,27 @@
 // anything: his booking waited for a lock at a database that was just then put
 // out of charge, which ends its sessions. He must be told what is true of his
 // booking, and the next one must find the new primary.
-func TestDatabasePutOutOfChargeUnderAWaitingWrite(t *testing.T) {
+func TestDemotionUnderAWaitingWrite(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, cwdemo.Options{})
+	b := startProxies(c, cwdemo.Options{})
 	holder, waiting, sleeping := b.connect(c, 0), b.connect(c, 0), b.connect(c, 1)
 	exec(c, holder, "CREATE TABLE ronda (id bigint)")
 	exec(c, sleeping, "BEGIN")
 	slept := make(chan error)
 	go func() {
-		_, err := sleeping.Exec(background, "SELECT pg_sleep(8)")
+		_, err := sleeping.Exec(testContext, "SELECT pg_sleep(8)")
 		slept <- err
 	}()
 	exec(c, holder, "BEGIN")
 	exec(c, holder, "INSERT INTO ronda VALUES (1)")
 	done := make(chan error)
 	go func() {
-		_, err := waiting.Exec(background, "INSERT INTO ronda VALUES (2)")
+		_, err := waiting.Exec(testContext, "INSERT INTO ronda VALUES (2)")
 		done <- err
 	}()
-	direct, err := pgx.Connect(background, cwdemo.URL(b.Databases[0].Addr()))
+	direct, err := pgx.Connect(testContext, cwdemo.URL(b.Databases[0].Addr()))
 	c.Assert(err, qt.IsNil)
-	defer direct.Close(background)
+	defer direct.Close(testContext)
 	<-time.After(100 * time.Millisecond)
 	exec(c, direct, "SELECT * FROM group_adopt(2, 'somebody')", pgx.QueryExecModeSimpleProtocol)
 	// Either the lock came first, and the database refused the write, which then
@@ -272,7 +272,7 @@
 		want = 1
 	}
 	c.Assert(assertRefused(c, <-slept, "40001").Detail, qt.Contains, "notRun=true")
-	_, err = holder.Exec(background, "COMMIT")
+	_, err = holder.Exec(testContext, "COMMIT")
 	c.Assert(err, qt.IsNotNil)
 	exec(c, b.connect(c, 1), "INSERT INTO ronda VALUES (3)")
 	c.Assert(queryInt(c, b.connect(c, 0), "SELECT count(*) FROM ronda"), qt.Equals, want)
@@ -284,7 +284,7 @@
 	c := qt.New(t)
 	contract := cwdemo.DefaultContract()
 	contract.AckTimeout = 200 * time.Millisecond
-	b := newBench(c, cwdemo.Options{Contract: contract})
+	b := startProxies(c, cwdemo.Options{Contract: contract})
 	exec(c, b.connect(c, 0), "CREATE TABLE ronda (note text)")
 	b.Databases[0].SetFaults(cwdatabase.Faults{NoReplication: true})
 	nc, err := net.Dial("tcp", b.Proxies[0].Addr())
--- a/internal/proxy/cwfront/exec.go
+++ b/internal/proxy/cwfront/exec.go
@@ -5,45 +5,49 @@
 	"cicadawalk.example/cicadawalk/internal/wire/cwtarget"
 )
 
-// exec runs a statement of the system's own on a borrowed connection. It stops
-// waiting if the member no longer leads.
+// exec runs a statement of the proxy itself on a borrowed connection. The
+// watchdog ends the wait, for instance if the member is no longer the primary.
 func (s *session) exec(r route, query string) (cwtarget.Result, error) {
-	s.setLease(r.lease)
-	w := watchdog{s: s, route: r, heard: s.server.Clock.Now()}
-	w.arm()
-	defer w.disarm()
+	s.setActiveLease(r.lease)
+	w := watchdog{s: s, route: r, lastActivity: s.server.Clock.Now()}
+	w.setReadDeadline()
+	defer w.clearReadDeadline()
 	return r.lease.Conn.ExecWith(query, w.receive)
 }
 
-// exchangeKeyed sends a unit inside the transaction that carries its key.
-func (s *session) exchangeKeyed(r route, u unit) (reply, bool, error) {
-	u.ends = true // hold the whole answer
-	return s.exchangeInTransaction(r, u)
+// sendKeyed sends a request inside the transaction that its request key was
+// written in.
+func (s *session) sendKeyed(r route, req request) (responseSummary, bool, error) {
+	req.mayCommit = true // relay may then not stream the response: it is recorded with the key
+	return s.sendAndRelay(r, req)
 }
 
-// finishOwn gives a connection back after a statement of the system's own, or
-// closes it if the statement left it in doubt.
-func (s *session) finishOwn(r route, err error) {
+// releaseOrDiscard returns a connection to the pool after a statement of the
+// proxy itself, or closes it if err leaves its state unknown. After an error that
+// the target reported the state is known.
+func (s *session) releaseOrDiscard(r route, err error) {
 	if err == nil || cwtarget.ServerCode(err) != "" {
-		s.give(r)
+		s.releaseConnection(r)
 		return
 	}
-	s.drop(r)
+	s.discardConnection(r)
 }
 
-// rollback ends the transaction at the target and gives the connection back.
+// rollback rolls back the transaction at the target and returns the connection
+// to the pool.
 func (s *session) rollback(r route) {
 	_, err := s.exec(r, "ROLLBACK")
-	s.finishOwn(r, err)
+	s.releaseOrDiscard(r, err)
 }
 
-// drop closes a connection whose state is not known.
-func (s *session) drop(r route) {
-	s.setLease(nil)
+// discardConnection closes a connection whose state is unknown.
+func (s *session) discardConnection(r route) {
+	s.setActiveLease(nil)
 	r.lease.Discard()
 }
 
-// parseMark reads the mark of a commit; a commit that wrote nothing has none.
+// parseMark parses the log position reported with a commit. A commit that wrote
+// nothing reports none, and the zero position is returned.
 func parseMark(text string) (cwgroup.Mark, error) {
 	if text == "" {
 		return cwgroup.Mark{}, nil
--- a/internal/proxy/cwfront/extended.go
+++ b/internal/proxy/cwfront/extended.go
@@ -12,21 +12,21 @@
 	"cicadawalk.example/cicadawalk/internal/wire/cwsql"
 )
 
-// op is one message of a batch.
-type op struct {
-	// kind is the message's type byte: P, B, D, E or C.
-	kind byte
-	// object is S or P for Describe and Close.
-	object byte
-	portal string
-	prep   *prepared
-	bind   *pgproto3.Bind
-	rows   uint32
+// batchMessage is one message of a batch.
+type batchMessage struct {
+	// msgType is the message's type byte: P, B, D, E or C.
+	msgType byte
+	// objectType is S or P for Describe and Close.
+	objectType byte
+	portal     string
+	statement  *preparedStatement
+	bind       *pgproto3.Bind
+	maxRows    uint32
 }
 
 // batch is what the caller sent of the extended protocol since the last Sync.
 type batch struct {
-	ops []op
+	messages []batchMessage
 	// err is the first fault found by the proxy itself. Nothing of the batch
 	// runs then, as in PostgreSQL, where a batch is one implicit transaction.
 	err error
@@ -36,81 +36,81 @@
 	endWrite func()
 	// failed is true after an error that was passed on before the Sync.
 	failed bool
-	// unsynced is true if a part of the batch was flushed inside a transaction.
-	unsynced bool
-	// parses are the names that are being prepared, in order, since the last answer.
-	parses []string
+	// awaitingSync is true if a part of the batch was flushed inside a transaction.
+	awaitingSync bool
+	// pendingParses are the names that are being prepared, in order, since the last answer.
+	pendingParses []string
 }
 
-func (b *batch) active() bool { return len(b.ops) > 0 || b.lease != nil || b.unsynced }
+func (b *batch) active() bool { return len(b.messages) > 0 || b.lease != nil || b.awaitingSync }
 
-// hold keeps the connection of a batch that was flushed.
-func (b *batch) hold(r route, endWrite func(), rep reply) {
-	b.lease, b.route, b.endWrite, b.failed = r.lease, r, endWrite, rep.code != ""
+// holdConnection keeps the connection of a batch that was flushed.
+func (b *batch) holdConnection(r route, endWrite func(), rep responseSummary) {
+	b.lease, b.route, b.endWrite, b.failed = r.lease, r, endWrite, rep.errorCode != ""
 }
 
-// collect adds a message to the batch. The message is copied: its memory is
+// addToBatch adds a message to the batch. The message is copied: its memory is
 // used again for the next one.
-func (s *session) collect(msg pgproto3.FrontendMessage) error {
+func (s *session) addToBatch(msg pgproto3.FrontendMessage) error {
 	b := &s.batch
 	if b.err != nil || b.failed {
 		return nil
 	}
-	if len(b.ops) >= maxBatch {
-		b.err = cwrefusal.NotRun(cwrefusal.LimitExceeded, 0, "more than %d messages before a Sync", maxBatch)
+	if len(b.messages) >= maxBatchMessages {
+		b.err = cwrefusal.NotRun(cwrefusal.LimitExceeded, 0, "more than %d messages before a Sync", maxBatchMessages)
 		return nil
 	}
-	o, err := s.toOp(msg)
+	o, err := s.newBatchMessage(msg)
 	if err != nil {
 		b.err = err
 		return nil
 	}
-	b.ops = append(b.ops, o)
+	b.messages = append(b.messages, o)
 	return nil
 }
 
-func (s *session) toOp(msg pgproto3.FrontendMessage) (op, error) {
+func (s *session) newBatchMessage(msg pgproto3.FrontendMessage) (batchMessage, error) {
 	switch m := msg.(type) {
 	case *pgproto3.Parse:
-		p, err := s.prepare(m)
+		p, err := s.prepareStatement(m)
 		if err == nil {
-			s.batch.parses = append(s.batch.parses, m.Name)
+			s.batch.pendingParses = append(s.batch.pendingParses, m.Name)
 		}
-		return op{kind: 'P', prep: p}, err
+		return batchMessage{msgType: 'P', statement: p}, err
 	case *pgproto3.Bind:
 		p, ok := s.prepared[m.PreparedStatement]
 		if !ok {
-			return op{}, noStatement(m.PreparedStatement)
+			return batchMessage{}, noStatementRefusal(m.PreparedStatement)
 		}
 		if s.portals == nil {
-			s.portals = make(map[string]*prepared)
+			s.portals = make(map[string]*preparedStatement)
 		}
 		s.portals[m.DestinationPortal] = p
-		return op{kind: 'B', prep: p, bind: copyBind(m)}, nil
+		return batchMessage{msgType: 'B', statement: p, bind: copyBind(m)}, nil
 	case *pgproto3.Describe:
 		if m.ObjectType == 'P' {
-			return op{kind: 'D', object: 'P', portal: m.Name, prep: s.portals[m.Name]}, nil
+			return batchMessage{msgType: 'D', objectType: 'P', portal: m.Name, statement: s.portals[m.Name]}, nil
 		}
 		p, ok := s.prepared[m.Name]
 		if !ok {
-			return op{}, noStatement(m.Name)
+			return batchMessage{}, noStatementRefusal(m.Name)
 		}
-		return op{kind: 'D', object: 'S', prep: p}, nil
+		return batchMessage{msgType: 'D', objectType: 'S', statement: p}, nil
 	case *pgproto3.Execute:
 		p, ok := s.portals[m.Portal]
 		if !ok {
-			return op{}, &cwrefusal.Refusal{Code: "34000", Message: "portal " + strconv.Quote(m.Portal) + " does not exist", NotRun: true}
+			return batchMessage{}, &cwrefusal.Refusal{Code: "34000", Message: "portal " + strconv.Quote(m.Portal) + " does not exist", NotRun: true}
 		}
-		return op{kind: 'E', portal: m.Portal, prep: p, rows: m.MaxRows}, nil
+		return batchMessage{msgType: 'E', portal: m.Portal, statement: p, maxRows: m.MaxRows}, nil
 	case *pgproto3.Close:
 		if m.ObjectType == 'S' {
 			delete(s.prepared, m.Name)
 		} else {
 			delete(s.portals, m.Name)
 		}
-		return op{kind: 'C', object: m.ObjectType, portal: m.Name}, nil
+		return batchMessage{msgType: 'C', objectType: m.ObjectType, portal: m.Name}, nil
 	}
-	return op{}, cwrefusal.NotRun(cwrefusal.ProtocolViolation, 0, "unexpected message in a batch")
+	return batchMessage{}, cwrefusal.NotRun(cwrefusal.ProtocolViolation, 0, "unexpected message in a batch")
 }
 
 func copyBind(m *pgproto3.Bind) *pgproto3.Bind {
@@ -142,76 +142,76 @@
 // that the statement it prepares is there already; so it goes on for good. What was
 // not answered as prepared is not.
 func (s *session) runBatch(sync bool) {
-	parses := s.batch.parses
-	s.batch.parses = nil
-	start, flushes := len(s.out), s.flushes
-	s.runCollected(sync)
-	if s.flushes != flushes {
+	pendingParses := s.batch.pendingParses
+	s.batch.pendingParses = nil
+	start, flushCount := len(s.output), s.flushCount
+	s.executeBatch(sync)
+	if s.flushCount != flushCount {
 		// Large answers go out in parts; the first part has these answers.
 		return
 	}
-	for _, name := range parses[min(len(parses), parseCompletes(s.out[start:])):] {
+	for _, name := range pendingParses[min(len(pendingParses), countParseCompletes(s.output[start:])):] {
 		delete(s.prepared, name)
 	}
 }
 
-func (s *session) runCollected(sync bool) {
+func (s *session) executeBatch(sync bool) {
 	b := &s.batch
-	ops := b.ops
-	b.ops = nil
+	messages := b.messages
+	b.messages = nil
 	err := b.err
 	b.err = nil
-	if b.unsynced && s.tx != nil {
-		s.continueInTransaction(ops, err, sync)
+	if b.awaitingSync && s.tx != nil {
+		s.continueInTransaction(messages, err, sync)
 		return
 	}
 	if b.failed {
 		if sync {
-			s.finishFlushed(nil)
+			s.finishFlushedBatch(nil)
 		}
 		return
 	}
 	if err != nil {
-		s.fail(err)
+		s.failStatement(err)
 		if !sync {
 			b.failed = true
 		} else if b.lease != nil {
-			s.finishFlushed(nil)
+			s.finishFlushedBatch(nil)
 		}
 		return
 	}
 	if b.lease != nil {
-		s.continueFlushed(ops, sync)
+		s.continueFlushedBatch(messages, sync)
 		return
 	}
-	if len(ops) == 0 {
+	if len(messages) == 0 {
 		return
 	}
-	if s.answerOps(ops) {
+	if s.answerBatchLocally(messages) {
 		return
 	}
-	s.runUnit(s.batchUnit(ops, sync))
+	s.runRequest(s.batchRequest(messages, sync))
 }
 
-// batchUnit makes the unit of a batch.
-func (s *session) batchUnit(ops []op, sync bool) unit {
-	u := unit{read: true, sync: sync}
-	for _, o := range ops {
-		if o.kind != 'E' {
+// batchRequest makes the unit of a batch.
+func (s *session) batchRequest(messages []batchMessage, sync bool) request {
+	req := request{readOnly: true, sync: sync}
+	for _, o := range messages {
+		if o.msgType != 'E' {
 			continue
 		}
-		u.read = u.read && s.readsOnly(o.prep.stmt)
-		u.begin = u.begin || o.prep.stmt.Kind == cwsql.Begin
-		u.ends = u.ends || o.prep.stmt.Kind == cwsql.Commit
-		if f := s.afterSetting(o.prep.stmt); f != nil {
-			u.done = f
+		req.readOnly = req.readOnly && s.readsOnly(o.statement.parsed)
+		req.begins = req.begins || o.statement.parsed.Kind == cwsql.Begin
+		req.mayCommit = req.mayCommit || o.statement.parsed.Kind == cwsql.Commit
+		if f := s.settingRecorder(o.statement.parsed); f != nil {
+			req.onComplete = f
 		}
 	}
-	u.digest = func() string { return digestOps(ops) }
-	u.send = func(c *cwpool.Conn) *steps {
-		st := &steps{conn: c}
-		for _, o := range ops {
-			st.send(o)
+	req.digest = func() string { return digestBatch(messages) }
+	req.send = func(c *cwpool.Conn) *responseQueue {
+		st := &responseQueue{conn: c}
+		for _, o := range messages {
+			st.sendMessage(o)
 		}
 		if sync {
 			c.Front.SendSync(&pgproto3.Sync{})
@@ -220,19 +220,19 @@
 		}
 		return st
 	}
-	return u
+	return req
 }
 
-// digestOps identifies a batch for its request key: statements, arguments, and
+// digestBatch identifies a batch for its request key: statements, arguments, and
 // the shape of the answer.
-func digestOps(ops []op) string {
+func digestBatch(messages []batchMessage) string {
 	var parts [][]byte
-	for _, o := range ops {
-		parts = append(parts, []byte{o.kind, o.object})
-		if o.kind != 'B' {
+	for _, o := range messages {
+		parts = append(parts, []byte{o.msgType, o.objectType})
+		if o.msgType != 'B' {
 			continue
 		}
-		parts = append(parts, []byte(o.prep.query))
+		parts = append(parts, []byte(o.statement.query))
 		parts = append(parts, o.bind.Parameters...)
 		for _, f := range o.bind.ResultFormatCodes {
 			parts = append(parts, []byte{byte(f)})
@@ -241,26 +241,26 @@
 	return cwrequest.Digest(parts...)
 }
 
-// answerOps answers a batch that needs no target: it concerns only the
+// answerBatchLocally answers a batch that needs no target: it concerns only the
 // system's own settings, or the end of a transaction that has failed.
-func (s *session) answerOps(ops []op) bool {
+func (s *session) answerBatchLocally(messages []batchMessage) bool {
 	local := false
-	for _, o := range ops {
-		if o.prep != nil {
-			local = local || s.isLocal(o.prep.stmt)
+	for _, o := range messages {
+		if o.statement != nil {
+			local = local || s.isLocal(o.statement.parsed)
 		}
 	}
 	if !local {
-		return s.closesOnly(ops)
+		return s.answerStatementCloses(messages)
 	}
-	for _, o := range ops {
-		if o.prep != nil && !s.isLocal(o.prep.stmt) {
-			s.fail(cwrefusal.NotRun(cwrefusal.FeatureNotSupported, 0, "cicadawalk settings together with other statements in one batch are not supported"))
+	for _, o := range messages {
+		if o.statement != nil && !s.isLocal(o.statement.parsed) {
+			s.failStatement(cwrefusal.NotRun(cwrefusal.FeatureNotSupported, 0, "cicadawalk settings together with other statements in one batch are not supported"))
 			return true
 		}
 	}
-	for _, o := range ops {
-		if !s.answerOp(o) {
+	for _, o := range messages {
+		if !s.answerMessageLocally(o) {
 			return true
 		}
 	}
@@ -273,9 +273,9 @@
 	}
 	switch st.Kind {
 	case cwsql.Set, cwsql.SetLocal, cwsql.Show:
-		return strings.HasPrefix(st.Name, ownPrefix)
+		return strings.HasPrefix(st.Name, proxySettingPrefix)
 	case cwsql.Reset:
-		return st.Name == "" && s.tx == nil || strings.HasPrefix(st.Name, ownPrefix)
+		return st.Name == "" && s.tx == nil || strings.HasPrefix(st.Name, proxySettingPrefix)
 	case cwsql.Discard:
 		return true
 	case cwsql.Commit, cwsql.Rollback:
@@ -284,10 +284,10 @@
 	return false
 }
 
-// answerOp answers one message of a local batch. It returns false after an
+// answerMessageLocally answers one message of a local batch. It returns false after an
 // error.
-func (s *session) answerOp(o op) bool {
-	switch o.kind {
+func (s *session) answerMessageLocally(o batchMessage) bool {
+	switch o.msgType {
 	case 'P':
 		s.send(&pgproto3.ParseComplete{})
 	case 'B':
@@ -295,30 +295,30 @@
 	case 'C':
 		s.send(&pgproto3.CloseComplete{})
 	case 'D':
-		if o.object == 'S' {
+		if o.objectType == 'S' {
 			s.send(&pgproto3.ParameterDescription{})
 		}
-		if o.prep != nil && o.prep.stmt.Kind == cwsql.Show {
-			s.send(textColumn(o.prep.stmt.Name))
+		if o.statement != nil && o.statement.parsed.Kind == cwsql.Show {
+			s.send(textColumn(o.statement.parsed.Name))
 		} else {
 			s.send(&pgproto3.NoData{})
 		}
 	case 'E':
-		start := len(s.out)
-		s.answerLocally(o.prep.stmt, false)
-		return !hasError(s.out[start:])
+		start := len(s.output)
+		s.answerLocally(o.statement.parsed, false)
+		return !containsError(s.output[start:])
 	}
 	return true
 }
 
-// closesOnly answers a batch that only closes prepared statements.
-func (s *session) closesOnly(ops []op) bool {
-	for _, o := range ops {
-		if o.kind != 'C' || o.object != 'S' {
+// answerStatementCloses answers a batch that only closes prepared statements.
+func (s *session) answerStatementCloses(messages []batchMessage) bool {
+	for _, o := range messages {
+		if o.msgType != 'C' || o.objectType != 'S' {
 			return false
 		}
 	}
-	for range ops {
+	for range messages {
 		s.send(&pgproto3.CloseComplete{})
 	}
 	return true
@@ -327,67 +327,67 @@
 // continueInTransaction runs more of a batch that was flushed inside a
 // transaction. The target hears of the batch's end whatever became of it:
 // after an error it ignores everything up to the Sync.
-func (s *session) continueInTransaction(ops []op, err error, sync bool) {
+func (s *session) continueInTransaction(messages []batchMessage, err error, sync bool) {
 	b := &s.batch
 	if err != nil && !b.failed {
-		s.fail(err)
+		s.failStatement(err)
 		b.failed = true
 	}
 	if b.failed {
-		ops = nil
+		messages = nil
 	}
-	if !sync && len(ops) == 0 {
+	if !sync && len(messages) == 0 {
 		return
 	}
-	u := s.batchUnit(ops, sync)
-	u.resync = sync
+	req := s.batchRequest(messages, sync)
+	req.endsFlushedBatch = sync
 	if sync {
-		b.unsynced, b.failed = false, false
+		b.awaitingSync, b.failed = false, false
 	}
-	s.runInTransaction(u)
+	s.runInTransaction(req)
 }
 
-// continueFlushed runs more of a batch that was flushed before.
-func (s *session) continueFlushed(ops []op, sync bool) {
-	u := s.batchUnit(ops, sync)
-	if !sync && len(ops) == 0 {
+// continueFlushedBatch runs more of a batch that was flushed before.
+func (s *session) continueFlushedBatch(messages []batchMessage, sync bool) {
+	req := s.batchRequest(messages, sync)
+	if !sync && len(messages) == 0 {
 		return
 	}
-	s.finishFlushed(&u)
+	s.finishFlushedBatch(&req)
 }
 
-// finishFlushed sends the rest of a flushed batch, or only its Sync, over the
+// finishFlushedBatch sends the rest of a flushed batch, or only its Sync, over the
 // connection that is held for it.
-func (s *session) finishFlushed(u *unit) {
+func (s *session) finishFlushedBatch(req *request) {
 	b := &s.batch
 	r, endWrite := b.route, b.endWrite
 	if b.lease == nil {
 		s.batch = batch{}
 		return
 	}
-	if u == nil {
-		u = &unit{sync: true, read: !r.primary, send: func(c *cwpool.Conn) *steps {
+	if req == nil {
+		req = &request{sync: true, readOnly: !r.primary, send: func(c *cwpool.Conn) *responseQueue {
 			c.Front.SendSync(&pgproto3.Sync{})
 			return nil
 		}}
 	}
-	start := len(s.out)
-	rep, flushed, err := s.exchangeInTransaction(r, *u)
+	start := len(s.output)
+	rep, flushed, err := s.sendAndRelay(r, *req)
 	if err != nil {
 		s.batch = batch{}
-		s.setLease(nil)
+		s.setActiveLease(nil)
 		r.lease.Discard()
 		endWrite()
-		s.undo(start, flushed)
-		s.fail(lost(err, r.primary))
+		s.discardOutput(start, flushed)
+		s.failStatement(lostRefusal(err, r.primary))
 		return
 	}
-	if !u.sync {
-		b.failed = rep.code != ""
+	if !req.sync {
+		b.failed = rep.errorCode != ""
 		return
 	}
 	s.batch = batch{}
-	if err := s.settle(r, *u, rep, endWrite, start, flushed); err != nil {
-		s.fail(err)
+	if err := s.finishRequest(r, *req, rep, endWrite, start, flushed); err != nil {
+		s.failStatement(err)
 	}
 }
--- a/internal/proxy/cwfront/fuzz_test.go
+++ b/internal/proxy/cwfront/fuzz_test.go
@@ -17,18 +17,18 @@
 	"cicadawalk.example/cicadawalk/internal/proxy/cwwatch"
 )
 
-// noServices has one entry with two groups, so that no statement ever finds a
+// noGroupServices has one entry with two groups, so that no statement ever finds a
 // group to run in.
-type noServices struct{}
+type noGroupServices struct{}
 
-func (noServices) Ready() bool      { return true }
-func (noServices) Revision() uint64 { return 1 }
-func (noServices) Entry(string) (cwcatalogue.Entry, bool) {
+func (noGroupServices) Ready() bool      { return true }
+func (noGroupServices) Revision() uint64 { return 1 }
+func (noGroupServices) Entry(string) (cwcatalogue.Entry, bool) {
 	return cwcatalogue.Entry{Service: "s", Groups: []cwcatalogue.Group{{Name: "a"}, {Name: "b"}}}, true
 }
-func (noServices) Group(string) (*cwwatch.Group, bool)        { return nil, false }
-func (noServices) Pool(cwgroup.MemberID) (*cwpool.Pool, bool) { return nil, false }
-func (noServices) ForwardCancel(uint32, []byte)               {}
+func (noGroupServices) Group(string) (*cwwatch.Group, bool)        { return nil, false }
+func (noGroupServices) Pool(cwgroup.MemberID) (*cwpool.Pool, bool) { return nil, false }
+func (noGroupServices) ForwardCancel(uint32, []byte)               {}
 
 // FuzzSession sends arbitrary bytes after a start-up message. The session must
 // end or go on, and never panic or hang.
@@ -49,23 +49,23 @@
 	f.Add([]byte{'B', 0, 0, 0, 6, 0, 0})
 	start := encode(&pgproto3.StartupMessage{ProtocolVersion: pgproto3.ProtocolVersion30, Parameters: map[string]string{"user": "u", "database": "s"}})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		v := &Server{
-			Services: noServices{},
+		server := &Server{
+			Services: noGroupServices{},
 			Clock:    clockwork.NewRealClock(),
 			Log:      log.New(io.Discard),
 			Metrics:  NewMetrics(metrics.NewSet()),
 			Version:  "16",
 		}
-		near, far := net.Pipe()
+		clientConn, proxyConn := net.Pipe()
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			v.serve(far)
+			server.serve(proxyConn)
 		}()
-		go func() { _, _ = io.Copy(io.Discard, near) }()
+		go func() { _, _ = io.Copy(io.Discard, clientConn) }()
 		go func() {
-			_, _ = near.Write(append(append([]byte{}, start...), data...))
-			_ = near.Close()
+			_, _ = clientConn.Write(append(append([]byte{}, start...), data...))
+			_ = clientConn.Close()
 		}()
 		select {
 		case <-done:
--- a/internal/proxy/cwfront/output.go
+++ b/internal/proxy/cwfront/output.go
@@ -10,55 +10,59 @@
 	"cicadawalk.example/cicadawalk/internal/wire/cwsql"
 )
 
-// send appends a message to what the next flush sends.
+// send appends a message to the output that the next flush sends.
 func (s *session) send(m pgproto3.BackendMessage) {
-	out, err := m.Encode(s.out)
+	out, err := m.Encode(s.output)
 	if err == nil {
-		s.out = out
+		s.output = out
 	}
 }
 
-// keepOut is the size up to which the buffer of a session is kept.
-const keepOut = 16 << 10
+// maxKeptOutput is the largest output buffer, in bytes, that a session keeps
+// after a flush. A larger one is released.
+const maxKeptOutput = 16 << 10
 
+// flush sends the queued output to the client.
 func (s *session) flush() error {
-	if len(s.out) == 0 {
+	if len(s.output) == 0 {
 		return nil
 	}
-	s.flushes++
-	_, err := s.conn.Write(s.out)
-	s.out = s.out[:0]
-	if cap(s.out) > keepOut {
-		s.out = nil
+	s.flushCount++
+	_, err := s.conn.Write(s.output)
+	s.output = s.output[:0]
+	if cap(s.output) > maxKeptOutput {
+		s.output = nil
 	}
 	return err
 }
 
-// parseCompletes counts the messages in out which say that a statement is prepared.
-func parseCompletes(out []byte) int {
+// countParseCompletes returns the number of ParseComplete messages in out.
+func countParseCompletes(out []byte) int {
 	const header = 5
 	n := 0
 	for len(out) >= header {
 		if out[0] == parseComplete[0] {
 			n++
 		}
-		// The length counts itself but not the type byte.
+		// A message's length field includes itself but not the type byte.
 		out = out[min(len(out), 1+int(binary.BigEndian.Uint32(out[1:header]))):]
 	}
 	return n
 }
 
-// undo drops what was to be sent since start, where nothing of it went out. If
-// something did, the rest is dropped: an error follows, and nothing that says
-// that the statement succeeded may stand before it.
-func (s *session) undo(start int, flushed bool) {
+// discardOutput removes the output queued since offset start. If a part of the
+// response was already flushed, the offset is no longer valid and all queued
+// output is removed: an error follows, and no message that reports success may
+// precede it.
+func (s *session) discardOutput(start int, flushed bool) {
 	if flushed {
 		start = 0
 	}
-	s.out = s.out[:start]
+	s.output = s.output[:start]
 }
 
-// sendError answers with an error.
+// sendError queues an ErrorResponse for err. A refusal brings its own SQLSTATE,
+// hint and detail; other errors except syntax errors have the code XX000.
 func (s *session) sendError(severity string, err error) {
 	e := &pgproto3.ErrorResponse{Severity: severity, SeverityUnlocalized: severity, Code: "XX000", Message: err.Error()}
 	var syntax *cwsql.SyntaxError
@@ -76,9 +80,10 @@
 	s.send(e)
 }
 
-// fail answers a statement with an error that did not come from the target. An
-// open transaction can only be rolled back then, as after any error.
-func (s *session) fail(err error) {
+// failStatement answers a statement with an error that did not come from the
+// target. An open transaction can only be rolled back afterwards, as after any
+// other error.
+func (s *session) failStatement(err error) {
 	s.sendError("ERROR", err)
 	if s.tx != nil {
 		s.tx.failed = true
--- a/internal/proxy/cwfront/prepared.go
+++ b/internal/proxy/cwfront/prepared.go
@@ -11,27 +11,31 @@
 	"cicadawalk.example/cicadawalk/internal/wire/cwsql"
 )
 
-// prepared is a statement that the caller prepared. The session keeps it; the
-// targets learn it when it is needed there, under a name made of its content.
-type prepared struct {
-	query string
-	oids  []uint32
-	// stmt is the statement; empty is true for a text without one.
-	stmt  cwsql.Statement
-	empty bool
-	// name is what the statement is called at the targets.
-	name string
+// preparedStatement is a statement that the client prepared. The session keeps
+// it and prepares it on a target connection when it is needed there, under a
+// name derived from its content.
+type preparedStatement struct {
+	query     string
+	paramOIDs []uint32
+	// parsed is the parsed statement; empty is true if the query has none.
+	parsed cwsql.Statement
+	empty  bool
+	// targetName is the statement's name on target connections.
+	targetName string
 }
 
-// maxPreparedPerSession bounds what one caller can make the proxy keep.
+// maxPreparedPerSession limits the prepared statements that the proxy keeps for
+// one client.
 const maxPreparedPerSession = 1000
 
-func noStatement(name string) error {
+func noStatementRefusal(name string) error {
 	return &cwrefusal.Refusal{Code: "26000", Message: "prepared statement " + strconv.Quote(name) + " does not exist", NotRun: true}
 }
 
-func (s *session) prepare(m *pgproto3.Parse) (*prepared, error) {
-	stmts, err := s.server.parsed.Parse(m.Query)
+// prepareStatement parses and records a statement for a Parse message. Nothing is
+// sent to a target yet.
+func (s *session) prepareStatement(m *pgproto3.Parse) (*preparedStatement, error) {
+	stmts, err := s.server.statementCache.Parse(m.Query)
 	if err != nil {
 		return nil, err
 	}
@@ -44,27 +48,28 @@
 	if len(s.prepared) >= maxPreparedPerSession {
 		return nil, cwrefusal.NotRun(cwrefusal.LimitExceeded, 0, "more than %d prepared statements in one session", maxPreparedPerSession)
 	}
-	p := &prepared{query: m.Query, oids: append([]uint32(nil), m.ParameterOIDs...), empty: len(stmts) == 0}
+	p := &preparedStatement{query: m.Query, paramOIDs: append([]uint32(nil), m.ParameterOIDs...), empty: len(stmts) == 0}
 	if !p.empty {
-		p.stmt = stmts[0]
+		p.parsed = stmts[0]
 	} else {
-		p.stmt.Kind = cwsql.Read
+		p.parsed.Kind = cwsql.Read
 	}
-	if p.stmt.Kind == cwsql.Unsupported {
-		return nil, unsupported(p.stmt.Name)
+	if p.parsed.Kind == cwsql.Unsupported {
+		return nil, unsupportedRefusal(p.parsed.Name)
 	}
-	p.name = digestName(p.query, p.oids)
+	p.targetName = targetStatementName(p.query, p.paramOIDs)
 	if s.prepared == nil {
-		s.prepared = make(map[string]*prepared)
+		s.prepared = make(map[string]*preparedStatement)
 	}
 	s.prepared[m.Name] = p
 	return p, nil
 }
 
-// digestName names a prepared statement at the targets by its content, so that
-// callers who prepare the same text share it. The hash must not collide, not
-// even on purpose: a collision would run one caller's text for another.
-func digestName(query string, oids []uint32) string {
+// targetStatementName returns the name of a prepared statement on target
+// connections. It is a hash of the content, so that clients that prepare the
+// same text share the statement. The hash must be collision-resistant even
+// against an attacker: a collision would run one client's query for another.
+func targetStatementName(query string, oids []uint32) string {
 	h := sha256.New()
 	for _, o := range oids {
 		h.Write([]byte{byte(o), byte(o >> 8), byte(o >> 16), byte(o >> 24)})
--- a/internal/proxy/cwfront/prepared_test.go
+++ b/internal/proxy/cwfront/prepared_test.go
@@ -15,26 +15,26 @@
 // Guards against a session whose statement is refused as not run, and as a duplicate ever after.
 func TestRefusedStatementCanBePreparedAgain(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, cwdemo.Options{})
+	b := startProxies(c, cwdemo.Options{})
 	conn := b.connect(c, 0)
-	ask := func() error {
+	query := func() error {
 		var n int
-		return conn.QueryRow(background, "SELECT 1").Scan(&n)
+		return conn.QueryRow(testContext, "SELECT 1").Scan(&n)
 	}
-	cut := func(faults cwlink.Faults) {
+	setFaults := func(faults cwlink.Faults) {
 		for _, l := range b.links {
 			l.SetFaults(faults)
 		}
 	}
-	cut(cwlink.Faults{Refuse: true})
+	setFaults(cwlink.Faults{Refuse: true})
 	// A statement that has been served is prepared already; this one has not.
-	for end := time.Now().Add(10 * time.Second); ask() == nil; {
+	for end := time.Now().Add(10 * time.Second); query() == nil; {
 		c.Assert(time.Now().Before(end), qt.IsTrue, qt.Commentf("nothing is refused"))
-		c.Assert(conn.DeallocateAll(background), qt.IsNil)
+		c.Assert(conn.DeallocateAll(testContext), qt.IsNil)
 	}
-	cut(cwlink.Faults{})
+	setFaults(cwlink.Faults{})
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(10 * time.Millisecond) {
-		err := ask()
+		err := query()
 		if err == nil {
 			return
 		}
--- a/internal/proxy/cwfront/caller_test.go
+++ b/internal/proxy/cwfront/protocol_test.go
@@ -18,7 +18,7 @@
 // must not notice.
 func TestBadCallers(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, cwdemo.Options{})
+	b := startProxies(c, cwdemo.Options{})
 	conn := b.connect(c, 0)
 	exec(c, conn, "CREATE TABLE ronda (id bigint PRIMARY KEY)")
 	raw := func(c *qt.C) net.Conn {
@@ -88,15 +88,15 @@
 // that the batch was over.
 func TestFlush(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, cwdemo.Options{})
+	b := startProxies(c, cwdemo.Options{})
 	exec(c, b.connect(c, 0), "CREATE TABLE ronda (id bigint PRIMARY KEY)")
 	nc, err := net.Dial("tcp", b.Proxies[0].Addr())
 	c.Assert(err, qt.IsNil)
 	defer nc.Close()
 	_ = nc.SetDeadline(time.Now().Add(10 * time.Second))
 	f := pgproto3.NewFrontend(nc, nc)
-	// until sends messages and reads up to one of a kind; it returns the kinds.
-	until := func(c *qt.C, last byte, msgs ...pgproto3.FrontendMessage) string {
+	// sendAndReadUntil sends messages and reads up to one of a kind; it returns the kinds.
+	sendAndReadUntil := func(c *qt.C, last byte, msgs ...pgproto3.FrontendMessage) string {
 		for _, m := range msgs {
 			f.Send(m)
 		}
@@ -122,25 +122,25 @@
 		return []pgproto3.FrontendMessage{&pgproto3.Parse{Query: sql}, &pgproto3.Bind{}, &pgproto3.Execute{}}
 	}
 	flush, sync := &pgproto3.Flush{}, &pgproto3.Sync{}
-	until(c, 'Z', &pgproto3.StartupMessage{ProtocolVersion: pgproto3.ProtocolVersion30, Parameters: map[string]string{"user": "u", "database": cwdemo.Service}})
+	sendAndReadUntil(c, 'Z', &pgproto3.StartupMessage{ProtocolVersion: pgproto3.ProtocolVersion30, Parameters: map[string]string{"user": "u", "database": cwdemo.Service}})
 	for _, begin := range []bool{false, true} {
 		c.Run(fmt.Sprintf("in a transaction %t", begin), func(c *qt.C) {
 			idle, after := "ZI", "ZI"
 			if begin {
-				until(c, 'Z', &pgproto3.Query{String: "BEGIN"})
+				sendAndReadUntil(c, 'Z', &pgproto3.Query{String: "BEGIN"})
 				idle, after = "ZT", "ZE"
 			}
-			c.Assert(until(c, 'C', append(run("SELECT 1"), flush)...), qt.Equals, "12DC")
-			c.Assert(until(c, 'C', append(run("SELECT 2"), flush)...), qt.Equals, "12DC")
-			c.Assert(until(c, 'Z', sync), qt.Equals, idle)
-			c.Assert(until(c, 'E', append(run("SELECT * FROM absent"), flush)...), qt.Matches, "1?2?E")
-			c.Assert(until(c, 'Z', append(run("SELECT 3"), sync)...), qt.Equals, after)
-			c.Assert(until(c, 'E', append(run("SELECT * FROM absent"), flush)...), qt.Matches, "1?2?E")
-			c.Assert(until(c, 'Z', sync), qt.Equals, after)
+			c.Assert(sendAndReadUntil(c, 'C', append(run("SELECT 1"), flush)...), qt.Equals, "12DC")
+			c.Assert(sendAndReadUntil(c, 'C', append(run("SELECT 2"), flush)...), qt.Equals, "12DC")
+			c.Assert(sendAndReadUntil(c, 'Z', sync), qt.Equals, idle)
+			c.Assert(sendAndReadUntil(c, 'E', append(run("SELECT * FROM absent"), flush)...), qt.Matches, "1?2?E")
+			c.Assert(sendAndReadUntil(c, 'Z', append(run("SELECT 3"), sync)...), qt.Equals, after)
+			c.Assert(sendAndReadUntil(c, 'E', append(run("SELECT * FROM absent"), flush)...), qt.Matches, "1?2?E")
+			c.Assert(sendAndReadUntil(c, 'Z', sync), qt.Equals, after)
 			if begin {
-				c.Assert(until(c, 'Z', &pgproto3.Query{String: "ROLLBACK"}), qt.Equals, "CZI")
+				c.Assert(sendAndReadUntil(c, 'Z', &pgproto3.Query{String: "ROLLBACK"}), qt.Equals, "CZI")
 			}
-			c.Assert(until(c, 'Z', &pgproto3.Query{String: "SELECT 4"}), qt.Equals, "TDCZI")
+			c.Assert(sendAndReadUntil(c, 'Z', &pgproto3.Query{String: "SELECT 4"}), qt.Equals, "TDCZI")
 		})
 	}
 }
--- a/internal/proxy/cwfront/relay.go
+++ b/internal/proxy/cwfront/relay.go
@@ -15,28 +15,28 @@
 
 // Times and sizes of passing an answer back.
 const (
-	// slice is how long a read from a target may block before the state of the
+	// readPollInterval is how long a read from a target may block before the state of the
 	// target is looked at.
-	slice = 250 * time.Millisecond
-	// quietLimit is how long a target may bring nothing before it is asked, over
+	readPollInterval = 250 * time.Millisecond
+	// maxSilence is how long a target may bring nothing before it is asked, over
 	// another connection, what it is doing for this one.
-	quietLimit = time.Second
-	// slowestPath is the rate at which a statement reaches its target at the least, in
+	maxSilence = time.Second
+	// minTransferRate is the rate at which a statement reaches its target at the least, in
 	// bytes a second. Until then the target is not busy for the connection.
-	slowestPath = 256 << 10
+	minTransferRate = 256 << 10
 	// activityTimeout bounds that question.
 	activityTimeout = 400 * time.Millisecond
-	// streamAt is the size at which an answer is passed on before it is whole.
-	streamAt = 16 << 10
-	// holdAt is the same for an answer that is held until the write is
+	// streamThreshold is the size at which an answer is passed on before it is whole.
+	streamThreshold = 16 << 10
+	// heldResponseLimit is the same for an answer that is held until the write is
 	// acknowledged; what says that it succeeded comes after.
-	holdAt = 8 << 20
+	heldResponseLimit = 8 << 20
 )
 
-// lostError says why a target's answer will not come.
-type lostError struct{ why string }
+// responseLostError says why a target's answer will not come.
+type responseLostError struct{ reason string }
 
-func (e *lostError) Error() string { return e.why }
+func (e *responseLostError) Error() string { return e.reason }
 
 // route is where a unit of work runs.
 type route struct {
@@ -49,38 +49,38 @@
 	deadline time.Time
 }
 
-// reply is what is known of an answer once it was passed on.
-type reply struct {
-	// status is the transaction status of ReadyForQuery, zero if the relay
+// responseSummary is what is known of an answer once it was passed on.
+type responseSummary struct {
+	// txStatus is the transaction txStatus of ReadyForQuery, zero if the relay
 	// ended before it.
-	status byte
-	// mark is where the primary's log ended after a commit, zero if nothing was
+	txStatus byte
+	// position is where the primary's log ended after a commit, zero if nothing was
 	// committed.
-	mark cwgroup.Mark
-	// code is the SQLSTATE of the first error, if any.
-	code string
-	// tag is the last command tag.
-	tag string
+	position cwgroup.Mark
+	// errorCode is the SQLSTATE of the first error, if any.
+	errorCode string
+	// commandTag is the last command commandTag.
+	commandTag string
 }
 
-// relay passes one answer from a target to the caller: up to ReadyForQuery, or,
+// relayResponse passes one answer from a target to the caller: up to ReadyForQuery, or,
 // if steps is given and sync is false, until the steps are done. It returns an
 // error if the connection to the target is of no more use.
 //
 // Unless hold is set the answer is flushed as it grows; flushed reports whether
 // anything went out.
-func (s *session) relay(r route, st *steps, sync, hold bool) (rep reply, flushed bool, err error) {
-	limit := streamAt
+func (s *session) relayResponse(r route, st *responseQueue, sync, hold bool) (rep responseSummary, flushed bool, err error) {
+	limit := streamThreshold
 	if hold {
-		limit = holdAt
+		limit = heldResponseLimit
 	}
-	w := watchdog{s: s, route: r, heard: s.server.Clock.Now(), quiet: quietLimit + travel(r.lease.Conn.TakeSent())}
-	w.arm()
-	defer w.disarm()
+	w := watchdog{s: s, route: r, lastActivity: s.server.Clock.Now(), silenceLimit: maxSilence + transferTime(r.lease.Conn.TakeSent())}
+	w.setReadDeadline()
+	defer w.clearReadDeadline()
 	for {
 		if st != nil {
-			s.out = st.synthesized(s.out)
-			if !sync && st.done() {
+			s.output = st.appendLocal(s.output)
+			if !sync && st.empty() {
 				return rep, flushed, nil
 			}
 		}
@@ -90,12 +90,12 @@
 		}
 		switch m := msg.(type) {
 		case *pgproto3.ReadyForQuery:
-			rep.status = m.TxStatus
+			rep.txStatus = m.TxStatus
 			return rep, flushed, nil
 		case *pgproto3.ParameterStatus:
 			if m.Name == cwtarget.PositionParameter {
-				if rep.mark, err = cwgroup.ParseMark(m.Value); err != nil {
-					return rep, flushed, &lostError{why: "the target reported a malformed position"}
+				if rep.position, err = cwgroup.ParseMark(m.Value); err != nil {
+					return rep, flushed, &responseLostError{reason: "the target reported a malformed position"}
 				}
 				continue
 			}
@@ -104,72 +104,72 @@
 		case *pgproto3.NotificationResponse:
 			continue
 		case *pgproto3.CopyInResponse, *pgproto3.CopyOutResponse, *pgproto3.CopyBothResponse:
-			return rep, flushed, &lostError{why: "the target began a COPY"}
+			return rep, flushed, &responseLostError{reason: "the target began a COPY"}
 		case *pgproto3.ErrorResponse:
 			if cwtarget.EndsConnection(m) {
 				// The database ends its sessions, for instance since it was put
 				// out of charge. That is no answer to the caller's statement.
-				return rep, flushed, &lostError{why: "the database ended the connection"}
+				return rep, flushed, &responseLostError{reason: "the database ended the connection"}
 			}
-			if rep.code == "" {
-				rep.code = m.Code
+			if rep.errorCode == "" {
+				rep.errorCode = m.Code
 			}
 			if st != nil {
-				st.fail()
+				st.abort()
 				if !sync {
 					s.send(m)
 					return rep, flushed, nil
 				}
 			}
 		case *pgproto3.CommandComplete:
-			rep.tag = string(m.CommandTag)
+			rep.commandTag = string(m.CommandTag)
 		}
-		if st != nil && !st.accept(msg) {
+		if st != nil && !st.forwards(msg) {
 			continue
 		}
 		s.send(msg)
-		if _, row := msg.(*pgproto3.DataRow); row && len(s.out) > limit {
+		if _, row := msg.(*pgproto3.DataRow); row && len(s.output) > limit {
 			// Only rows are passed on early, never what says that a write
 			// succeeded: that waits for its majority.
 			flushed = true
 			if err := s.flush(); err != nil {
-				return rep, flushed, errCallerGone
+				return rep, flushed, errClientGone
 			}
 		}
 	}
 }
 
-// callerGoneError means that the answer cannot be delivered.
-type callerGoneError struct{}
+// clientGoneError means that the answer cannot be delivered.
+type clientGoneError struct{}
 
-func (callerGoneError) Error() string { return "the caller is gone" }
+func (clientGoneError) Error() string { return "the caller is gone" }
 
-var errCallerGone = callerGoneError{}
+var errClientGone = clientGoneError{}
 
 // watchdog reads from a target and gives up where no answer will come.
 type watchdog struct {
-	s     *session
-	route route
-	heard time.Time
-	armed time.Time
-	// quiet is how long the target may bring nothing before it is asked.
-	quiet time.Duration
-	// doubted is true once the target said that it is not busy for this
+	s             *session
+	route         route
+	lastActivity  time.Time
+	deadlineSetAt time.Time
+	// silenceLimit is how long the target may bring nothing before it is asked.
+	silenceLimit time.Duration
+	// reportedIdle is true once the target said that it is not busy for this
 	// connection.
-	doubted bool
+	reportedIdle bool
 }
 
-// travel returns how long a statement may be on its way.
-func travel(bytes int) time.Duration {
-	return time.Duration(bytes) * time.Second / slowestPath
+// transferTime returns how long a statement may be on its way.
+func transferTime(bytes int) time.Duration {
+	return time.Duration(bytes) * time.Second / minTransferRate
 }
 
-func (w *watchdog) arm() {
-	w.armed = time.Now()
-	_ = w.route.lease.Conn.SetReadDeadline(w.armed.Add(slice))
+func (w *watchdog) setReadDeadline() {
+	w.deadlineSetAt = time.Now()
+	_ = w.route.lease.Conn.SetReadDeadline(w.deadlineSetAt.Add(readPollInterval))
 }
 
-func (w *watchdog) disarm() {
+func (w *watchdog) clearReadDeadline() {
 	_ = w.route.lease.Conn.SetReadDeadline(time.Time{})
 }
 
@@ -177,35 +177,35 @@
 	for {
 		msg, err := w.route.lease.Conn.Front.Receive()
 		if err == nil {
-			w.doubted = false
+			w.reportedIdle = false
 			return msg, nil
 		}
 		if !cwpool.IsTimeout(err) {
-			return nil, &lostError{why: "the connection to the database broke"}
+			return nil, &responseLostError{reason: "the connection to the database broke"}
 		}
-		if err := w.check(); err != nil {
+		if err := w.checkTarget(); err != nil {
 			return nil, err
 		}
-		w.arm()
+		w.setReadDeadline()
 	}
 }
 
-// check decides whether to go on waiting.
+// checkTarget decides whether to go on waiting.
 //
 // Failures it guards against: the primary was replaced while it held the
 // answer; the statement ran out of time; the connection went silent because
 // something in between lost track of it, which shows as nothing at all while
 // new connections work. A long statement looks the same from here, so the
 // target is asked over its control connection whether it is busy for this one.
-func (w *watchdog) check() error {
+func (w *watchdog) checkTarget() error {
 	now := w.s.server.Clock.Now()
 	if w.route.primary && !w.s.group.StillLeads(w.route.term) {
-		return &lostError{why: "the primary was replaced"}
+		return &responseLostError{reason: "the primary was replaced"}
 	}
 	if now.After(w.route.deadline) {
-		return &lostError{why: "the statement ran out of time"}
+		return &responseLostError{reason: "the statement ran out of time"}
 	}
-	if now.Sub(w.heard) < w.quiet {
+	if now.Sub(w.lastActivity) < w.silenceLimit {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), activityTimeout)
@@ -215,28 +215,28 @@
 	case err != nil && w.s.group.Reachable(w.route.member):
 		return nil
 	case err != nil:
-		return &lostError{why: "the database does not answer"}
+		return &responseLostError{reason: "the database does not answer"}
 	case state == "active":
-		w.heard, w.doubted = now, false
+		w.lastActivity, w.reportedIdle = now, false
 		return nil
-	case !w.doubted:
+	case !w.reportedIdle:
 		// The answer may have been on its way while the question was asked.
-		w.doubted = true
+		w.reportedIdle = true
 		return nil
 	}
-	return &lostError{why: "the connection to the database went silent"}
+	return &responseLostError{reason: "the connection to the database went silent"}
 }
 
-// lost makes the refusal for an answer that will not come. The statement was
+// lostRefusal makes the refusal for an answer that will not come. The statement was
 // sent. A read took no effect in any case.
-func lost(err error, write bool) error {
-	var l *lostError
-	why := "the connection to the database broke"
+func lostRefusal(err error, write bool) error {
+	var l *responseLostError
+	reason := "the connection to the database broke"
 	if errors.As(err, &l) {
-		why = l.why
+		reason = l.reason
 	}
 	if write {
-		return cwrefusal.Unknown("%s before the outcome was known", why)
+		return cwrefusal.Unknown("%s before the outcome was known", reason)
 	}
-	return cwrefusal.NotRun(cwrefusal.SerializationFailure, retryAfter, "%s; nothing was changed", why)
+	return cwrefusal.NotRun(cwrefusal.SerializationFailure, retryAfter, "%s; nothing was changed", reason)
 }
--- a/internal/proxy/cwfront/run.go
+++ b/internal/proxy/cwfront/request.go
@@ -24,63 +24,63 @@
 	codeReadOnly = "25006"
 )
 
-// unit is what is sent to a target at once: a simple query, or a batch of the
+// request is what is sent to a target at once: a simple query, or a batch of the
 // extended protocol.
-type unit struct {
-	// read is true if nothing in the unit can write.
-	read bool
-	// begin is true if the unit begins a transaction.
-	begin bool
-	// ends is true if the unit may commit the transaction it runs in.
-	ends bool
-	// sync is false for a batch that was flushed before its end. resync is true
+type request struct {
+	// readOnly is true if nothing in the unit can write.
+	readOnly bool
+	// begins is true if the unit begins a transaction.
+	begins bool
+	// mayCommit is true if the unit may commit the transaction it runs in.
+	mayCommit bool
+	// sync is false for a batch that was flushed before its end. endsFlushedBatch is true
 	// for the end of such a batch: the target must hear of it in any case.
-	sync, resync bool
+	sync, endsFlushedBatch bool
 	// steps returns what to expect for a batch, and nil for a simple query. It
 	// queues the messages at the connection.
-	send func(c *cwpool.Conn) *steps
-	// done is called with the connection after the answer was passed on.
-	done func(c *cwpool.Conn, rep reply)
+	send func(c *cwpool.Conn) *responseQueue
+	// onComplete is called with the connection after the answer was passed on.
+	onComplete func(c *cwpool.Conn, rep responseSummary)
 	// digest names the unit for its request key. It is worked out only for a
 	// unit that has one.
 	digest func() string
 }
 
-// errNoGroup is the refusal of a statement whose group is not known.
-func (s *session) errNoGroup() error {
+// noGroupRefusal is the refusal of a statement whose group is not known.
+func (s *session) noGroupRefusal() error {
 	return cwrefusal.NotRun(cwrefusal.InvalidParameter, 0,
 		"this service keeps its records in %d groups; set cicadawalk.shard to the key of the record's owner", len(s.entry.Groups)).
 		WithHint("SET cicadawalk.shard = '...', or give it as a start-up parameter.")
 }
 
-// runUnit runs a unit inside the transaction or by itself.
-func (s *session) runUnit(u unit) {
+// runRequest runs a unit inside the transaction or by itself.
+func (s *session) runRequest(req request) {
 	s.server.Metrics.Statements.Inc()
-	s.server.retries.earn()
+	s.server.retryBudget.earn()
 	if s.tx != nil {
-		s.runInTransaction(u)
+		s.runInTransaction(req)
 		return
 	}
-	if err := s.refresh(); err != nil {
-		s.fail(err)
+	if err := s.refreshEntry(); err != nil {
+		s.failStatement(err)
 		return
 	}
 	if s.group == nil {
-		s.fail(s.errNoGroup())
+		s.failStatement(s.noGroupRefusal())
 		return
 	}
-	if s.own.requestKey != "" && !u.read {
-		s.runKeyed(u)
+	if s.proxySettings.requestKey != "" && !req.readOnly {
+		s.runKeyedRequest(req)
 		return
 	}
 	deadline := s.server.Clock.Now().Add(s.entry.Contract.StatementTimeout)
 	for attempt := 1; ; attempt++ {
-		again, err := s.attempt(u, deadline)
+		retry, err := s.attempt(req, deadline)
 		if err == nil {
 			return
 		}
-		if !again || attempt == maxAttempts || !s.server.Clock.Now().Before(deadline) || !s.server.retries.spend() {
-			s.fail(err)
+		if !retry || attempt == maxAttempts || !s.server.Clock.Now().Before(deadline) || !s.server.retryBudget.spend() {
+			s.failStatement(err)
 			return
 		}
 		s.server.Metrics.Retries.Inc()
@@ -89,42 +89,42 @@
 
 // attempt runs a unit once. If it failed, again says whether it may be tried
 // anew: nothing of it took effect, and nothing of its answer went out.
-func (s *session) attempt(u unit, deadline time.Time) (again bool, err error) {
-	r, endWrite, err := s.lend(u.read, deadline)
+func (s *session) attempt(req request, deadline time.Time) (retry bool, err error) {
+	r, endWrite, err := s.acquireConnection(req.readOnly, deadline)
 	if err != nil {
 		return false, err
 	}
-	start := len(s.out)
-	rep, flushed, err := s.exchange(r, u)
+	start := len(s.output)
+	rep, flushed, err := s.exchange(r, req)
 	if err != nil {
-		s.setLease(nil)
+		s.setActiveLease(nil)
 		r.lease.Discard()
 		endWrite()
-		if errors.Is(err, errCallerGone) {
+		if errors.Is(err, errClientGone) {
 			return false, err
 		}
 		var unsent *unsentError
-		again = !flushed && (u.read || errors.As(err, &unsent))
-		s.undo(start, flushed)
+		retry = !flushed && (req.readOnly || errors.As(err, &unsent))
+		s.discardOutput(start, flushed)
 		if code := cwtarget.ServerCode(err); code != "" {
 			return false, cwrefusal.NotRun(cwrefusal.Code(code), 0, "the database refused the session's settings: %v", err)
 		}
 		if errors.As(err, &unsent) {
-			return again, cwrefusal.NotRun(cwrefusal.CannotConnectNow, retryAfter, "the connection to the database broke before the statement was sent")
+			return retry, cwrefusal.NotRun(cwrefusal.CannotConnectNow, retryAfter, "the connection to the database broke before the statement was sent")
 		}
-		return again, lost(err, !u.read)
+		return retry, lostRefusal(err, !req.readOnly)
 	}
-	if rep.code == codeReadOnly && rep.status == 'I' && !flushed && !u.read && !u.ends && !s.defaultReadOnly() {
+	if rep.errorCode == codeReadOnly && rep.txStatus == 'I' && !flushed && !req.readOnly && !req.mayCommit && !s.defaultReadOnly() {
 		// The member stopped leading after it was chosen, and said so before
 		// anything ran, unless an earlier statement of the unit had committed.
 		// The view knows a moment later.
-		s.out = s.out[:start]
-		s.give(r)
+		s.output = s.output[:start]
+		s.releaseConnection(r)
 		endWrite()
 		s.server.Clock.Sleep(10 * time.Millisecond)
 		return true, cwrefusal.NotRun(cwrefusal.CannotConnectNow, retryAfter, "the primary is being replaced")
 	}
-	return false, s.settle(r, u, rep, endWrite, start, flushed)
+	return false, s.finishRequest(r, req, rep, endWrite, start, flushed)
 }
 
 // unsentError says that a unit certainly did not reach the target.
@@ -136,19 +136,19 @@
 func (e *unsentError) Unwrap() error { return e.cause }
 
 // exchange sends a unit and passes its answer on.
-func (s *session) exchange(r route, u unit) (reply, bool, error) {
-	s.setLease(r.lease)
+func (s *session) exchange(r route, req request) (responseSummary, bool, error) {
+	s.setActiveLease(r.lease)
 	if err := s.applySettings(r.lease.Conn); err != nil {
-		return reply{}, false, &unsentError{cause: err}
+		return responseSummary{}, false, &unsentError{cause: err}
 	}
-	st := u.send(r.lease.Conn)
+	st := req.send(r.lease.Conn)
 	_ = r.lease.Conn.SetWriteDeadline(r.deadline)
 	if err := r.lease.Conn.Front.Flush(); err != nil {
-		return reply{}, false, &lostError{why: "the connection to the database broke"}
+		return responseSummary{}, false, &responseLostError{reason: "the connection to the database broke"}
 	}
-	rep, flushed, err := s.relay(r, st, u.sync, !u.read)
-	if err == nil && u.done != nil {
-		u.done(r.lease.Conn, rep)
+	rep, flushed, err := s.relayResponse(r, st, req.sync, !req.readOnly)
+	if err == nil && req.onComplete != nil {
+		req.onComplete(r.lease.Conn, rep)
 	}
 	return rep, flushed, err
 }
@@ -162,43 +162,43 @@
 	return err
 }
 
-// settle ends a unit whose answer was read: a transaction that it opened is
+// finishRequest ends a unit whose answer was read: a transaction that it opened is
 // kept, a write waits for its majority, and the connection goes back.
-func (s *session) settle(r route, u unit, rep reply, endWrite func(), start int, flushed bool) error {
-	if rep.status != 'I' && u.sync {
+func (s *session) finishRequest(r route, req request, rep responseSummary, endWrite func(), start int, flushed bool) error {
+	if rep.txStatus != 'I' && req.sync {
 		s.tx = &transaction{
-			lease:    r.lease,
-			member:   r.member,
-			term:     r.term,
-			primary:  r.primary,
-			endWrite: endWrite,
-			status:   rep.status,
-			pending:  s.settings,
+			lease:           r.lease,
+			member:          r.member,
+			term:            r.term,
+			primary:         r.primary,
+			endWrite:        endWrite,
+			txStatus:        rep.txStatus,
+			pendingSettings: s.settings,
 		}
 		return nil
 	}
-	if !u.sync {
-		s.batch.hold(r, endWrite, rep)
+	if !req.sync {
+		s.batch.holdConnection(r, endWrite, rep)
 		return nil
 	}
-	s.give(r)
-	err := s.acknowledge(rep.mark)
+	s.releaseConnection(r)
+	err := s.awaitAcknowledgement(rep.position)
 	endWrite()
 	if err != nil {
-		s.undo(start, flushed)
+		s.discardOutput(start, flushed)
 	}
 	return err
 }
 
-// give returns a connection whose answer was read to the end.
-func (s *session) give(r route) {
-	s.setLease(nil)
+// releaseConnection returns a connection whose answer was read to the end.
+func (s *session) releaseConnection(r route) {
+	s.setActiveLease(nil)
 	r.lease.Release(true)
 }
 
-// acknowledge waits until a majority has what was committed. Nothing that says
+// awaitAcknowledgement waits until a majority has what was committed. Nothing that says
 // that the write succeeded goes to the caller before.
-func (s *session) acknowledge(m cwgroup.Mark) error {
+func (s *session) awaitAcknowledgement(m cwgroup.Mark) error {
 	if m == (cwgroup.Mark{}) {
 		return nil
 	}
@@ -209,17 +209,17 @@
 		return cwrefusal.Unknown("the write ran at the primary, but it is not known to be kept: %s", outcome)
 	}
 	s.server.Metrics.Writes.Inc()
-	s.sawWrite(m)
+	s.recordWrite(m)
 	return nil
 }
 
-// lend finds where a unit runs and borrows a connection there.
-func (s *session) lend(read bool, deadline time.Time) (route, func(), error) {
+// acquireConnection finds where a unit runs and borrows a connection there.
+func (s *session) acquireConnection(read bool, deadline time.Time) (route, func(), error) {
 	r := route{deadline: deadline}
 	endWrite := func() {}
 	ctx := context.Background()
 	if read {
-		d, err := s.placeRead(ctx, deadline)
+		d, err := s.selectReadMember(ctx, deadline)
 		if err != nil {
 			return r, nil, err
 		}
@@ -251,12 +251,12 @@
 	return r, endWrite, nil
 }
 
-// placeRead finds the member for a read: one that has the session's floor.
-func (s *session) placeRead(ctx context.Context, deadline time.Time) (cwroute.Decision, error) {
+// selectReadMember finds the member for a read: one that has the session's floor.
+func (s *session) selectReadMember(ctx context.Context, deadline time.Time) (cwroute.Decision, error) {
 	if err := s.checkFloor(ctx); err != nil {
 		return cwroute.Decision{}, err
 	}
-	rd := cwroute.Read{MaxAge: s.own.maxAge}
+	rd := cwroute.Read{MaxAge: s.proxySettings.maxAge}
 	for {
 		rd.Floor = s.floor()
 		d, err := s.group.PlaceRead(ctx, rd, deadline)
@@ -267,10 +267,10 @@
 		if err != nil {
 			return d, err
 		}
-		if s.tips == nil {
-			s.tips = make(map[string]cwgroup.Mark)
+		if s.primaryPositions == nil {
+			s.primaryPositions = make(map[string]cwgroup.Mark)
 		}
-		s.tips[s.group.Name()] = mark
+		s.primaryPositions[s.group.Name()] = mark
 		rd.Confirmed = true
 	}
 }
@@ -280,7 +280,7 @@
 	if f.Known {
 		return f
 	}
-	mark, ok := s.tips[s.group.Name()]
+	mark, ok := s.primaryPositions[s.group.Name()]
 	return cwsession.Floor{Mark: mark, Known: ok}
 }
 
@@ -290,7 +290,7 @@
 func (s *session) checkFloor(ctx context.Context) error {
 	name := s.group.Name()
 	f := cwsession.FloorOf(s.token, name)
-	if !f.Known || s.checked[name] {
+	if !f.Known || s.checkedFloors[name] {
 		return nil
 	}
 	p, ok := s.group.View().Primary()
@@ -302,12 +302,12 @@
 			return nil
 		}
 		if err := f.CheckTip(tip); err != nil {
-			return badSetting(tokenParameter, "", err.Error())
+			return invalidSetting(tokenParameter, "", err.Error())
 		}
 	}
-	if s.checked == nil {
-		s.checked = make(map[string]bool)
+	if s.checkedFloors == nil {
+		s.checkedFloors = make(map[string]bool)
 	}
-	s.checked[name] = true
+	s.checkedFloors[name] = true
 	return nil
 }
--- a/internal/proxy/cwfront/keyed.go
+++ b/internal/proxy/cwfront/request_key.go
@@ -17,90 +17,90 @@
 // are not known when it begins.
 const transactionDigest = "transaction"
 
-// resolvePause is the pause between tries to learn what became of a request.
-const resolvePause = 100 * time.Millisecond
+// resolveRetryInterval is the pause between tries to learn what became of a request.
+const resolveRetryInterval = 100 * time.Millisecond
 
-// fill puts quoted arguments into a statement of cwrequest, in one pass: an
+// substituteArguments puts quoted arguments into a statement of cwrequest, in one pass: an
 // argument that looks like a placeholder itself stays as it is.
-func fill(query string, args ...string) string {
+func substituteArguments(query string, args ...string) string {
 	pairs := make([]string, 0, 2*len(args))
 	for i, a := range args {
-		pairs = append(pairs, fmt.Sprintf("$%d", i+1), quoteValue(a))
+		pairs = append(pairs, fmt.Sprintf("$%d", i+1), quoteLiteral(a))
 	}
 	return strings.NewReplacer(pairs...).Replace(query)
 }
 
-// runKeyed runs a write that carries a request key, at most once.
-func (s *session) runKeyed(u unit) {
-	key := s.own.requestKey
-	s.own.requestKey = ""
-	if u.ends || !u.sync {
-		s.fail(unsupported("a request key on a batch that ends a transaction or is flushed in parts"))
+// runKeyedRequest runs a write that carries a request key, at most once.
+func (s *session) runKeyedRequest(req request) {
+	key := s.proxySettings.requestKey
+	s.proxySettings.requestKey = ""
+	if req.mayCommit || !req.sync {
+		s.failStatement(unsupportedRefusal("a request key on a batch that ends a transaction or is flushed in parts"))
 		return
 	}
 	deadline := s.server.Clock.Now().Add(s.entry.Contract.StatementTimeout)
-	k := keyed{s: s, key: key, digest: u.digest(), deadline: deadline}
-	if u.begin {
+	k := keyedRequest{s: s, key: key, digest: req.digest(), deadline: deadline}
+	if req.begins {
 		k.digest = transactionDigest
 	}
 	var err error
 	for range maxAttempts {
-		var again bool
-		again, err = k.attempt(u)
-		if err == nil || !again || !s.server.retries.spend() {
+		var retry bool
+		retry, err = k.attempt(req)
+		if err == nil || !retry || !s.server.retryBudget.spend() {
 			break
 		}
 		s.server.Metrics.Retries.Inc()
 	}
 	if err != nil {
-		s.fail(err)
+		s.failStatement(err)
 	}
 }
 
-// keyed is one run of a request with a key.
-type keyed struct {
+// keyedRequest is one run of a request with a key.
+type keyedRequest struct {
 	s        *session
 	key      string
 	digest   string
 	deadline time.Time
-	// grave is the state of a tombstone that this run takes the place of.
-	grave string
+	// tombstone is the state of a tombstone that this run takes the place of.
+	tombstone string
 }
 
 // attempt runs the request once. It returns again if it certainly did not run
 // and may be tried anew.
-func (k *keyed) attempt(u unit) (again bool, err error) {
+func (k *keyedRequest) attempt(req request) (retry bool, err error) {
 	s := k.s
-	r, endWrite, err := s.lend(false, k.deadline)
+	r, endWrite, err := s.acquireConnection(false, k.deadline)
 	if err != nil {
 		return false, err
 	}
 	defer endWrite()
-	if err := k.open(r); err != nil {
-		return k.openFailed(r, err)
+	if err := k.begin(r); err != nil {
+		return k.handleBeginError(r, err)
 	}
-	start := len(s.out)
-	rep, flushed, err := s.exchangeKeyed(r, u)
+	start := len(s.output)
+	rep, flushed, err := s.sendKeyed(r, req)
 	if err != nil {
-		s.drop(r)
-		s.undo(start, flushed)
+		s.discardConnection(r)
+		s.discardOutput(start, flushed)
 		// COMMIT was not sent, so the target rolls back.
 		return true, cwrefusal.NotRun(cwrefusal.SerializationFailure, retryAfter, "the connection to the database broke before the commit")
 	}
-	if rep.code != "" {
+	if rep.errorCode != "" {
 		// The request itself failed; its key stays unused.
 		s.rollback(r)
 		return false, nil
 	}
-	if u.begin {
+	if req.begins {
 		s.tx = &transaction{
 			lease: r.lease, member: r.member, term: r.term, primary: true,
-			endWrite: s.group.BeginWrite(), status: rep.status, key: k.key, pending: s.settings,
+			endWrite: s.group.BeginWrite(), txStatus: rep.txStatus, requestKey: k.key, pendingSettings: s.settings,
 		}
 		return false, nil
 	}
-	if flushed || len(s.out)-start > cwrequest.MaxAnswerLen {
-		s.undo(start, flushed)
+	if flushed || len(s.output)-start > cwrequest.MaxAnswerLen {
+		s.discardOutput(start, flushed)
 		s.rollback(r)
 		return false, cwrefusal.NotRun(cwrefusal.LimitExceeded, 0, "the answer to a request with a key is longer than %d bytes", cwrequest.MaxAnswerLen)
 	}
@@ -108,81 +108,81 @@
 }
 
 // commit records the answer with the key and commits both.
-func (k *keyed) commit(r route, start int) (again bool, err error) {
+func (k *keyedRequest) commit(r route, start int) (retry bool, err error) {
 	s := k.s
-	encoded := base64.StdEncoding.EncodeToString(s.out[start:])
-	res, err := s.exec(r, fill(cwrequest.Finish, k.key, encoded)+"; COMMIT")
+	encoded := base64.StdEncoding.EncodeToString(s.output[start:])
+	res, err := s.exec(r, substituteArguments(cwrequest.Finish, k.key, encoded)+"; COMMIT")
 	if err != nil {
-		s.out = s.out[:start]
+		s.output = s.output[:start]
 		if cwtarget.ServerCode(err) != "" {
 			s.rollback(r)
 			return true, cwrefusal.NotRun(cwrefusal.SerializationFailure, retryAfter, "the commit was refused")
 		}
-		s.drop(r)
-		return false, s.resolve(k.key, k.digest, k.deadline)
+		s.discardConnection(r)
+		return false, s.resolveOutcome(k.key, k.digest, k.deadline)
 	}
-	s.give(r)
+	s.releaseConnection(r)
 	mark, err := parseMark(res.Mark)
 	if err == nil {
-		err = s.acknowledge(mark)
+		err = s.awaitAcknowledgement(mark)
 	}
 	if err != nil {
-		s.out = s.out[:start]
-		return false, s.resolve(k.key, k.digest, k.deadline)
+		s.output = s.output[:start]
+		return false, s.resolveOutcome(k.key, k.digest, k.deadline)
 	}
 	return false, nil
 }
 
-// open begins the transaction and writes the key into it.
-func (k *keyed) open(r route) error {
+// begin begins the transaction and writes the key into it.
+func (k *keyedRequest) begin(r route) error {
 	s := k.s
 	if err := s.applySettings(r.lease.Conn); err != nil {
 		return err
 	}
 	query := "BEGIN; "
-	if k.grave != "" {
-		query += fill(cwrequest.Unbury, k.key, k.grave) + "; "
+	if k.tombstone != "" {
+		query += substituteArguments(cwrequest.Unbury, k.key, k.tombstone) + "; "
 	}
-	_, err := s.exec(r, query+fill(cwrequest.Insert, k.key, k.digest, "open"))
+	_, err := s.exec(r, query+substituteArguments(cwrequest.Insert, k.key, k.digest, "open"))
 	return err
 }
 
-// openFailed finds out why the key could not be written.
-func (k *keyed) openFailed(r route, err error) (again bool, _ error) {
+// handleBeginError finds out why the key could not be written.
+func (k *keyedRequest) handleBeginError(r route, err error) (retry bool, _ error) {
 	s := k.s
-	retry := cwrefusal.NotRun(cwrefusal.SerializationFailure, retryAfter, "the request could not begin")
+	refusal := cwrefusal.NotRun(cwrefusal.SerializationFailure, retryAfter, "the request could not begin")
 	switch cwtarget.ServerCode(err) {
 	case "":
-		s.drop(r)
-		return true, retry
+		s.discardConnection(r)
+		return true, refusal
 	case "42P01":
 		if _, err := s.exec(r, "ROLLBACK"); err != nil {
-			s.drop(r)
-			return true, retry
+			s.discardConnection(r)
+			return true, refusal
 		}
 		_, err := s.exec(r, cwrequest.CreateTable)
-		s.finishOwn(r, err)
-		return true, retry
+		s.releaseOrDiscard(r, err)
+		return true, refusal
 	case "23505":
 		if _, err := s.exec(r, "ROLLBACK"); err != nil {
-			s.drop(r)
-			return true, retry
+			s.discardConnection(r)
+			return true, refusal
 		}
-		return k.present(r)
+		return k.handleExistingKey(r)
 	case codeReadOnly:
 		s.rollback(r)
 		s.server.Clock.Sleep(10 * time.Millisecond)
-		return true, retry
+		return true, refusal
 	}
 	s.rollback(r)
 	return false, cwrefusal.NotRun(cwrefusal.Code(cwtarget.ServerCode(err)), retryAfter, "the request could not begin: %v", err)
 }
 
-// present deals with a key that is there already.
-func (k *keyed) present(r route) (again bool, err error) {
+// handleExistingKey deals with a key that is there already.
+func (k *keyedRequest) handleExistingKey(r route) (retry bool, err error) {
 	s := k.s
-	row, err := s.lookup(r, k.key)
-	s.finishOwn(r, err)
+	row, err := s.lookupKey(r, k.key)
+	s.releaseOrDiscard(r, err)
 	if err != nil {
 		return true, cwrefusal.NotRun(cwrefusal.SerializationFailure, retryAfter, "the request could not begin")
 	}
@@ -192,7 +192,7 @@
 	case cwrequest.Mismatch:
 		return false, cwrefusal.NotRun(cwrefusal.DuplicateRequest, 0, "this request key belongs to another request")
 	case cwrequest.Buried:
-		k.grave = row.State
+		k.tombstone = row.State
 	}
 	return true, cwrefusal.NotRun(cwrefusal.SerializationFailure, retryAfter, "another attempt of this request is in progress")
 }
@@ -205,7 +205,7 @@
 // primary's log, up to a position asked for after the look-up and in the same
 // term, is on a majority.
 func (s *session) replay(r route, row cwrequest.Row) error {
-	if err := s.settled(r); err != nil {
+	if err := s.awaitPrimaryLogOnMajority(r); err != nil {
 		return cwrefusal.Unknown("this request has run before, but it is not known yet whether that is kept")
 	}
 	answer, err := base64.StdEncoding.DecodeString(row.Answer)
@@ -217,13 +217,13 @@
 		return cwrefusal.NotRun(cwrefusal.DuplicateRequest, 0, "the transaction with this request key has committed before; it was not run again").
 			WithHint("requestDone=true")
 	}
-	s.out = append(s.out, answer...)
+	s.output = append(s.output, answer...)
 	return nil
 }
 
-// settled waits until everything that the primary of the route's term has now
+// awaitPrimaryLogOnMajority waits until everything that the primary of the route's term has now
 // is on a majority.
-func (s *session) settled(r route) error {
+func (s *session) awaitPrimaryLogOnMajority(r route) error {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	tip, err := s.group.Tip(ctx)
@@ -236,7 +236,7 @@
 	if o := s.group.AwaitMajority(tip); o != cwack.Acknowledged {
 		return cwrefusal.Unknown("not known to be kept: %s", o)
 	}
-	s.sawWrite(tip)
+	s.recordWrite(tip)
 	return nil
 }
 
@@ -248,52 +248,52 @@
 
 var errTermChanged = termChangedError{}
 
-// resolveLost answers for a transaction whose COMMIT may have been carried out.
-func (s *session) resolveLost(key, digest string) {
+// resolveLostCommit answers for a transaction whose COMMIT may have been carried out.
+func (s *session) resolveLostCommit(key, digest string) {
 	deadline := s.server.Clock.Now().Add(s.entry.Contract.StatementTimeout)
-	start := len(s.out)
-	err := s.resolve(key, digest, deadline)
-	if err == nil && len(s.out) == start {
-		s.complete("COMMIT")
+	start := len(s.output)
+	err := s.resolveOutcome(key, digest, deadline)
+	if err == nil && len(s.output) == start {
+		s.sendCommandComplete("COMMIT")
 	}
 	if err != nil {
 		s.sendError("ERROR", err)
 	}
 }
 
-// resolve finds out what became of a request whose answer was lost. If it ran,
+// resolveOutcome finds out what became of a request whose answer was lost. If it ran,
 // its recorded answer is given and nil returned. If it did not, a tombstone is
 // written first, so that the lost attempt cannot commit any more, and only then
 // is the caller told that it was not run.
-func (s *session) resolve(key, digest string, deadline time.Time) error {
+func (s *session) resolveOutcome(key, digest string, deadline time.Time) error {
 	for s.server.Clock.Now().Before(deadline) {
-		done, err := s.resolveOnce(key, digest, deadline)
+		done, err := s.resolveOutcomeOnce(key, digest, deadline)
 		if done {
 			return err
 		}
-		s.server.Clock.Sleep(resolvePause)
+		s.server.Clock.Sleep(resolveRetryInterval)
 	}
 	return cwrefusal.Unknown("it could not be found out in time whether the request ran")
 }
 
-func (s *session) resolveOnce(key, digest string, deadline time.Time) (done bool, err error) {
-	r, endWrite, err := s.lend(false, deadline)
+func (s *session) resolveOutcomeOnce(key, digest string, deadline time.Time) (done bool, err error) {
+	r, endWrite, err := s.acquireConnection(false, deadline)
 	if err != nil {
 		return false, err
 	}
 	defer endWrite()
-	row, err := s.lookup(r, key)
+	row, err := s.lookupKey(r, key)
 	if err != nil {
-		s.finishOwn(r, err)
+		s.releaseOrDiscard(r, err)
 		return false, err
 	}
 	verdict := cwrequest.Judge(row, digest)
 	if verdict == cwrequest.Absent {
-		err := s.bury(r, key, digest)
-		return err == nil, notRunAfterAll(err)
+		err := s.writeTombstone(r, key, digest)
+		return err == nil, confirmNotRun(err)
 	}
-	s.give(r)
-	if s.settled(r) != nil {
+	s.releaseConnection(r)
+	if s.awaitPrimaryLogOnMajority(r) != nil {
 		return false, errTermChanged
 	}
 	switch verdict {
@@ -303,26 +303,26 @@
 			return true, cwrefusal.Unknown("the recorded answer of this request is damaged")
 		}
 		s.server.Metrics.Replays.Inc()
-		s.out = append(s.out, answer...)
+		s.output = append(s.output, answer...)
 		return true, nil
 	case cwrequest.Buried:
-		return true, notRunAfterAll(nil)
+		return true, confirmNotRun(nil)
 	}
 	return true, cwrefusal.NotRun(cwrefusal.DuplicateRequest, 0, "this request key belongs to another request")
 }
 
-func notRunAfterAll(err error) error {
+func confirmNotRun(err error) error {
 	if err != nil {
 		return err
 	}
 	return cwrefusal.NotRun(cwrefusal.SerializationFailure, retryAfter, "the request was not run; it may be sent again with the same key")
 }
 
-// bury writes a tombstone and waits until it is kept.
-func (s *session) bury(r route, key, digest string) error {
-	id := cwrequest.Tombstone(fmt.Sprintf("%d-%d", s.key.pid, s.server.Clock.Now().UnixNano()))
-	res, err := s.exec(r, fill(cwrequest.Bury, key, digest, id))
-	s.finishOwn(r, err)
+// writeTombstone writes a tombstone and waits until it is kept.
+func (s *session) writeTombstone(r route, key, digest string) error {
+	id := cwrequest.Tombstone(fmt.Sprintf("%d-%d", s.cancelKey.pid, s.server.Clock.Now().UnixNano()))
+	res, err := s.exec(r, substituteArguments(cwrequest.Bury, key, digest, id))
+	s.releaseOrDiscard(r, err)
 	if err != nil {
 		return err
 	}
@@ -330,12 +330,12 @@
 	if err != nil {
 		return err
 	}
-	return s.acknowledge(mark)
+	return s.awaitAcknowledgement(mark)
 }
 
-// lookup reads the row of a key at the route's member.
-func (s *session) lookup(r route, key string) (cwrequest.Row, error) {
-	res, err := s.exec(r, fill(cwrequest.Lookup, key))
+// lookupKey reads the row of a key at the route's member.
+func (s *session) lookupKey(r route, key string) (cwrequest.Row, error) {
+	res, err := s.exec(r, substituteArguments(cwrequest.Lookup, key))
 	if cwtarget.ServerCode(err) == "42P01" {
 		// No request with a key has committed in this group yet. Make the table,
 		// so that a tombstone can be written.
--- a/internal/proxy/cwfront/server.go
+++ b/internal/proxy/cwfront/server.go
@@ -1,12 +1,17 @@
-// Package cwfront serves callers.
+// Package cwfront implements the PostgreSQL wire protocol towards clients.
 //
-// A Server accepts connections and gives each a session. A session reads what
-// its caller sends up to the end of a statement or batch, decides by its kind
-// where it goes, borrows a connection there for as long as the statement or
-// transaction lasts, and passes the answer back. The answer to a write is held
-// until a majority of the group has the record. Whatever the session needs in
-// order to go on at another connection or proxy is with the caller or in the
-// session's settings, never on a target's connection.
+// A Server accepts client connections and runs a session for each. A session
+// reads one request, which is a simple query or an extended-protocol batch, and
+// routes it: reads go to a member of the replication group whose data is recent
+// enough, all else goes to the primary. It borrows a pooled connection for the
+// length of the statement or transaction and relays the response. The response
+// to a write is held back until a majority of the group's members has the
+// record.
+//
+// No session state exists only on a target's connection. What a client needs in
+// order to continue on another connection or proxy is in its session token; the
+// settings and prepared statements of a session are kept by the proxy and
+// applied to whichever connection it borrows.
 package cwfront
 
 import (
@@ -32,43 +37,49 @@
 	"cicadawalk.example/cicadawalk/internal/wire/cwsql"
 )
 
-// Services is what the sessions need of the proxy around them.
+// Services gives sessions access to the rest of the proxy.
 type Services interface {
-	// Ready reports whether the proxy knows enough to serve.
+	// Ready reports whether the proxy has a catalogue that it may serve clients
+	// from.
 	Ready() bool
-	// Revision changes whenever entries or groups change.
+	// Revision returns the catalogue revision, which changes whenever an entry or
+	// a group changes.
 	Revision() uint64
-	// Entry returns the catalogue's entry of a service.
+	// Entry returns the catalogue entry of a service, and false if there is none.
 	Entry(service string) (cwcatalogue.Entry, bool)
-	// Group returns the live state of a group.
+	// Group returns the monitored state of a replication group, and false if this
+	// proxy does not have it yet.
 	Group(name string) (*cwwatch.Group, bool)
-	// Pool returns the pool of connections to a member.
+	// Pool returns the connection pool of a group member, and false if this proxy
+	// does not have it yet.
 	Pool(id cwgroup.MemberID) (*cwpool.Pool, bool)
-	// ForwardCancel passes a request to cancel on to the proxy that its process
-	// id tells.
+	// ForwardCancel forwards a cancel request to the proxies whose tag is in the
+	// process id; see TagOf.
 	ForwardCancel(pid uint32, secret []byte)
 }
 
-// Limits of what is read from callers.
+// Limits on what is read from clients.
 const (
-	// MaxMessage is the longest message, in bytes.
+	// MaxMessage is the largest message accepted after the handshake, in bytes.
 	MaxMessage = 64 << 20
-	// maxStartup is the longest start-up message, in bytes.
-	maxStartup = 16 << 10
-	// HandshakeTimeout bounds the time until the start-up message is complete.
+	// maxStartupMessage is the largest start-up message accepted, in bytes.
+	maxStartupMessage = 16 << 10
+	// HandshakeTimeout bounds the whole handshake, from accepting the connection
+	// until the response to the start-up message is sent.
 	HandshakeTimeout = 10 * time.Second
-	// maxBatch bounds the messages of a batch before its Sync.
-	maxBatch = 10000
+	// maxBatchMessages is the largest number of messages that are buffered before
+	// a Sync or Flush.
+	maxBatchMessages = 10000
 )
 
-// Metrics are the figures of the sessions.
+// Metrics holds the metrics of all sessions of a Server.
 type Metrics struct {
 	Statements, ReplicaReads, PrimaryReads, Writes *metrics.Counter
 	NotRun, Unknown, Retries, Replays              *metrics.Counter
 	AckWait                                        *metrics.Histogram
 }
 
-// NewMetrics registers the figures in a set.
+// NewMetrics creates the metrics and registers them in s.
 func NewMetrics(s *metrics.Set) *Metrics {
 	return &Metrics{
 		Statements:   s.NewCounter("cicadawalk_statements_total"),
@@ -83,104 +94,104 @@
 	}
 }
 
-// Server accepts callers. Set the exported fields before Run.
+// Server accepts client connections. Set the exported fields before Run.
 type Server struct {
 	Services Services
 	Clock    clockwork.Clock
 	Log      *log.Logger
 	Metrics  *Metrics
-	// Tag is in the process ids of this proxy's sessions, see TagOf.
+	// Tag identifies this proxy in the process ids of its sessions; see TagOf.
 	Tag uint16
-	// Version is reported to callers as server_version.
+	// Version is reported to clients as server_version.
 	Version string
 
-	parsed   cwsql.Cache
-	draining atomic.Bool
-	retries  budget
-	listener *cwlisten.Listener
+	statementCache cwsql.Cache
+	draining       atomic.Bool
+	retryBudget    retryBudget
+	listener       *cwlisten.Listener
 
 	mu       sync.Mutex
 	sessions map[cancelKey]*session
 }
 
-// Bounds of retries: one for ten statements, and a few saved up for the moment
-// in which a primary is replaced.
+// The retry budget: each statement earns a tenth of a retry, and up to 200
+// retries can be saved for the moment when a primary is replaced.
 const (
-	retryRatio = 0.1
-	retrySaved = 200
+	retryRatio      = 0.1
+	maxSavedRetries = 200
 )
 
-// budget bounds the retries of all sessions together, so that an outage is not
-// multiplied.
-type budget struct {
-	mu sync.Mutex
-	b  cwlimit.Budget
+// retryBudget limits the retries of all sessions together, so that retries do
+// not multiply the load during an outage. It is safe for concurrent use.
+type retryBudget struct {
+	mu     sync.Mutex
+	budget cwlimit.Budget
 }
 
-func (b *budget) earn() {
+func (b *retryBudget) earn() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.b.Ratio, b.b.Max = retryRatio, retrySaved
-	b.b.Earn()
+	b.budget.Ratio, b.budget.Max = retryRatio, maxSavedRetries
+	b.budget.Earn()
 }
 
-func (b *budget) spend() bool {
+func (b *retryBudget) spend() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.b.Spend()
+	return b.budget.Spend()
 }
 
-// cancelKey names a session in a request to cancel.
+// cancelKey identifies a session in a CancelRequest.
 type cancelKey struct {
 	pid    uint32
 	secret uint32
 }
 
-// Run accepts callers until ctx ends, and then returns without waiting for the
-// sessions; see Drain.
-func (v *Server) Run(ctx context.Context, ln net.Listener) error {
-	v.listener = &cwlisten.Listener{
+// Run accepts client connections on ln until ctx ends. It returns without
+// waiting for the sessions to end; see Drain.
+func (srv *Server) Run(ctx context.Context, ln net.Listener) error {
+	srv.listener = &cwlisten.Listener{
 		Listener: ln,
-		Handle:   func(_ context.Context, conn net.Conn) { v.serve(conn) },
-		Failed:   func(err error) { v.Log.Warn("acceptFailed", "error", err) },
+		Handle:   func(_ context.Context, conn net.Conn) { srv.serve(conn) },
+		Failed:   func(err error) { srv.Log.Warn("acceptFailed", "error", err) },
 	}
-	return v.listener.Run(ctx)
+	return srv.listener.Run(ctx)
 }
 
-func (v *Server) serve(conn net.Conn) {
+func (srv *Server) serve(conn net.Conn) {
 	defer conn.Close()
-	s := newSession(v, conn)
-	if !s.startup() {
+	s := newSession(srv, conn)
+	if !s.handshake() {
 		return
 	}
-	v.register(s)
-	defer v.unregister(s)
+	srv.register(s)
+	defer srv.unregister(s)
 	s.run()
 }
 
-func (v *Server) register(s *session) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if v.sessions == nil {
-		v.sessions = make(map[cancelKey]*session)
+func (srv *Server) register(s *session) {
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	if srv.sessions == nil {
+		srv.sessions = make(map[cancelKey]*session)
 	}
-	v.sessions[s.key] = s
+	srv.sessions[s.cancelKey] = s
 }
 
-func (v *Server) unregister(s *session) {
-	v.mu.Lock()
-	delete(v.sessions, s.key)
-	v.mu.Unlock()
+func (srv *Server) unregister(s *session) {
+	srv.mu.Lock()
+	delete(srv.sessions, s.cancelKey)
+	srv.mu.Unlock()
 }
 
-// Draining reports whether the server takes no more callers.
-func (v *Server) Draining() bool { return v.draining.Load() }
+// Draining reports whether Drain was called; new clients are then refused.
+func (srv *Server) Draining() bool { return srv.draining.Load() }
 
-// Sessions returns the number of connected callers.
-func (v *Server) Sessions() int {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return len(v.sessions)
+// Sessions returns the number of clients that have completed the handshake.
+func (srv *Server) Sessions() int {
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	return len(srv.sessions)
 }
 
 func newCancelKey(tag uint16) cancelKey {
@@ -190,15 +201,17 @@
 	return cancelKey{pid: pid, secret: binary.BigEndian.Uint32(b[2:])}
 }
 
-// A process id is 31 bits: 15 tell the proxy, 16 the session.
+// Layout of a session's process id, which has 31 bits: the upper 15 are the
+// proxy's tag, and the lower 16 are random for each session.
 const (
 	tagShift = 16
 	tagMask  = 0x7fff
 )
 
-// TagOf returns the tag of an instance. The platform's balancer may bring a
-// request to cancel to any proxy; the tag in its process id tells which one to
-// pass it on to. Two instances can have the same tag; then both are told.
+// TagOf returns the tag of an instance, a 15-bit hash of its id. The platform's
+// load balancer may route a CancelRequest to any proxy; the tag in its process
+// id tells which proxy to forward it to. Two instances can have the same tag;
+// the request is then forwarded to both.
 func TagOf(instance string) uint16 {
 	h := fnv.New32a()
 	h.Write([]byte(instance))
@@ -206,52 +219,53 @@
 	return uint16(sum^sum>>16) & tagMask
 }
 
-// TagOfPID returns the tag that a process id has.
+// TagOfPID returns the proxy tag contained in a session's process id.
 func TagOfPID(pid uint32) uint16 { return uint16(pid>>tagShift) & tagMask }
 
-// CancelLocal ends the statement of a session of this proxy. It reports whether
-// there is such a session.
-func (v *Server) CancelLocal(pid uint32, secret []byte) bool {
+// CancelLocal cancels the statement that a session of this proxy is running, if
+// any. It reports whether this proxy has a session with that process id and
+// secret.
+func (srv *Server) CancelLocal(pid uint32, secret []byte) bool {
 	if len(secret) != 4 {
 		return false
 	}
-	v.mu.Lock()
-	s, ok := v.sessions[cancelKey{pid: pid, secret: binary.BigEndian.Uint32(secret)}]
-	v.mu.Unlock()
+	srv.mu.Lock()
+	s, ok := srv.sessions[cancelKey{pid: pid, secret: binary.BigEndian.Uint32(secret)}]
+	srv.mu.Unlock()
 	if ok {
 		s.cancelStatement()
 	}
 	return ok
 }
 
-// Drain lets the sessions end: each is closed once no statement is in progress
-// and no transaction is open. It returns when all are gone, or with ctx's error
-// if that takes longer.
-func (v *Server) Drain(ctx context.Context) error {
-	v.draining.Store(true)
-	v.mu.Lock()
-	for _, s := range v.sessions {
-		s.wakeIdle()
+// Drain refuses new clients and closes each session once it has no statement in
+// progress and no open transaction. It returns nil when all sessions have ended;
+// if ctx ends first, it closes the remaining connections and returns ctx's error.
+func (srv *Server) Drain(ctx context.Context) error {
+	srv.draining.Store(true)
+	srv.mu.Lock()
+	for _, s := range srv.sessions {
+		s.interruptIdle()
 	}
-	v.mu.Unlock()
+	srv.mu.Unlock()
 	done := make(chan struct{})
 	go func() {
-		v.listener.Wait()
+		srv.listener.Wait()
 		close(done)
 	}()
 	select {
 	case <-done:
 		return nil
 	case <-ctx.Done():
-		v.closeAll()
+		srv.closeAll()
 		return ctx.Err()
 	}
 }
 
-func (v *Server) closeAll() {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	for _, s := range v.sessions {
+func (srv *Server) closeAll() {
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	for _, s := range srv.sessions {
 		_ = s.conn.Close()
 	}
 }
--- a/internal/proxy/cwfront/session.go
+++ b/internal/proxy/cwfront/session.go
@@ -19,62 +19,67 @@
 	"cicadawalk.example/cicadawalk/internal/proxy/cwwatch"
 )
 
-// session is one caller's connection.
+// session serves one client connection. Its goroutine owns all fields except
+// those guarded by mu.
 type session struct {
-	server  *Server
-	conn    net.Conn
-	backend *pgproto3.Backend
-	key     cancelKey
-	// out is what is to be sent to the caller at the next flush.
-	out []byte
-	// flushes counts the times that some of it was sent.
-	flushes int
+	server    *Server
+	conn      net.Conn
+	backend   *pgproto3.Backend
+	cancelKey cancelKey
+	// output holds encoded messages that the next flush sends to the client.
+	output []byte
+	// flushCount is the number of flushes that sent something.
+	flushCount int
 
 	entry cwcatalogue.Entry
-	// revision is that of the catalogue which entry and group are from.
+	// revision is the catalogue revision that entry and group were taken from.
 	revision uint64
-	// group is nil until it is known which of the entry's groups has the
-	// caller's data.
+	// group is the replication group that has the client's data. It is nil while
+	// the entry has several groups and the client has not set cicadawalk.shard.
 	group *cwwatch.Group
 
-	token    cwsession.Token
-	reported string
-	// tips are the primaries' positions asked for after the connect: the floors
-	// of groups that the token does not name.
-	tips map[string]cwgroup.Mark
-	// checked holds the groups whose floor was compared with the primary.
-	checked  map[string]bool
-	settings settings
-	own      own
+	token cwsession.Token
+	// reportedToken is the encoded token last reported to the client.
+	reportedToken string
+	// primaryPositions holds, by group, the primary's log position read after the
+	// client connected. It is the floor, the minimum position that a read must
+	// see, of each group that the token has no position for.
+	primaryPositions map[string]cwgroup.Mark
+	// checkedFloors holds the groups whose floor was checked against the primary;
+	// see checkFloor.
+	checkedFloors map[string]bool
+	settings      settings
+	proxySettings proxySettings
 
 	tx       *transaction
-	prepared map[string]*prepared
-	portals  map[string]*prepared
+	prepared map[string]*preparedStatement
+	portals  map[string]*preparedStatement
 	batch    batch
 
-	// mu guards what other goroutines touch.
-	mu    sync.Mutex
-	lease *cwpool.Lease
-	idle  bool
+	// mu guards the fields that Drain and CancelLocal use.
+	mu          sync.Mutex
+	activeLease *cwpool.Lease
+	idle        bool
 }
 
-func newSession(v *Server, conn net.Conn) *session {
+func newSession(srv *Server, conn net.Conn) *session {
 	b := pgproto3.NewBackend(conn, conn)
-	b.SetMaxBodyLen(maxStartup)
-	return &session{server: v, conn: conn, backend: b, key: newCancelKey(v.Tag)}
+	b.SetMaxBodyLen(maxStartupMessage)
+	return &session{server: srv, conn: conn, backend: b, cancelKey: newCancelKey(srv.Tag)}
 }
 
-// chooseGroup finds the group that has the caller's data: the entry's only one,
-// or the one that the shard hashes to. Every proxy finds the same.
-func (s *session) chooseGroup() error {
+// selectGroup sets the group that has the client's data: the entry's only group,
+// or the one that cicadawalk.shard hashes to. Every proxy selects the same group
+// for a shard. Without a shard the group of an entry with several stays nil.
+func (s *session) selectGroup() error {
 	names := s.entry.GroupNames()
 	name := names[0]
 	if len(names) > 1 {
-		if s.own.shard == "" {
+		if s.proxySettings.shard == "" {
 			s.group = nil
 			return nil
 		}
-		name = cwplace.Order(s.own.shard, names)[0]
+		name = cwplace.Order(s.proxySettings.shard, names)[0]
 	}
 	g, ok := s.server.Services.Group(name)
 	if !ok {
@@ -84,9 +89,9 @@
 	return nil
 }
 
-// refresh follows the catalogue: a change is in force for connections that are
-// open, too.
-func (s *session) refresh() error {
+// refreshEntry reloads the entry and the group if the catalogue has changed, so
+// that changes also apply to open connections.
+func (s *session) refreshEntry() error {
 	rev := s.server.Services.Revision()
 	if rev == s.revision {
 		return nil
@@ -96,47 +101,51 @@
 		return cwrefusal.NotRun(cwrefusal.UndefinedDatabase, 0, "database %q does not exist any more", s.entry.Service)
 	}
 	s.entry, s.revision = entry, rev
-	return s.chooseGroup()
+	return s.selectGroup()
 }
 
-// takeToken takes a session token that came from outside.
-func (s *session) takeToken(text string) error {
+// setToken merges a session token sent by the client into the session's own. The
+// floors of its groups are checked again before the next read.
+func (s *session) setToken(text string) error {
 	t, err := cwsession.ParseToken(text)
 	if err == nil {
 		t, err = t.Only(s.entry.GroupNames())
 	}
 	if err != nil {
-		return badSetting(tokenParameter, "", "a token of this service; "+err.Error())
+		return invalidSetting(tokenParameter, "", "a token of this service; "+err.Error())
 	}
 	for _, g := range s.entry.GroupNames() {
 		if m, ok := t.Mark(g); ok {
 			s.token = s.token.WithMark(g, m)
-			delete(s.checked, g)
+			delete(s.checkedFloors, g)
 		}
 	}
 	return nil
 }
 
-// sawWrite records that the session wrote up to m.
-func (s *session) sawWrite(m cwgroup.Mark) {
+// recordWrite records in the token that the session has written, or observed,
+// log position m of its group. The floor needs no check, because m comes from
+// the primary.
+func (s *session) recordWrite(m cwgroup.Mark) {
 	s.token = s.token.WithMark(s.group.Name(), m)
-	if s.checked == nil {
-		s.checked = make(map[string]bool)
+	if s.checkedFloors == nil {
+		s.checkedFloors = make(map[string]bool)
 	}
-	s.checked[s.group.Name()] = true
+	s.checkedFloors[s.group.Name()] = true
 }
 
-// reportToken tells the caller the token if it changed.
+// reportToken queues a ParameterStatus with the session token if it has changed
+// since the last report.
 func (s *session) reportToken() {
-	if t := s.token.String(); t != s.reported {
-		s.reported = t
+	if t := s.token.String(); t != s.reportedToken {
+		s.reportedToken = t
 		s.send(&pgproto3.ParameterStatus{Name: tokenParameter, Value: t})
 	}
 }
 
-// run serves the caller until it leaves or the proxy drains.
+// run serves the client until it disconnects or the proxy drains.
 func (s *session) run() {
-	defer s.abandon()
+	defer s.discardOpenConnections()
 	for {
 		if !s.enterIdle() {
 			s.sendError("FATAL", cwrefusal.NotRun("57P01", time.Second, "this proxy is shutting down; connect again"))
@@ -146,25 +155,26 @@
 		msg, err := s.backend.Receive()
 		s.leaveIdle()
 		if err != nil {
-			s.receiveFailed(err)
+			s.answerReceiveError(err)
 			return
 		}
-		if err := s.handle(msg); err != nil {
+		if err := s.handleMessage(msg); err != nil {
 			return
 		}
 	}
 }
 
-// receiveFailed answers what can be answered: a message that is too long or
-// malformed gets an error, a caller that is gone gets nothing.
-func (s *session) receiveFailed(err error) {
+// answerReceiveError sends the client an error if a message was too long or
+// malformed, or if the wait was ended by a drain. It sends nothing if the client
+// has disconnected.
+func (s *session) answerReceiveError(err error) {
 	var ne net.Error
 	switch {
 	case errors.As(err, &ne) && ne.Timeout() && s.server.draining.Load():
 		s.sendError("FATAL", cwrefusal.NotRun("57P01", time.Second, "this proxy is shutting down; connect again"))
 	case isMessageTooLong(err):
 		s.sendError("FATAL", cwrefusal.NotRun(cwrefusal.LimitExceeded, 0, "message longer than %d bytes", MaxMessage))
-	case isGone(err):
+	case isDisconnect(err):
 		return
 	default:
 		s.sendError("FATAL", cwrefusal.NotRun(cwrefusal.ProtocolViolation, 0, "malformed message"))
@@ -177,13 +187,15 @@
 	return errors.As(err, &e)
 }
 
-func isGone(err error) bool {
+// isDisconnect reports whether an error of Receive means that the connection to
+// the client is closed or broken.
+func isDisconnect(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) || errors.Is(err, net.ErrClosed) || strings.Contains(err.Error(), "EOF")
 }
 
-// enterIdle marks the session as waiting for its caller. It returns false if
-// the proxy drains and the caller has nothing in progress.
+// enterIdle marks the session as idle unless a transaction or batch is open. It
+// returns false if the session is idle and the proxy drains.
 func (s *session) enterIdle() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -200,8 +212,8 @@
 	s.mu.Unlock()
 }
 
-// wakeIdle ends the wait of a session whose caller has nothing in progress.
-func (s *session) wakeIdle() {
+// interruptIdle ends the wait for the next message of an idle session.
+func (s *session) interruptIdle() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.idle {
@@ -209,19 +221,20 @@
 	}
 }
 
-func (s *session) handle(msg pgproto3.FrontendMessage) error {
+// handleMessage processes one message of the client. An error ends the session.
+func (s *session) handleMessage(msg pgproto3.FrontendMessage) error {
 	switch m := msg.(type) {
 	case *pgproto3.Query:
-		s.simpleQuery(m.String)
-		return s.ready()
+		s.handleSimpleQuery(m.String)
+		return s.finishResponse()
 	case *pgproto3.Sync:
 		s.runBatch(true)
-		return s.ready()
+		return s.finishResponse()
 	case *pgproto3.Flush:
 		s.runBatch(false)
 		return s.flush()
 	case *pgproto3.Parse, *pgproto3.Bind, *pgproto3.Describe, *pgproto3.Execute, *pgproto3.Close:
-		return s.collect(msg)
+		return s.addToBatch(msg)
 	case *pgproto3.Terminate:
 		return errTerminated
 	case *pgproto3.CopyData, *pgproto3.CopyDone, *pgproto3.CopyFail:
@@ -234,35 +247,39 @@
 	}
 }
 
-// terminatedError ends a session whose caller said good-bye or broke the
-// protocol; it was answered already.
+// terminatedError ends a session after a Terminate message, or after a protocol
+// violation that the client was already told of.
 type terminatedError struct{}
 
 func (terminatedError) Error() string { return "terminated" }
 
 var errTerminated = terminatedError{}
 
-// abandon ends what the caller left open.
-func (s *session) abandon() {
+// discardOpenConnections closes the target connections of a transaction or a
+// flushed batch that the client left open.
+func (s *session) discardOpenConnections() {
 	if s.tx != nil {
 		s.endTransaction(false)
 	}
 	if l := s.batch.lease; l != nil {
-		s.setLease(nil)
+		s.setActiveLease(nil)
 		l.Discard()
 	}
 }
 
-// setLease names the connection that a request to cancel is for.
-func (s *session) setLease(l *cwpool.Lease) {
+// setActiveLease sets the target connection that a CancelRequest applies to; nil
+// means none.
+func (s *session) setActiveLease(l *cwpool.Lease) {
 	s.mu.Lock()
-	s.lease = l
+	s.activeLease = l
 	s.mu.Unlock()
 }
 
+// cancelStatement asks the target to cancel the statement that runs on the
+// active connection. It may be called from any goroutine.
 func (s *session) cancelStatement() {
 	s.mu.Lock()
-	l := s.lease
+	l := s.activeLease
 	s.mu.Unlock()
 	if l == nil {
 		return
@@ -272,20 +289,20 @@
 	_ = l.Cancel(ctx)
 }
 
-// txStatus is what ReadyForQuery says.
+// txStatus returns the transaction status byte for ReadyForQuery.
 func (s *session) txStatus() byte {
 	switch {
 	case s.tx == nil:
 		return 'I'
-	case s.tx.failed || s.tx.status == 'E':
+	case s.tx.failed || s.tx.txStatus == 'E':
 		return 'E'
 	default:
 		return 'T'
 	}
 }
 
-// ready ends an answer.
-func (s *session) ready() error {
+// finishResponse ends a response with ReadyForQuery and flushes it.
+func (s *session) finishResponse() error {
 	s.reportToken()
 	s.send(&pgproto3.ReadyForQuery{TxStatus: s.txStatus()})
 	return s.flush()
--- a/internal/proxy/cwfront/session_test.go
+++ b/internal/proxy/cwfront/session_test.go
@@ -14,18 +14,18 @@
 	"cicadawalk.example/cicadawalk/internal/tool/cwdemo"
 )
 
-var background = context.Background()
+var testContext = context.Background()
 
-// bench is a group of three databases behind two proxies, with a link before
+// testProxies is a group of three databases behind two proxies, with a link before
 // each database that tests can cut.
-type bench struct {
+type testProxies struct {
 	*cwdemo.Bench
 	links map[cwgroup.MemberID]*cwlink.Link
 }
 
-func newBench(c *qt.C, opts cwdemo.Options) *bench {
+func startProxies(c *qt.C, opts cwdemo.Options) *testProxies {
 	c.Helper()
-	b := &bench{links: make(map[cwgroup.MemberID]*cwlink.Link)}
+	b := &testProxies{links: make(map[cwgroup.MemberID]*cwlink.Link)}
 	opts.Proxies = 2
 	opts.Direct = func(id cwgroup.MemberID, addr string) string {
 		l, err := cwlink.Start("127.0.0.1:0", addr)
@@ -41,15 +41,15 @@
 	return b
 }
 
-func (b *bench) connect(c *qt.C, proxy int, params ...string) *pgx.Conn {
+func (b *testProxies) connect(c *qt.C, proxy int, params ...string) *pgx.Conn {
 	c.Helper()
 	conn, err := b.tryConnect(proxy, params...)
 	c.Assert(err, qt.IsNil)
-	c.Cleanup(func() { _ = conn.Close(background) })
+	c.Cleanup(func() { _ = conn.Close(testContext) })
 	return conn
 }
 
-func (b *bench) tryConnect(proxy int, params ...string) (*pgx.Conn, error) {
+func (b *testProxies) tryConnect(proxy int, params ...string) (*pgx.Conn, error) {
 	cfg, err := pgx.ParseConfig(b.URL(proxy))
 	if err != nil {
 		return nil, err
@@ -57,12 +57,12 @@
 	for i := 0; i < len(params); i += 2 {
 		cfg.RuntimeParams[params[i]] = params[i+1]
 	}
-	return pgx.ConnectConfig(background, cfg)
+	return pgx.ConnectConfig(testContext, cfg)
 }
 
 func exec(c *qt.C, conn *pgx.Conn, query string, args ...any) string {
 	c.Helper()
-	tag, err := conn.Exec(background, query, args...)
+	tag, err := conn.Exec(testContext, query, args...)
 	c.Assert(err, qt.IsNil, qt.Commentf("%s", query))
 	return tag.String()
 }
@@ -70,14 +70,14 @@
 func queryText(c *qt.C, conn *pgx.Conn, query string, args ...any) string {
 	c.Helper()
 	var s string
-	c.Assert(conn.QueryRow(background, query, args...).Scan(&s), qt.IsNil, qt.Commentf("%s", query))
+	c.Assert(conn.QueryRow(testContext, query, args...).Scan(&s), qt.IsNil, qt.Commentf("%s", query))
 	return s
 }
 
 func queryInt(c *qt.C, conn *pgx.Conn, query string, args ...any) int64 {
 	c.Helper()
 	var n int64
-	c.Assert(conn.QueryRow(background, query, args...).Scan(&n), qt.IsNil, qt.Commentf("%s", query))
+	c.Assert(conn.QueryRow(testContext, query, args...).Scan(&n), qt.IsNil, qt.Commentf("%s", query))
 	return n
 }
 
@@ -95,25 +95,25 @@
 
 func TestStatements(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, cwdemo.Options{})
+	b := startProxies(c, cwdemo.Options{})
 	conn := b.connect(c, 0)
 	exec(c, conn, "CREATE TABLE ronda (id bigint PRIMARY KEY, gate text, note text)")
 
 	c.Run("simple protocol with several statements", func(c *qt.C) {
-		res, err := conn.PgConn().Exec(background, "INSERT INTO ronda VALUES (1, 'a', NULL); INSERT INTO ronda VALUES (2, 'b', ''); SELECT id FROM ronda ORDER BY id").ReadAll()
+		res, err := conn.PgConn().Exec(testContext, "INSERT INTO ronda VALUES (1, 'a', NULL); INSERT INTO ronda VALUES (2, 'b', ''); SELECT id FROM ronda ORDER BY id").ReadAll()
 		c.Assert(err, qt.IsNil)
 		c.Assert(len(res), qt.Equals, 3)
 		c.Assert(len(res[2].Rows), qt.Equals, 2)
 	})
 	c.Run("several statements are one transaction", func(c *qt.C) {
-		_, err := conn.PgConn().Exec(background, "INSERT INTO ronda VALUES (50, 'a', NULL); INSERT INTO ronda VALUES (1, 'b', '')").ReadAll()
+		_, err := conn.PgConn().Exec(testContext, "INSERT INTO ronda VALUES (50, 'a', NULL); INSERT INTO ronda VALUES (1, 'b', '')").ReadAll()
 		assertRefused(c, err, "23505")
 		c.Assert(queryInt(c, conn, "SELECT count(*) FROM ronda WHERE id = 50"), qt.Equals, int64(0))
 	})
 	c.Run("null and empty differ", func(c *qt.C) {
 		var a, e *string
-		c.Assert(conn.QueryRow(background, "SELECT note FROM ronda WHERE id = $1", 1).Scan(&a), qt.IsNil)
-		c.Assert(conn.QueryRow(background, "SELECT note FROM ronda WHERE id = $1", 2).Scan(&e), qt.IsNil)
+		c.Assert(conn.QueryRow(testContext, "SELECT note FROM ronda WHERE id = $1", 1).Scan(&a), qt.IsNil)
+		c.Assert(conn.QueryRow(testContext, "SELECT note FROM ronda WHERE id = $1", 2).Scan(&e), qt.IsNil)
 		c.Assert(a, qt.IsNil)
 		c.Assert(*e, qt.Equals, "")
 	})
@@ -140,7 +140,7 @@
 			"CREATE TEMP TABLE x (id int)":         "0A000",
 			"PREPARE x AS SELECT 1":                "0A000",
 		} {
-			_, err := conn.Exec(background, query)
+			_, err := conn.Exec(testContext, query)
 			assertRefused(c, err, code)
 		}
 		c.Assert(queryInt(c, conn, "SELECT 1"), qt.Equals, int64(1))
@@ -155,7 +155,7 @@
 		} {
 			exec(c, conn, "INSERT INTO ronda VALUES ($1, $2, 'm')", mode, 100+i, "g")
 			var id int64
-			c.Assert(conn.QueryRow(background, "SELECT id FROM ronda WHERE id = $1", mode, 100+i).Scan(&id), qt.IsNil)
+			c.Assert(conn.QueryRow(testContext, "SELECT id FROM ronda WHERE id = $1", mode, 100+i).Scan(&id), qt.IsNil)
 			c.Assert(id, qt.Equals, int64(100+i))
 		}
 	})
@@ -163,7 +163,7 @@
 		batch := &pgx.Batch{}
 		batch.Queue("INSERT INTO ronda VALUES ($1, 'q', NULL)", 200)
 		batch.Queue("SELECT count(*) FROM ronda WHERE id = $1", 200)
-		br := conn.SendBatch(background, batch)
+		br := conn.SendBatch(testContext, batch)
 		_, err := br.Exec()
 		c.Assert(err, qt.IsNil)
 		var n int64
@@ -174,24 +174,24 @@
 	c.Run("wrong database", func(c *qt.C) {
 		cfg, err := pgx.ParseConfig(strings.Replace(b.URL(0), cwdemo.Service, "absent", 1))
 		c.Assert(err, qt.IsNil)
-		_, err = pgx.ConnectConfig(background, cfg)
+		_, err = pgx.ConnectConfig(testContext, cfg)
 		assertRefused(c, err, "3D000")
 	})
 }
 
 func TestTransactions(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, cwdemo.Options{})
+	b := startProxies(c, cwdemo.Options{})
 	conn, other := b.connect(c, 0), b.connect(c, 1)
 	exec(c, conn, "CREATE TABLE ronda (id bigint PRIMARY KEY)")
 
 	c.Run("commit and rollback", func(c *qt.C) {
-		tx, err := conn.Begin(background)
+		tx, err := conn.Begin(testContext)
 		c.Assert(err, qt.IsNil)
-		_, err = tx.Exec(background, "INSERT INTO ronda VALUES ($1)", 1)
+		_, err = tx.Exec(testContext, "INSERT INTO ronda VALUES ($1)", 1)
 		c.Assert(err, qt.IsNil)
 		c.Assert(queryInt(c, other, "SELECT count(*) FROM ronda"), qt.Equals, int64(0))
-		c.Assert(tx.Commit(background), qt.IsNil)
+		c.Assert(tx.Commit(testContext), qt.IsNil)
 		c.Assert(queryInt(c, conn, "SELECT count(*) FROM ronda"), qt.Equals, int64(1))
 		exec(c, conn, "BEGIN")
 		exec(c, conn, "DELETE FROM ronda")
@@ -200,29 +200,29 @@
 	})
 	c.Run("an error aborts the transaction until it ends", func(c *qt.C) {
 		exec(c, conn, "BEGIN")
-		_, err := conn.Exec(background, "INSERT INTO ronda VALUES (1)")
+		_, err := conn.Exec(testContext, "INSERT INTO ronda VALUES (1)")
 		assertRefused(c, err, "23505")
-		_, err = conn.Exec(background, "SELECT 1")
+		_, err = conn.Exec(testContext, "SELECT 1")
 		assertRefused(c, err, "25P02")
 		c.Assert(exec(c, conn, "COMMIT"), qt.Equals, "ROLLBACK")
 	})
 	c.Run("a refusal by the proxy aborts it, too", func(c *qt.C) {
 		exec(c, conn, "BEGIN")
 		exec(c, conn, "INSERT INTO ronda VALUES (77)")
-		_, err := conn.Exec(background, "COPY ronda TO STDOUT")
+		_, err := conn.Exec(testContext, "COPY ronda TO STDOUT")
 		assertRefused(c, err, "0A000")
-		_, err = conn.Exec(background, "INSERT INTO ronda VALUES (78)")
+		_, err = conn.Exec(testContext, "INSERT INTO ronda VALUES (78)")
 		assertRefused(c, err, "25P02")
 		c.Assert(exec(c, conn, "COMMIT"), qt.Equals, "ROLLBACK")
 		c.Assert(queryInt(c, conn, "SELECT count(*) FROM ronda WHERE id > 70"), qt.Equals, int64(0))
 	})
 	c.Run("read only runs at a replica", func(c *qt.C) {
-		tx, err := conn.BeginTx(background, pgx.TxOptions{AccessMode: pgx.ReadOnly})
+		tx, err := conn.BeginTx(testContext, pgx.TxOptions{AccessMode: pgx.ReadOnly})
 		c.Assert(err, qt.IsNil)
 		var recovery string
-		c.Assert(tx.QueryRow(background, "SELECT pg_is_in_recovery()").Scan(&recovery), qt.IsNil)
+		c.Assert(tx.QueryRow(testContext, "SELECT pg_is_in_recovery()").Scan(&recovery), qt.IsNil)
 		c.Assert(recovery, qt.Equals, "true")
-		c.Assert(tx.Commit(background), qt.IsNil)
+		c.Assert(tx.Commit(testContext), qt.IsNil)
 	})
 	c.Run("ending one that was not begun", func(c *qt.C) {
 		exec(c, conn, "COMMIT")
@@ -236,7 +236,7 @@
 	c := qt.New(t)
 	contract := cwdemo.DefaultContract()
 	contract.Connections = 6 // one connection for each proxy
-	b := newBench(c, cwdemo.Options{Contract: contract})
+	b := startProxies(c, cwdemo.Options{Contract: contract})
 	one, two := b.connect(c, 0), b.connect(c, 0)
 	exec(c, one, "SET work_mem = '7MB'")
 	c.Assert(queryText(c, one, "SHOW work_mem"), qt.Equals, "7MB")
@@ -251,6 +251,6 @@
 	exec(c, one, "SET cicadawalk.maxAge = '5s'")
 	c.Assert(queryText(c, one, "SHOW cicadawalk.maxAge"), qt.Equals, "5s")
 	c.Assert(queryText(c, two, "SHOW cicadawalk.maxAge"), qt.Equals, "0s")
-	_, err := one.Exec(background, "SET cicadawalk.maxAge = 'soon'")
+	_, err := one.Exec(testContext, "SET cicadawalk.maxAge = 'soon'")
 	assertRefused(c, err, "22023")
 }
--- a/internal/proxy/cwfront/settings.go
+++ b/internal/proxy/cwfront/settings.go
@@ -11,70 +11,72 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwrequest"
 )
 
-// Names of the session's own settings, in lower case as the parser gives them.
+// Names of the settings that the proxy itself handles, in lower case as the
+// parser returns them, and of the target's read-only setting.
 const (
-	settingToken  = "cicadawalk.sessiontoken"
-	settingKey    = "cicadawalk.requestkey"
-	settingMaxAge = "cicadawalk.maxage"
-	settingShard  = "cicadawalk.shard"
-	ownPrefix     = "cicadawalk."
-	// tokenParameter is the name under which the token is reported.
-	tokenParameter = "cicadawalk.sessionToken"
-	readOnlyName   = "default_transaction_read_only"
+	settingToken       = "cicadawalk.sessiontoken"
+	settingKey         = "cicadawalk.requestkey"
+	settingMaxAge      = "cicadawalk.maxage"
+	settingShard       = "cicadawalk.shard"
+	proxySettingPrefix = "cicadawalk."
+	// tokenParameter is the name of the ParameterStatus that reports the token.
+	tokenParameter  = "cicadawalk.sessionToken"
+	settingReadOnly = "default_transaction_read_only"
 )
 
-// Bounds of what a session may set.
+// Limits on the settings of a session.
 const (
 	maxSettings     = 64
 	maxSettingBytes = 1024
-	maxMaxAge       = time.Hour
+	maxAgeLimit     = time.Hour
 )
 
-// settings are the session's settings that targets know. It is immutable; the
-// zero value has none.
+// settings are the session's settings that are applied to target connections,
+// by name. The value is immutable; the zero value has no settings.
 type settings struct {
-	m map[string]string
+	values map[string]string
 }
 
 func (s settings) with(name, value string) settings {
-	m := maps.Clone(s.m)
+	m := maps.Clone(s.values)
 	if m == nil {
 		m = make(map[string]string, 1)
 	}
 	m[name] = value
-	return settings{m: m}
+	return settings{values: m}
 }
 
 func (s settings) without(name string) settings {
-	if _, ok := s.m[name]; !ok {
+	if _, ok := s.values[name]; !ok {
 		return s
 	}
-	m := maps.Clone(s.m)
+	m := maps.Clone(s.values)
 	delete(m, name)
-	return settings{m: m}
+	return settings{values: m}
 }
 
-// diff returns the statements that bring a connection from applied to s, and
-// changes applied.
+// diff returns the SET and RESET statements that change a connection's settings
+// from applied to s, and updates applied to match. It returns an empty string if
+// they are equal.
 func (s settings) diff(applied map[string]string) string {
 	var b strings.Builder
 	for _, name := range slices.Sorted(maps.Keys(applied)) {
-		if _, ok := s.m[name]; !ok {
-			b.WriteString("RESET " + quoteName(name) + ";")
+		if _, ok := s.values[name]; !ok {
+			b.WriteString("RESET " + quoteIdentifier(name) + ";")
 			delete(applied, name)
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(s.m)) {
-		if v, ok := applied[name]; ok && v == s.m[name] {
+	for _, name := range slices.Sorted(maps.Keys(s.values)) {
+		if v, ok := applied[name]; ok && v == s.values[name] {
 			continue
 		}
-		b.WriteString("SET " + quoteName(name) + " = " + quoteValue(s.m[name]) + ";")
-		applied[name] = s.m[name]
+		b.WriteString("SET " + quoteIdentifier(name) + " = " + quoteLiteral(s.values[name]) + ";")
+		applied[name] = s.values[name]
 	}
 	return b.String()
 }
 
-func quoteName(name string) string {
+func quoteIdentifier(name string) string {
 	parts := strings.Split(name, ".")
 	for i, p := range parts {
 		parts[i] = `"` + strings.ReplaceAll(p, `"`, `""`) + `"`
@@ -82,19 +84,23 @@
 	return strings.Join(parts, ".")
 }
 
-func quoteValue(v string) string {
+func quoteLiteral(v string) string {
 	return "'" + strings.ReplaceAll(v, "'", "''") + "'"
 }
 
-// own are the settings of the system's own.
-type own struct {
-	// requestKey applies to the next write only.
+// proxySettings are the cicadawalk.* settings of a session, which the proxy
+// handles itself. The session token is kept apart from them.
+type proxySettings struct {
+	// requestKey identifies the next write, and is cleared once it is used.
 	requestKey string
-	maxAge     time.Duration
-	shard      string
+	// maxAge is the greatest permitted staleness of a read, passed to the router.
+	maxAge time.Duration
+	// shard selects one of the entry's groups.
+	shard string
 }
 
-// parseMaxAge reads a duration as milliseconds, or with a unit as in 5s.
+// parseMaxAge parses cicadawalk.maxAge: a number of milliseconds, or a Go
+// duration such as 5s. The empty string means zero; the maximum is one hour.
 func parseMaxAge(v string) (time.Duration, error) {
 	if v == "" {
 		return 0, nil
@@ -103,59 +109,64 @@
 		v = strconv.FormatUint(ms, 10) + "ms"
 	}
 	d, err := time.ParseDuration(v)
-	if err != nil || d < 0 || d > maxMaxAge {
-		return 0, badSetting("cicadawalk.maxAge", v, "milliseconds, or a duration as in 5s, up to 1h")
+	if err != nil || d < 0 || d > maxAgeLimit {
+		return 0, invalidSetting("cicadawalk.maxAge", v, "milliseconds, or a duration as in 5s, up to 1h")
 	}
 	return d, nil
 }
 
-func badSetting(name, value, allowed string) error {
+// invalidSetting returns the refusal of a setting's value; allowed describes the
+// values that are accepted.
+func invalidSetting(name, value, allowed string) error {
 	return cwrefusal.NotRun(cwrefusal.InvalidParameter, 0, "invalid value for parameter %q: %q; allowed: %s", name, value, allowed)
 }
 
-// setOwn changes one of the system's own settings.
-func (s *session) setOwn(name, value string) error {
+// setProxySetting changes a cicadawalk.* setting; name is in lower case. Its
+// error is sent to the client.
+func (s *session) setProxySetting(name, value string) error {
 	switch name {
 	case settingToken:
-		return s.takeToken(value)
+		return s.setToken(value)
 	case settingKey:
 		if value != "" {
 			if err := cwrequest.CheckKey(value); err != nil {
-				return badSetting("cicadawalk.requestKey", "", err.Error())
+				return invalidSetting("cicadawalk.requestKey", "", err.Error())
 			}
 		}
-		s.own.requestKey = value
+		s.proxySettings.requestKey = value
 	case settingMaxAge:
 		d, err := parseMaxAge(value)
 		if err != nil {
 			return err
 		}
-		s.own.maxAge = d
+		s.proxySettings.maxAge = d
 	case settingShard:
 		if len(value) > maxSettingBytes {
-			return badSetting("cicadawalk.shard", "", "at most 1024 bytes")
+			return invalidSetting("cicadawalk.shard", "", "at most 1024 bytes")
 		}
 		if s.tx != nil {
-			return badSetting("cicadawalk.shard", value, "no change inside a transaction")
+			return invalidSetting("cicadawalk.shard", value, "no change inside a transaction")
 		}
-		s.own.shard = value
-		return s.chooseGroup()
+		s.proxySettings.shard = value
+		return s.selectGroup()
 	default:
 		return cwrefusal.NotRun(cwrefusal.InvalidParameter, 0, "unrecognized configuration parameter %q", name)
 	}
 	return nil
 }
 
-func (s *session) showOwn(name string) (string, error) {
+// showProxySetting returns the value of a cicadawalk.* setting; name is in lower
+// case.
+func (s *session) showProxySetting(name string) (string, error) {
 	switch name {
 	case settingToken:
 		return s.token.String(), nil
 	case settingKey:
-		return s.own.requestKey, nil
+		return s.proxySettings.requestKey, nil
 	case settingMaxAge:
-		return s.own.maxAge.String(), nil
+		return s.proxySettings.maxAge.String(), nil
 	case settingShard:
-		return s.own.shard, nil
+		return s.proxySettings.shard, nil
 	}
 	return "", cwrefusal.NotRun(cwrefusal.InvalidParameter, 0, "unrecognized configuration parameter %q", name)
 }
--- a/internal/proxy/cwfront/simple.go
+++ b/internal/proxy/cwfront/simple.go
@@ -12,43 +12,43 @@
 	"cicadawalk.example/cicadawalk/internal/wire/cwsql"
 )
 
-// simpleQuery answers a message of the simple protocol.
-func (s *session) simpleQuery(text string) {
-	stmts, err := s.server.parsed.Parse(text)
+// handleSimpleQuery answers a message of the simple protocol.
+func (s *session) handleSimpleQuery(text string) {
+	stmts, err := s.server.statementCache.Parse(text)
 	switch {
 	case err != nil:
-		s.fail(err)
+		s.failStatement(err)
 	case len(stmts) == 0:
 		s.send(&pgproto3.EmptyQueryResponse{})
 	case len(stmts) == 1:
-		s.single(stmts[0], text)
+		s.runStatement(stmts[0], text)
 	default:
-		s.several(stmts, text)
+		s.runStatements(stmts, text)
 	}
 }
 
-// single answers one statement.
-func (s *session) single(st cwsql.Statement, text string) {
+// runStatement answers one statement.
+func (s *session) runStatement(st cwsql.Statement, text string) {
 	if s.answerLocally(st, true) {
 		return
 	}
-	s.runUnit(s.simpleUnit(st, text))
+	s.runRequest(s.simpleRequest(st, text))
 }
 
-func (s *session) simpleUnit(st cwsql.Statement, text string) unit {
-	u := unit{
-		read:   s.readsOnly(st),
-		begin:  st.Kind == cwsql.Begin,
-		ends:   st.Kind == cwsql.Commit,
-		sync:   true,
-		digest: func() string { return cwrequest.Digest([]byte(text)) },
-		send: func(c *cwpool.Conn) *steps {
+func (s *session) simpleRequest(st cwsql.Statement, text string) request {
+	req := request{
+		readOnly:  s.readsOnly(st),
+		begins:    st.Kind == cwsql.Begin,
+		mayCommit: st.Kind == cwsql.Commit,
+		sync:      true,
+		digest:    func() string { return cwrequest.Digest([]byte(text)) },
+		send: func(c *cwpool.Conn) *responseQueue {
 			c.Front.SendQuery(&pgproto3.Query{String: text})
 			return nil
 		},
 	}
-	u.done = s.afterSetting(st)
-	return u
+	req.onComplete = s.settingRecorder(st)
+	return req
 }
 
 // readsOnly reports whether a statement may run at a replica.
@@ -63,29 +63,29 @@
 }
 
 func (s *session) defaultReadOnly() bool {
-	switch strings.ToLower(s.settings.m[readOnlyName]) {
+	switch strings.ToLower(s.settings.values[settingReadOnly]) {
 	case "on", "true", "yes", "1":
 		return true
 	}
 	return false
 }
 
-// afterSetting returns what to note once a SET or RESET succeeded at the
+// settingRecorder returns what to note once a SET or RESET succeeded at the
 // target, or nil.
-func (s *session) afterSetting(st cwsql.Statement) func(*cwpool.Conn, reply) {
+func (s *session) settingRecorder(st cwsql.Statement) func(*cwpool.Conn, responseSummary) {
 	if st.Kind != cwsql.Set && st.Kind != cwsql.Reset {
 		return nil
 	}
-	return func(c *cwpool.Conn, rep reply) {
-		if rep.code != "" {
+	return func(c *cwpool.Conn, rep responseSummary) {
+		if rep.errorCode != "" {
 			return
 		}
 		set := s.settings
 		if s.tx != nil {
 			// It counts only if the transaction commits, and the connection is
 			// not lent again: what it then has is not worth finding out.
-			set = s.tx.pending
-			s.tx.dirty = true
+			set = s.tx.pendingSettings
+			s.tx.settingsChanged = true
 		}
 		if st.Kind == cwsql.Reset || st.Default {
 			set = set.without(st.Name)
@@ -95,7 +95,7 @@
 			c.Applied[st.Name] = st.Value
 		}
 		if s.tx != nil {
-			s.tx.pending = set
+			s.tx.pendingSettings = set
 			return
 		}
 		s.settings = set
@@ -107,24 +107,24 @@
 func (s *session) answerLocally(st cwsql.Statement, simple bool) bool {
 	inTx := s.tx != nil
 	if inTx && (s.tx.failed || s.tx.lease == nil) {
-		s.answerFailed(st)
+		s.answerInFailedTransaction(st)
 		return true
 	}
 	switch st.Kind {
 	case cwsql.Unsupported:
-		s.fail(unsupported(st.Name))
+		s.failStatement(unsupportedRefusal(st.Name))
 	case cwsql.Commit, cwsql.Rollback:
 		if st.Chain {
-			s.fail(unsupported("AND CHAIN"))
+			s.failStatement(unsupportedRefusal("AND CHAIN"))
 			return true
 		}
 		if inTx {
 			return false
 		}
-		s.notice("there is no transaction in progress")
-		s.complete(map[bool]string{true: "COMMIT", false: "ROLLBACK"}[st.Kind == cwsql.Commit])
+		s.sendNotice("there is no transaction in progress")
+		s.sendCommandComplete(map[bool]string{true: "COMMIT", false: "ROLLBACK"}[st.Kind == cwsql.Commit])
 	case cwsql.Discard:
-		s.discard(inTx)
+		s.discardAll(inTx)
 	case cwsql.Set, cwsql.SetLocal, cwsql.Show, cwsql.Reset:
 		return s.answerSetting(st, simple)
 	default:
@@ -133,23 +133,23 @@
 	return true
 }
 
-// answerFailed answers a statement in a transaction that can only be rolled
+// answerInFailedTransaction answers a statement in a transaction that can only be rolled
 // back.
-func (s *session) answerFailed(st cwsql.Statement) {
+func (s *session) answerInFailedTransaction(st cwsql.Statement) {
 	if st.Kind != cwsql.Commit && st.Kind != cwsql.Rollback {
-		s.fail(errAborted)
+		s.failStatement(errAborted)
 		return
 	}
-	s.rollbackQuietly()
-	s.complete("ROLLBACK")
+	s.rollbackTransaction()
+	s.sendCommandComplete("ROLLBACK")
 }
 
-// rollbackQuietly ends the transaction at the target, if it is still there.
-func (s *session) rollbackQuietly() {
+// rollbackTransaction ends the transaction at the target, if it is still there.
+func (s *session) rollbackTransaction() {
 	tx := s.tx
 	if tx.lease != nil {
 		if res, err := tx.lease.Conn.Exec("ROLLBACK"); err == nil {
-			tx.status = res.Status
+			tx.txStatus = res.Status
 		}
 	}
 	s.endTransaction(false)
@@ -159,62 +159,62 @@
 }
 
 func (s *session) answerSetting(st cwsql.Statement, simple bool) bool {
-	mine := strings.HasPrefix(st.Name, ownPrefix)
+	isProxySetting := strings.HasPrefix(st.Name, proxySettingPrefix)
 	switch {
 	case st.Kind == cwsql.Reset && st.Name == "":
-		s.settings, s.own = settings{}, own{shard: s.own.shard}
+		s.settings, s.proxySettings = settings{}, proxySettings{shard: s.proxySettings.shard}
 		if s.tx != nil {
-			s.tx.pending = settings{}
+			s.tx.pendingSettings = settings{}
 			return false
 		}
-		s.complete("RESET")
+		s.sendCommandComplete("RESET")
 		return true
-	case !mine:
-		if st.Kind == cwsql.Set && (len(s.settings.m) >= maxSettings || len(st.Value) > maxSettingBytes) {
-			s.fail(cwrefusal.NotRun(cwrefusal.LimitExceeded, 0, "too many or too long settings in one session"))
+	case !isProxySetting:
+		if st.Kind == cwsql.Set && (len(s.settings.values) >= maxSettings || len(st.Value) > maxSettingBytes) {
+			s.failStatement(cwrefusal.NotRun(cwrefusal.LimitExceeded, 0, "too many or too long settings in one session"))
 			return true
 		}
 		return false
 	case st.Kind == cwsql.Show:
-		v, err := s.showOwn(st.Name)
+		v, err := s.showProxySetting(st.Name)
 		if err != nil {
-			s.fail(err)
+			s.failStatement(err)
 			return true
 		}
-		s.sendText(st.Name, v, simple)
+		s.sendTextRow(st.Name, v, simple)
 		return true
 	}
 	value := st.Value
 	if st.Kind == cwsql.Reset || st.Default {
 		value = ""
 	}
-	if err := s.setOwn(st.Name, value); err != nil {
-		s.fail(err)
+	if err := s.setProxySetting(st.Name, value); err != nil {
+		s.failStatement(err)
 		return true
 	}
-	s.complete(map[bool]string{true: "RESET", false: "SET"}[st.Kind == cwsql.Reset])
+	s.sendCommandComplete(map[bool]string{true: "RESET", false: "SET"}[st.Kind == cwsql.Reset])
 	return true
 }
 
-func (s *session) discard(inTx bool) {
+func (s *session) discardAll(inTx bool) {
 	if inTx {
-		s.fail(&cwrefusal.Refusal{Code: "25001", Message: "DISCARD ALL cannot run inside a transaction block", NotRun: true})
+		s.failStatement(&cwrefusal.Refusal{Code: "25001", Message: "DISCARD ALL cannot run inside a transaction block", NotRun: true})
 		return
 	}
-	s.settings, s.own = settings{}, own{shard: s.own.shard}
+	s.settings, s.proxySettings = settings{}, proxySettings{shard: s.proxySettings.shard}
 	s.prepared, s.portals = nil, nil
-	s.complete("DISCARD ALL")
+	s.sendCommandComplete("DISCARD ALL")
 }
 
-func unsupported(what string) error {
+func unsupportedRefusal(what string) error {
 	return cwrefusal.NotRun(cwrefusal.FeatureNotSupported, 0, "%s is not supported through cicadawalk: it would stay behind on a shared connection", what)
 }
 
-func (s *session) complete(tag string) {
+func (s *session) sendCommandComplete(tag string) {
 	s.send(&pgproto3.CommandComplete{CommandTag: []byte(tag)})
 }
 
-func (s *session) notice(text string) {
+func (s *session) sendNotice(text string) {
 	s.send(&pgproto3.NoticeResponse{Severity: "WARNING", SeverityUnlocalized: "WARNING", Code: "25P01", Message: text})
 }
 
@@ -224,73 +224,73 @@
 	}}}
 }
 
-func (s *session) sendText(name, value string, describe bool) {
+func (s *session) sendTextRow(name, value string, describe bool) {
 	if describe {
 		s.send(textColumn(name))
 	}
 	s.send(&pgproto3.DataRow{Values: [][]byte{[]byte(value)}})
-	s.complete("SHOW")
+	s.sendCommandComplete("SHOW")
 }
 
-// several answers a query of several statements. They are one implicit
+// runStatements answers a query of runStatements statements. They are one implicit
 // transaction, so they run at one target; settings can stand only among
 // themselves.
-func (s *session) several(stmts []cwsql.Statement, text string) {
+func (s *session) runStatements(stmts []cwsql.Statement, text string) {
 	if s.tx != nil && (s.tx.failed || s.tx.lease == nil) {
-		s.fail(errAborted)
+		s.failStatement(errAborted)
 		return
 	}
-	u := unit{read: true, sync: true, digest: func() string { return cwrequest.Digest([]byte(text)) }}
-	sets := 0
+	req := request{readOnly: true, sync: true, digest: func() string { return cwrequest.Digest([]byte(text)) }}
+	settingCount := 0
 	for _, st := range stmts {
 		switch st.Kind {
 		case cwsql.Unsupported:
-			s.fail(unsupported(st.Name))
+			s.failStatement(unsupportedRefusal(st.Name))
 			return
 		case cwsql.Set, cwsql.Reset, cwsql.Discard:
-			sets++
+			settingCount++
 		case cwsql.Show:
-			if strings.HasPrefix(st.Name, ownPrefix) {
-				sets++
+			if strings.HasPrefix(st.Name, proxySettingPrefix) {
+				settingCount++
 			}
 		case cwsql.Begin, cwsql.Commit, cwsql.Rollback:
 			if st.Chain {
-				s.fail(unsupported("AND CHAIN"))
+				s.failStatement(unsupportedRefusal("AND CHAIN"))
 				return
 			}
-			u.ends = true
+			req.mayCommit = true
 		}
-		u.read = u.read && s.readsOnly(st)
+		req.readOnly = req.readOnly && s.readsOnly(st)
 	}
-	if sets > 0 {
-		s.eachSetting(stmts, sets)
+	if settingCount > 0 {
+		s.runSettings(stmts, settingCount)
 		return
 	}
-	u.read = u.read && !u.ends
-	u.send = func(c *cwpool.Conn) *steps {
+	req.readOnly = req.readOnly && !req.mayCommit
+	req.send = func(c *cwpool.Conn) *responseQueue {
 		c.Front.SendQuery(&pgproto3.Query{String: text})
 		return nil
 	}
-	s.runUnit(u)
+	s.runRequest(req)
 }
 
-// eachSetting runs a query that has only settings, one by one.
-func (s *session) eachSetting(stmts []cwsql.Statement, sets int) {
-	if sets < len(stmts) {
-		s.fail(cwrefusal.NotRun(cwrefusal.FeatureNotSupported, 0, "SET and RESET together with other statements in one query are not supported; send them apart"))
+// runSettings runs a query that has only settings, one by one.
+func (s *session) runSettings(stmts []cwsql.Statement, settingCount int) {
+	if settingCount < len(stmts) {
+		s.failStatement(cwrefusal.NotRun(cwrefusal.FeatureNotSupported, 0, "SET and RESET together with other statements in one query are not supported; send them apart"))
 		return
 	}
 	for _, st := range stmts {
-		start := len(s.out)
-		s.single(st, st.Text)
-		if hasError(s.out[start:]) {
+		start := len(s.output)
+		s.runStatement(st, st.Text)
+		if containsError(s.output[start:]) {
 			return
 		}
 	}
 }
 
-// hasError reports whether encoded messages contain an error.
-func hasError(out []byte) bool {
+// containsError reports whether encoded messages contain an error.
+func containsError(out []byte) bool {
 	for len(out) >= 5 {
 		if out[0] == 'E' {
 			return true
--- a/internal/proxy/cwfront/startup.go
+++ b/internal/proxy/cwfront/startup.go
@@ -10,11 +10,11 @@
 	"cicadawalk.example/cicadawalk/internal/wire/cwtarget"
 )
 
-// startup carries out the handshake. It returns false if there is nothing more
-// to do for the connection.
-func (s *session) startup() bool {
+// handshake receives the start-up message and answers it. It returns false if
+// the connection is to be closed: after an error, a refusal or a CancelRequest.
+func (s *session) handshake() bool {
 	_ = s.conn.SetDeadline(time.Now().Add(HandshakeTimeout))
-	msg, err := s.firstMessage()
+	msg, err := s.receiveFirstMessage()
 	if err != nil {
 		return false
 	}
@@ -25,13 +25,13 @@
 		}
 		return false
 	case *pgproto3.StartupMessage:
-		if err := s.begin(m.Parameters); err != nil {
+		if err := s.applyStartupParameters(m.Parameters); err != nil {
 			s.sendError("FATAL", err)
 			_ = s.flush()
 			return false
 		}
 	}
-	s.greet()
+	s.sendStartupResponse()
 	if s.flush() != nil {
 		return false
 	}
@@ -40,7 +40,9 @@
 	return true
 }
 
-func (s *session) firstMessage() (pgproto3.FrontendMessage, error) {
+// receiveFirstMessage returns the StartupMessage or CancelRequest. It declines
+// TLS and GSSAPI encryption requests that come before.
+func (s *session) receiveFirstMessage() (pgproto3.FrontendMessage, error) {
 	for {
 		msg, err := s.backend.ReceiveStartupMessage()
 		if err != nil {
@@ -57,8 +59,10 @@
 	}
 }
 
-// begin takes the start-up parameters.
-func (s *session) begin(params map[string]string) error {
+// applyStartupParameters selects the catalogue entry and the group by the
+// database name, or the user name if that is empty, and applies the other
+// parameters as session settings. Its error is sent to the client.
+func (s *session) applyStartupParameters(params map[string]string) error {
 	if s.server.draining.Load() {
 		return cwrefusal.NotRun(cwrefusal.CannotConnectNow, time.Second, "this proxy is shutting down")
 	}
@@ -74,25 +78,25 @@
 		return cwrefusal.NotRun(cwrefusal.UndefinedDatabase, 0, "database %q does not exist", name)
 	}
 	s.entry, s.revision = entry, s.server.Services.Revision()
-	if err := s.chooseGroup(); err != nil {
+	if err := s.selectGroup(); err != nil {
 		return err
 	}
 	for k, v := range params {
 		lower := strings.ToLower(k)
 		switch {
 		case lower == "user" || lower == "database" || lower == "application_name" || lower == "replication" && v == "false":
-		case strings.HasPrefix(lower, ownPrefix):
-			if err := s.setOwn(lower, v); err != nil {
+		case strings.HasPrefix(lower, proxySettingPrefix):
+			if err := s.setProxySetting(lower, v); err != nil {
 				return err
 			}
 		case lower == "client_encoding":
 			if !strings.EqualFold(strings.ReplaceAll(v, "-", ""), "utf8") {
-				return badSetting(k, v, "UTF8")
+				return invalidSetting(k, v, "UTF8")
 			}
 		case lower == "options" && v != "", lower == "replication":
 			return cwrefusal.NotRun(cwrefusal.FeatureNotSupported, 0, "start-up parameter %q is not supported", k)
 		case len(v) > maxSettingBytes:
-			return badSetting(k, "", "at most 1024 bytes")
+			return invalidSetting(k, "", "at most 1024 bytes")
 		case lower != "options":
 			s.settings = s.settings.with(lower, v)
 		}
@@ -100,7 +104,7 @@
 	return nil
 }
 
-func (s *session) greet() {
+func (s *session) sendStartupResponse() {
 	s.send(&pgproto3.AuthenticationOk{})
 	for _, kv := range [][2]string{
 		{"server_version", s.server.Version},
@@ -114,6 +118,6 @@
 		s.send(&pgproto3.ParameterStatus{Name: kv[0], Value: kv[1]})
 	}
 	s.reportToken()
-	s.send(&pgproto3.BackendKeyData{ProcessID: s.key.pid, SecretKey: cwtarget.NewSecret(s.key.secret)})
+	s.send(&pgproto3.BackendKeyData{ProcessID: s.cancelKey.pid, SecretKey: cwtarget.NewSecret(s.cancelKey.secret)})
 	s.send(&pgproto3.ReadyForQuery{TxStatus: 'I'})
 }
--- a/internal/proxy/cwfront/forge_test.go
+++ b/internal/proxy/cwfront/token_test.go
@@ -7,8 +7,8 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwsession"
 )
 
-// forge makes a well-formed token with any mark.
-func forge(c *qt.C, group string, m cwgroup.Mark) string {
+// forgeToken makes a well-formed token with any mark.
+func forgeToken(c *qt.C, group string, m cwgroup.Mark) string {
 	t := cwsession.Token{}.WithMark(group, m).String()
 	c.Assert(t, qt.Not(qt.Equals), "")
 	return t
--- a/internal/proxy/cwfront/transaction.go
+++ b/internal/proxy/cwfront/transaction.go
@@ -7,31 +7,36 @@
 	"cicadawalk.example/cicadawalk/internal/proxy/cwpool"
 )
 
-// transaction is an explicit transaction of the caller.
+// transaction is the client's open explicit transaction and the target
+// connection that it holds.
 type transaction struct {
-	// lease is nil after the target's connection was lost.
+	// lease is nil after the connection to the target was lost.
 	lease    *cwpool.Lease
 	member   cwgroup.MemberID
 	term     cwgroup.Term
 	primary  bool
 	endWrite func()
-	// failed is true if the caller must roll back, whatever the target thinks.
+	// failed is true if the client can only roll back, even if the transaction is
+	// still usable at the target.
 	failed bool
-	// status is the target's last word: T or E.
-	status byte
-	// key is the request key that the transaction carries.
-	key string
-	// pending are settings made in the transaction; they count if it commits.
-	pending settings
-	// dirty is true once a setting was changed on the connection.
-	dirty bool
+	// txStatus is the transaction status that the target last reported: 'T' while
+	// the transaction is usable, 'E' after an error, 'I' once it has ended.
+	txStatus byte
+	// requestKey is the request key that was written in the transaction, or empty.
+	requestKey string
+	// pendingSettings become the session's settings if the transaction commits.
+	pendingSettings settings
+	// settingsChanged is true once a setting was changed on the connection, which
+	// must then not be pooled again.
+	settingsChanged bool
 }
 
-// runInTransaction runs a unit on the transaction's connection.
-func (s *session) runInTransaction(u unit) {
+// runInTransaction runs a request on the transaction's connection. Before a
+// request that may commit, it marks the transaction's request key as done.
+func (s *session) runInTransaction(req request) {
 	tx := s.tx
-	if tx.lease == nil || tx.failed && !u.resync {
-		s.fail(errAborted)
+	if tx.lease == nil || tx.failed && !req.endsFlushedBatch {
+		s.failStatement(errAborted)
 		return
 	}
 	now := s.server.Clock.Now()
@@ -42,33 +47,33 @@
 		term:     tx.term,
 		deadline: now.Add(s.entry.Contract.StatementTimeout),
 	}
-	start := len(s.out)
-	if u.ends && tx.key != "" && tx.status == 'T' {
-		if _, err := s.exec(r, fill(cwrequest.Finish, tx.key, "")); err != nil {
-			u.ends = false
-			s.loseTransaction(u, err)
+	start := len(s.output)
+	if req.mayCommit && tx.requestKey != "" && tx.txStatus == 'T' {
+		if _, err := s.exec(r, substituteArguments(cwrequest.Finish, tx.requestKey, "")); err != nil {
+			req.mayCommit = false
+			s.handleLostTransaction(req, err)
 			return
 		}
 	}
-	rep, flushed, err := s.exchangeInTransaction(r, u)
+	rep, flushed, err := s.sendAndRelay(r, req)
 	if err != nil {
-		s.undo(start, flushed)
-		s.loseTransaction(u, err)
+		s.discardOutput(start, flushed)
+		s.handleLostTransaction(req, err)
 		return
 	}
-	if !u.sync {
-		s.batch.unsynced, s.batch.failed = true, rep.code != ""
+	if !req.sync {
+		s.batch.awaitingSync, s.batch.failed = true, rep.errorCode != ""
 		return
 	}
-	tx.status = rep.status
-	if rep.status != 'I' {
+	tx.txStatus = rep.txStatus
+	if rep.txStatus != 'I' {
 		return
 	}
-	s.endTransaction(rep.tag == "COMMIT")
-	if err := s.acknowledge(rep.mark); err != nil {
-		s.undo(start, flushed)
-		if tx.key != "" {
-			s.resolveLost(tx.key, transactionDigest)
+	s.endTransaction(rep.commandTag == "COMMIT")
+	if err := s.awaitAcknowledgement(rep.position); err != nil {
+		s.discardOutput(start, flushed)
+		if tx.requestKey != "" {
+			s.resolveLostCommit(tx.requestKey, transactionDigest)
 		} else {
 			s.sendError("ERROR", err)
 		}
@@ -76,67 +81,73 @@
 	tx.endWrite()
 }
 
+// errAborted refuses a statement in a failed transaction, with PostgreSQL's own
+// code and message.
 var errAborted = &cwrefusal.Refusal{
 	Code:    "25P02",
 	Message: "current transaction is aborted, commands ignored until end of transaction block",
 	NotRun:  true,
 }
 
-func (s *session) exchangeInTransaction(r route, u unit) (reply, bool, error) {
-	st := u.send(r.lease.Conn)
+// sendAndRelay sends a request over the connection of r, without applying the
+// session's settings first, and relays the response. flushed reports whether a
+// part of the response was sent to the client.
+func (s *session) sendAndRelay(r route, req request) (responseSummary, bool, error) {
+	st := req.send(r.lease.Conn)
 	_ = r.lease.Conn.SetWriteDeadline(r.deadline)
 	if err := r.lease.Conn.Front.Flush(); err != nil {
-		return reply{}, false, &lostError{why: "the connection to the database broke"}
+		return responseSummary{}, false, &responseLostError{reason: "the connection to the database broke"}
 	}
-	rep, flushed, err := s.relay(r, st, u.sync, u.ends)
-	if err == nil && u.done != nil {
-		u.done(r.lease.Conn, rep)
+	rep, flushed, err := s.relayResponse(r, st, req.sync, req.mayCommit)
+	if err == nil && req.onComplete != nil {
+		req.onComplete(r.lease.Conn, rep)
 	}
 	return rep, flushed, err
 }
 
-// loseTransaction ends a transaction whose connection was lost. The target
-// rolls back what was not told to commit, so only a unit that may have
-// committed leaves the outcome unknown.
-func (s *session) loseTransaction(u unit, err error) {
+// handleLostTransaction ends a transaction whose connection was lost. The target
+// rolls back a transaction that it was not asked to commit, so the outcome is
+// unknown only if req may have committed.
+func (s *session) handleLostTransaction(req request, err error) {
 	tx := s.tx
-	s.setLease(nil)
+	s.setActiveLease(nil)
 	tx.lease.Discard()
 	tx.lease = nil
 	if tx.endWrite != nil {
 		tx.endWrite()
 	}
-	if !u.ends {
-		s.fail(cwrefusal.NotRun(cwrefusal.SerializationFailure, retryAfter, "the connection to the database broke; the transaction was rolled back"))
+	if !req.mayCommit {
+		s.failStatement(cwrefusal.NotRun(cwrefusal.SerializationFailure, retryAfter, "the connection to the database broke; the transaction was rolled back"))
 		return
 	}
 	s.tx = nil
-	if tx.key != "" {
-		s.resolveLost(tx.key, transactionDigest)
+	if tx.requestKey != "" {
+		s.resolveLostCommit(tx.requestKey, transactionDigest)
 		return
 	}
-	s.sendError("ERROR", lost(err, tx.primary))
+	s.sendError("ERROR", lostRefusal(err, tx.primary))
 }
 
-// endTransaction gives up the transaction's connection. It is pooled only if
-// the transaction is over there and no setting was changed in it.
+// endTransaction gives up the transaction's connection. The connection goes back
+// to the pool only if the transaction has ended at the target and no setting was
+// changed in it; otherwise it is closed.
 func (s *session) endTransaction(committed bool) {
 	tx := s.tx
 	s.tx = nil
 	s.portals = nil
 	if committed {
-		s.settings = tx.pending
+		s.settings = tx.pendingSettings
 	}
-	s.setLease(nil)
+	s.setActiveLease(nil)
 	if tx.lease == nil {
 		return
 	}
-	if tx.status == 'I' && !tx.dirty {
+	if tx.txStatus == 'I' && !tx.settingsChanged {
 		tx.lease.Release(false)
 		return
 	}
 	tx.lease.Discard()
-	if tx.status != 'I' && tx.endWrite != nil {
+	if tx.txStatus != 'I' && tx.endWrite != nil {
 		tx.endWrite()
 	}
 }
