--- a/internal/proxy/cwfront/bench_test.go
+++ b/internal/proxy/cwfront/bench_test.go
@@ -15,8 +15,8 @@
 	"cicadawalk.example/cicadawalk/internal/tool/cwdemo"
 )
 
-// startBenchmark starts a demo and returns one connection to a proxy and one
-// straight to the primary, with a table of 100 rows.
+// startBenchmark starts a demo cluster with a table of 100 rows. It returns a
+// connection to its proxy, one directly to the primary, and the cluster.
 func startBenchmark(b *testing.B) (proxy, direct *pgx.Conn, bench *cwdemo.Bench) {
 	b.Helper()
 	bench, err := cwdemo.Start(cwdemo.Options{Proxies: 1})
@@ -40,6 +40,7 @@
 	return proxy, direct, bench
 }
 
+// pointRead selects one row by its primary key.
 func pointRead(b *testing.B, conn *pgx.Conn, n int) {
 	var gate string
 	if err := conn.QueryRow(context.Background(), "SELECT gate FROM ronda WHERE id = $1", n%100).Scan(&gate); err != nil {
@@ -71,7 +72,7 @@
 	}
 }
 
-// BenchmarkPointReads measures throughput with eight callers at once.
+// BenchmarkPointReads measures throughput with eight concurrent clients.
 func BenchmarkPointReads(b *testing.B) {
 	_, _, bench := startBenchmark(b)
 	for name, url := range map[string]string{"direct": cwdemo.URL(bench.Databases[0].Addr()), "proxy": bench.URL(0)} {
@@ -94,9 +95,9 @@
 	}
 }
 
-// TestAllocationsOfAForwardedStatement bounds what the proxy allocates for a
-// point read: the difference between reading through it and reading directly,
-// in one process.
+// TestAllocationsOfAForwardedStatement bounds the allocations of the proxy for one
+// statement: the difference between running SELECT 1 through the proxy and
+// directly, with everything in one process.
 func TestAllocationsOfAForwardedStatement(t *testing.T) {
 	ctx := context.Background()
 	bench, err := cwdemo.Start(cwdemo.Options{Proxies: 1})
@@ -117,9 +118,9 @@
 	cwbound.Check(t, "allocationsPerForwardedStatement", proxy-direct)
 }
 
-// TestMemoryOfAnIdleClient bounds the heap and stacks of a caller that is
-// connected and does nothing. The callers are bare sockets in the same process,
-// so the figure is a little too high.
+// TestMemoryOfAnIdleClient bounds the heap and stack memory of an idle client
+// connection. The clients are plain sockets in the same process, so the measured
+// value is slightly too high.
 func TestMemoryOfAnIdleClient(t *testing.T) {
 	bench, err := cwdemo.Start(cwdemo.Options{Proxies: 1})
 	qt.Assert(t, err, qt.IsNil)
--- a/internal/proxy/cwfront/consistency_test.go
+++ b/internal/proxy/cwfront/consistency_test.go
@@ -20,9 +20,9 @@
 	"cicadawalk.example/cicadawalk/internal/tool/cwdemo"
 )
 
-// An owner opens a gate record, the phone reconnects through another proxy, and
-// the record is not there: the replica near that proxy lags. With the token, or
-// without, the second proxy must not answer from data that is too old.
+// Guards against stale reads after a client reconnects through another proxy,
+// while the replicas lag by 400 ms. The second proxy must return the client's own
+// writes with or without a session token.
 func TestReadsOwnWritesAfterRoaming(t *testing.T) {
 	c := qt.New(t)
 	b := startProxies(c, cwdemo.Options{})
@@ -38,7 +38,7 @@
 		without := b.connect(c, 1)
 		c.Assert(queryInt(c, without, "SELECT count(*) FROM ronda"), qt.Equals, int64(i+1))
 	}
-	c.Run("a token that is not ours", func(c *qt.C) {
+	c.Run("invalid token", func(c *qt.C) {
 		for _, bad := range []string{"x", "cw1.", "cw1.AAAA", strings.Repeat("a", 5000), token(conn) + "x"} {
 			_, err := b.tryConnect(1, "cicadawalk.sessionToken", bad)
 			assertRefused(c, err, "22023")
@@ -46,23 +46,23 @@
 	})
 }
 
-// A caller with a forged token that names a position far in the future must
-// get an answer, not wait for a record that never comes.
+// Guards against a read that waits forever: a forged token names a log position
+// far beyond the end of the group's log. It must be refused.
 func TestTokenFromTheFuture(t *testing.T) {
 	c := qt.New(t)
 	b := startProxies(c, cwdemo.Options{})
 	conn := b.connect(c, 0)
 	exec(c, conn, "CREATE TABLE ronda (id bigint PRIMARY KEY)")
 	forged := forgeToken(c, "rondas-1", cwgroup.Mark{Term: 9, Position: 1 << 40})
-	late := b.connect(c, 1, "cicadawalk.sessionToken", forged)
+	reader := b.connect(c, 1, "cicadawalk.sessionToken", forged)
 	began := time.Now()
-	_, err := late.Exec(testContext, "SELECT count(*) FROM ronda")
+	_, err := reader.Exec(testContext, "SELECT count(*) FROM ronda")
 	assertRefused(c, err, "22023")
 	c.Assert(time.Since(began) < 5*time.Second, qt.IsTrue)
 }
 
-// A canceled statement ends, and only that one: the next caller who is lent the
-// same connection must not be hit by a cancel that arrives late.
+// A CancelRequest must end its statement and no other one. Guards against a late
+// cancel request that hits the next client on the same pooled connection.
 func TestCancel(t *testing.T) {
 	c := qt.New(t)
 	b := startProxies(c, cwdemo.Options{})
@@ -90,6 +90,7 @@
 	})
 }
 
+// cancelAt sends a CancelRequest for the session of pc to the proxy at addr.
 func cancelAt(addr string, pc *pgconn.PgConn) error {
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -104,8 +105,8 @@
 	return err
 }
 
-// Two callers use one connection in turns, with answers that differ, and each
-// must get its own: a mixed-up answer would show another client's bookings.
+// Guards against a response that reaches the wrong client: eight clients share a
+// small connection pool, and each must get the response to its own query.
 func TestEachCallerGetsItsOwnAnswer(t *testing.T) {
 	c := qt.New(t)
 	contract := cwdemo.DefaultContract()
@@ -138,8 +139,9 @@
 	}
 }
 
-// A booking of one depot is looked for among another's: the service keeps its
-// records in three groups, and every proxy must find the same one for a shard.
+// The records of a service are distributed over three groups by shard. Guards
+// against proxies that select different groups for a shard, so that a record is
+// not found through another proxy.
 func TestShards(t *testing.T) {
 	c := qt.New(t)
 	b := startProxies(c, cwdemo.Options{Groups: 3})
@@ -166,8 +168,8 @@
 	c.Assert(len(used) > 1, qt.IsTrue)
 }
 
-// An answer that comes after its caller was told that time ran out must not be
-// given to the next caller on the same connection.
+// Guards against a response that arrives after its statement timed out and is then
+// given to the next client on the same pooled connection.
 func TestLateAnswerIsNobodysElse(t *testing.T) {
 	c := qt.New(t)
 	contract := cwdemo.DefaultContract()
@@ -184,9 +186,10 @@
 	}
 }
 
-// Something between proxy and database loses track of the open connections. A
-// statement there must end soon, say truly what became of it, and leave the
-// others alone; a long statement looks the same and must not be cut.
+// A device between proxy and database drops the state of open connections, which
+// then go silent. A statement on such a connection must end soon with an error
+// that states its outcome correctly, and other statements must not be affected. A
+// long statement looks the same to the proxy and must not be ended.
 func TestSilentConnections(t *testing.T) {
 	c := qt.New(t)
 	b := startProxies(c, cwdemo.Options{})
@@ -196,10 +199,10 @@
 			l.Silence()
 		}
 	}
-	c.Run("a long statement goes on", func(c *qt.C) {
+	c.Run("a long statement is not ended", func(c *qt.C) {
 		exec(c, b.connect(c, 0), "SELECT pg_sleep(2.2)")
 	})
-	c.Run("a large statement that is on its way goes on", func(c *qt.C) {
+	c.Run("a large statement in transit is not ended", func(c *qt.C) {
 		conn := b.connect(c, 0)
 		exec(c, conn, "CREATE TABLE parte (id bigint, note text)")
 		for _, l := range b.links {
@@ -237,10 +240,10 @@
 	})
 }
 
-// A clerk sees "canceling statement due to user request" and nobody canceled
-// anything: his booking waited for a lock at a database that was just then put
-// out of charge, which ends its sessions. He must be told what is true of his
-// booking, and the next one must find the new primary.
+// Guards against the misleading error "canceling statement due to user request"
+// when a write waits for a lock at a primary that is demoted, which ends its
+// sessions. The client must be told the outcome of its write, and the next write
+// must run at the new primary.
 func TestDemotionUnderAWaitingWrite(t *testing.T) {
 	c := qt.New(t)
 	b := startProxies(c, cwdemo.Options{})
@@ -264,8 +267,8 @@
 	defer direct.Close(testContext)
 	<-time.After(100 * time.Millisecond)
 	exec(c, direct, "SELECT * FROM group_adopt(2, 'somebody')", pgx.QueryExecModeSimpleProtocol)
-	// Either the lock came first, and the database refused the write, which then
-	// ran at the new primary; or the end of the session did.
+	// If the write got the lock first, the database refused it and it then ran at
+	// the new primary. If the session ended first, the outcome is unknown.
 	want := int64(2)
 	if err := <-done; err != nil {
 		assertRefused(c, err, "08007")
@@ -278,8 +281,9 @@
 	c.Assert(queryInt(c, b.connect(c, 0), "SELECT count(*) FROM ronda"), qt.Equals, want)
 }
 
-// A clerk's program sees that its booking succeeded, and only then an error: a
-// long answer was passed on before the booking was acknowledged.
+// Guards against a write that is reported as successful and only then as failed,
+// because a long response was streamed to the client before a majority had
+// acknowledged the write.
 func TestNoSuccessBeforeTheAcknowledgement(t *testing.T) {
 	c := qt.New(t)
 	contract := cwdemo.DefaultContract()
@@ -299,7 +303,7 @@
 		c.Assert(err, qt.IsNil)
 		switch m := m.(type) {
 		case *pgproto3.CommandComplete:
-			c.Fatalf("told %s", m.CommandTag)
+			c.Fatalf("got %s before the acknowledgement", m.CommandTag)
 		case *pgproto3.ErrorResponse:
 			c.Assert(m.Code, qt.Equals, "08007")
 		case *pgproto3.ReadyForQuery:
--- a/internal/proxy/cwfront/exec.go
+++ b/internal/proxy/cwfront/exec.go
@@ -18,7 +18,7 @@
 // sendKeyed sends a request inside the transaction that its request key was
 // written in.
 func (s *session) sendKeyed(r route, req request) (responseSummary, bool, error) {
-	req.mayCommit = true // relay may then not stream the response: it is recorded with the key
+	req.mayCommit = true // hold the whole response: it is recorded with the key
 	return s.sendAndRelay(r, req)
 }
 
@@ -46,9 +46,9 @@
 	r.lease.Discard()
 }
 
-// parseMark parses the log position reported with a commit. A commit that wrote
+// parseLogPosition parses the log position reported with a commit. A commit that wrote
 // nothing reports none, and the zero position is returned.
-func parseMark(text string) (cwgroup.Mark, error) {
+func parseLogPosition(text string) (cwgroup.Mark, error) {
 	if text == "" {
 		return cwgroup.Mark{}, nil
 	}
--- a/internal/proxy/cwfront/extended.go
+++ b/internal/proxy/cwfront/extended.go
@@ -12,11 +12,12 @@
 	"cicadawalk.example/cicadawalk/internal/wire/cwsql"
 )
 
-// batchMessage is one message of a batch.
+// batchMessage is a buffered message of a batch.
 type batchMessage struct {
-	// msgType is the message's type byte: P, B, D, E or C.
+	// msgType is the protocol's type byte: P (Parse), B (Bind), D (Describe),
+	// E (Execute) or C (Close).
 	msgType byte
-	// objectType is S or P for Describe and Close.
+	// objectType is what a Describe or Close is for: S (statement) or P (portal).
 	objectType byte
 	portal     string
 	statement  *preparedStatement
@@ -24,33 +25,40 @@
 	maxRows    uint32
 }
 
-// batch is what the caller sent of the extended protocol since the last Sync.
+// batch holds the extended-protocol messages that the client sent since the last
+// Sync, and the state of a batch that was flushed in part.
 type batch struct {
 	messages []batchMessage
-	// err is the first fault found by the proxy itself. Nothing of the batch
-	// runs then, as in PostgreSQL, where a batch is one implicit transaction.
+	// err is the first error that the proxy itself found in the buffered messages.
+	// None of them is then run, as in PostgreSQL, where a batch is one implicit
+	// transaction.
 	err error
-	// lease is held after a Flush, until the Sync.
+	// lease is the connection held from a Flush outside a transaction until the
+	// Sync; route and endWrite belong to it.
 	lease    *cwpool.Lease
 	route    route
 	endWrite func()
-	// failed is true after an error that was passed on before the Sync.
+	// failed is true after an error that was sent to the client before the Sync.
 	failed bool
-	// awaitingSync is true if a part of the batch was flushed inside a transaction.
+	// awaitingSync is true if a part of the batch was flushed inside a transaction
+	// and the target has not received the Sync yet.
 	awaitingSync bool
-	// pendingParses are the names that are being prepared, in order, since the last answer.
+	// pendingParses holds the statement names of the buffered Parse messages, in
+	// order.
 	pendingParses []string
 }
 
+// active reports whether a batch was begun and not yet ended by a Sync.
 func (b *batch) active() bool { return len(b.messages) > 0 || b.lease != nil || b.awaitingSync }
 
-// holdConnection keeps the connection of a batch that was flushed.
+// holdConnection keeps the connection of a flushed batch for its remainder.
 func (b *batch) holdConnection(r route, endWrite func(), rep responseSummary) {
 	b.lease, b.route, b.endWrite, b.failed = r.lease, r, endWrite, rep.errorCode != ""
 }
 
-// addToBatch adds a message to the batch. The message is copied: its memory is
-// used again for the next one.
+// addToBatch adds a message to the batch. What is kept of the message is copied,
+// because its memory is reused for the next one. After an error the rest of the
+// batch is ignored.
 func (s *session) addToBatch(msg pgproto3.FrontendMessage) error {
 	b := &s.batch
 	if b.err != nil || b.failed {
@@ -69,6 +77,8 @@
 	return nil
 }
 
+// newBatchMessage converts a protocol message and updates the session's prepared
+// statements and portals accordingly.
 func (s *session) newBatchMessage(msg pgproto3.FrontendMessage) (batchMessage, error) {
 	switch m := msg.(type) {
 	case *pgproto3.Parse:
@@ -113,6 +123,8 @@
 	return batchMessage{}, cwrefusal.NotRun(cwrefusal.ProtocolViolation, 0, "unexpected message in a batch")
 }
 
+// copyBind copies a Bind message, with all parameters in one allocation. The
+// statement name is left out, because each target connection has its own.
 func copyBind(m *pgproto3.Bind) *pgproto3.Bind {
 	size := 0
 	for _, p := range m.Parameters {
@@ -136,18 +148,20 @@
 	return c
 }
 
-// runBatch runs what was collected. With sync set the batch is over after.
+// runBatch runs the buffered messages. If sync is set, it also ends the batch.
 //
-// The failure: a batch is refused as not run, the caller tries it again, and is told
-// that the statement it prepares is there already; so it goes on for good. What was
-// not answered as prepared is not.
+// Statements that were not answered with a ParseComplete are forgotten.
+// Otherwise, when a batch is refused as not run and the client retries it, the
+// retry fails because its statement already exists, and so does every further
+// one.
 func (s *session) runBatch(sync bool) {
 	pendingParses := s.batch.pendingParses
 	s.batch.pendingParses = nil
 	start, flushCount := len(s.output), s.flushCount
 	s.executeBatch(sync)
 	if s.flushCount != flushCount {
-		// Large answers go out in parts; the first part has these answers.
+		// A large response is sent in parts, and the first part contains every
+		// ParseComplete.
 		return
 	}
 	for _, name := range pendingParses[min(len(pendingParses), countParseCompletes(s.output[start:])):] {
@@ -155,6 +169,8 @@
 	}
 }
 
+// executeBatch runs the buffered messages inside the open transaction, on the
+// connection held since a Flush, without a target, or as a new request.
 func (s *session) executeBatch(sync bool) {
 	b := &s.batch
 	messages := b.messages
@@ -193,7 +209,8 @@
 	s.runRequest(s.batchRequest(messages, sync))
 }
 
-// batchRequest makes the unit of a batch.
+// batchRequest returns the request that sends the messages to a target, followed
+// by a Sync or a Flush.
 func (s *session) batchRequest(messages []batchMessage, sync bool) request {
 	req := request{readOnly: true, sync: sync}
 	for _, o := range messages {
@@ -223,8 +240,8 @@
 	return req
 }
 
-// digestBatch identifies a batch for its request key: statements, arguments, and
-// the shape of the answer.
+// digestBatch returns the digest that ties a batch to its request key. It covers
+// message types, queries, parameters and result formats.
 func digestBatch(messages []batchMessage) string {
 	var parts [][]byte
 	for _, o := range messages {
@@ -241,8 +258,9 @@
 	return cwrequest.Digest(parts...)
 }
 
-// answerBatchLocally answers a batch that needs no target: it concerns only the
-// system's own settings, or the end of a transaction that has failed.
+// answerBatchLocally answers a batch that needs no target: one that only
+// concerns the proxy's own settings, ends a failed transaction, or closes
+// prepared statements. It returns false if the batch must go to a target.
 func (s *session) answerBatchLocally(messages []batchMessage) bool {
 	local := false
 	for _, o := range messages {
@@ -267,6 +285,7 @@
 	return true
 }
 
+// isLocal reports whether a statement of a batch is answered without a target.
 func (s *session) isLocal(st cwsql.Statement) bool {
 	if s.tx != nil && (s.tx.failed || s.tx.lease == nil) {
 		return true
@@ -284,8 +303,8 @@
 	return false
 }
 
-// answerMessageLocally answers one message of a local batch. It returns false after an
-// error.
+// answerMessageLocally answers one message of a batch that needs no target. It
+// returns false after an error.
 func (s *session) answerMessageLocally(o batchMessage) bool {
 	switch o.msgType {
 	case 'P':
@@ -311,7 +330,8 @@
 	return true
 }
 
-// answerStatementCloses answers a batch that only closes prepared statements.
+// answerStatementCloses answers a batch that only closes prepared statements, and
+// returns false for any other batch.
 func (s *session) answerStatementCloses(messages []batchMessage) bool {
 	for _, o := range messages {
 		if o.msgType != 'C' || o.objectType != 'S' {
@@ -324,9 +344,9 @@
 	return true
 }
 
-// continueInTransaction runs more of a batch that was flushed inside a
-// transaction. The target hears of the batch's end whatever became of it:
-// after an error it ignores everything up to the Sync.
+// continueInTransaction runs the next part of a batch that was flushed inside a
+// transaction. The Sync is sent to the target even after an error, because the
+// target ignores all messages until it arrives.
 func (s *session) continueInTransaction(messages []batchMessage, err error, sync bool) {
 	b := &s.batch
 	if err != nil && !b.failed {
@@ -347,7 +367,8 @@
 	s.runInTransaction(req)
 }
 
-// continueFlushedBatch runs more of a batch that was flushed before.
+// continueFlushedBatch runs the next part of a batch that was flushed outside a
+// transaction.
 func (s *session) continueFlushedBatch(messages []batchMessage, sync bool) {
 	req := s.batchRequest(messages, sync)
 	if !sync && len(messages) == 0 {
@@ -356,8 +377,9 @@
 	s.finishFlushedBatch(&req)
 }
 
-// finishFlushedBatch sends the rest of a flushed batch, or only its Sync, over the
-// connection that is held for it.
+// finishFlushedBatch sends the next part of a flushed batch over the connection
+// held for it; if req is nil, it sends only the Sync. After a Sync the batch is
+// over.
 func (s *session) finishFlushedBatch(req *request) {
 	b := &s.batch
 	r, endWrite := b.route, b.endWrite
--- a/internal/proxy/cwfront/fuzz_test.go
+++ b/internal/proxy/cwfront/fuzz_test.go
@@ -17,8 +17,8 @@
 	"cicadawalk.example/cicadawalk/internal/proxy/cwwatch"
 )
 
-// noGroupServices has one entry with two groups, so that no statement ever finds a
-// group to run in.
+// noGroupServices is a stub of Services whose only entry has two groups, so that
+// without a shard no statement has a group to run in.
 type noGroupServices struct{}
 
 func (noGroupServices) Ready() bool      { return true }
@@ -30,8 +30,8 @@
 func (noGroupServices) Pool(cwgroup.MemberID) (*cwpool.Pool, bool) { return nil, false }
 func (noGroupServices) ForwardCancel(uint32, []byte)               {}
 
-// FuzzSession sends arbitrary bytes after a start-up message. The session must
-// end or go on, and never panic or hang.
+// FuzzSession sends arbitrary bytes after a start-up message. The session must end
+// once the client has closed the connection, and must never panic or hang.
 func FuzzSession(f *testing.F) {
 	encode := func(msgs ...pgproto3.FrontendMessage) []byte {
 		var out []byte
@@ -70,7 +70,7 @@
 		select {
 		case <-done:
 		case <-time.After(5 * time.Second):
-			t.Fatal("the session hangs")
+			t.Fatal("the session did not end within 5s")
 		}
 	})
 }
--- a/internal/proxy/cwfront/prepared_test.go
+++ b/internal/proxy/cwfront/prepared_test.go
@@ -12,7 +12,9 @@
 	"cicadawalk.example/cicadawalk/internal/tool/cwdemo"
 )
 
-// Guards against a session whose statement is refused as not run, and as a duplicate ever after.
+// Guards against a session that can never run a statement again: its first attempt
+// is refused as not run, and each retry because the prepared statement already
+// exists (42P05).
 func TestRefusedStatementCanBePreparedAgain(t *testing.T) {
 	c := qt.New(t)
 	b := startProxies(c, cwdemo.Options{})
@@ -27,7 +29,8 @@
 		}
 	}
 	setFaults(cwlink.Faults{Refuse: true})
-	// A statement that has been served is prepared already; this one has not.
+	// Deallocate after each success, so that the refused attempt has to prepare the
+	// statement.
 	for end := time.Now().Add(10 * time.Second); query() == nil; {
 		c.Assert(time.Now().Before(end), qt.IsTrue, qt.Commentf("nothing is refused"))
 		c.Assert(conn.DeallocateAll(testContext), qt.IsNil)
--- a/internal/proxy/cwfront/protocol_test.go
+++ b/internal/proxy/cwfront/protocol_test.go
@@ -14,8 +14,8 @@
 	"cicadawalk.example/cicadawalk/internal/tool/cwdemo"
 )
 
-// Somebody sends garbage, or far too much, or leaves in the middle. The others
-// must not notice.
+// Clients that send malformed or oversized messages, or disconnect in the middle of
+// a transaction or statement, must not affect other clients.
 func TestBadCallers(t *testing.T) {
 	c := qt.New(t)
 	b := startProxies(c, cwdemo.Options{})
@@ -55,7 +55,7 @@
 		_, _ = nc.Write([]byte{'!', 0, 0, 0, 4})
 		assertEnds(c, nc)
 	})
-	c.Run("gone in the middle of a transaction", func(c *qt.C) {
+	c.Run("disconnect in the middle of a transaction", func(c *qt.C) {
 		nc, f := started(c)
 		f.Send(&pgproto3.Query{String: "BEGIN; INSERT INTO ronda VALUES (1)"})
 		c.Assert(f.Flush(), qt.IsNil)
@@ -65,7 +65,7 @@
 		exec(c, conn, "INSERT INTO ronda VALUES (2)")
 		c.Assert(queryInt(c, conn, "SELECT count(*) FROM ronda WHERE id = 1"), qt.Equals, int64(0))
 	})
-	c.Run("gone before the answer", func(c *qt.C) {
+	c.Run("disconnect before the response", func(c *qt.C) {
 		nc, f := started(c)
 		f.Send(&pgproto3.Query{String: "SELECT pg_sleep(0.05)"})
 		c.Assert(f.Flush(), qt.IsNil)
@@ -83,9 +83,9 @@
 	c.Assert(errors.As(err, &ne) && ne.Timeout(), qt.IsFalse)
 }
 
-// A driver that flushes in the middle of a batch hangs for good, or its next
-// statement does: what it flushed was answered, but the database was never told
-// that the batch was over.
+// Guards against a driver that hangs, at once or at its next statement, after it
+// sends a Flush in the middle of a batch: the flushed part was answered, but the
+// Sync that ends the batch never reached the database.
 func TestFlush(t *testing.T) {
 	c := qt.New(t)
 	b := startProxies(c, cwdemo.Options{})
@@ -95,7 +95,9 @@
 	defer nc.Close()
 	_ = nc.SetDeadline(time.Now().Add(10 * time.Second))
 	f := pgproto3.NewFrontend(nc, nc)
-	// sendAndReadUntil sends messages and reads up to one of a kind; it returns the kinds.
+	// sendAndReadUntil sends messages and reads responses up to one with the type
+	// byte last. It returns the type bytes of the responses except ParameterStatus,
+	// each ReadyForQuery followed by its transaction status.
 	sendAndReadUntil := func(c *qt.C, last byte, msgs ...pgproto3.FrontendMessage) string {
 		for _, m := range msgs {
 			f.Send(m)
--- a/internal/proxy/cwfront/relay.go
+++ b/internal/proxy/cwfront/relay.go
@@ -13,62 +13,68 @@
 	"cicadawalk.example/cicadawalk/internal/wire/cwtarget"
 )
 
-// Times and sizes of passing an answer back.
+// Timeouts and buffer limits of relaying a response.
 const (
-	// readPollInterval is how long a read from a target may block before the state of the
-	// target is looked at.
+	// readPollInterval is how long a read from a target may block before the state
+	// of the target is checked.
 	readPollInterval = 250 * time.Millisecond
-	// maxSilence is how long a target may bring nothing before it is asked, over
-	// another connection, what it is doing for this one.
+	// maxSilence is how long a target may send nothing before it is asked, over
+	// another connection, whether it is busy for this one.
 	maxSilence = time.Second
-	// minTransferRate is the rate at which a statement reaches its target at the least, in
-	// bytes a second. Until then the target is not busy for the connection.
+	// minTransferRate is the lowest rate, in bytes per second, at which a statement
+	// is assumed to reach its target. While it is in transit the target is not
+	// busy for the connection.
 	minTransferRate = 256 << 10
-	// activityTimeout bounds that question.
+	// activityTimeout bounds the query for the target's activity.
 	activityTimeout = 400 * time.Millisecond
-	// streamThreshold is the size at which an answer is passed on before it is whole.
+	// streamThreshold is the size, in bytes, from which rows are sent to the client
+	// before the response is complete.
 	streamThreshold = 16 << 10
-	// heldResponseLimit is the same for an answer that is held until the write is
-	// acknowledged; what says that it succeeded comes after.
+	// heldResponseLimit is the same for a response that is held until its write is
+	// acknowledged. Rows may be sent earlier, but never a message that reports
+	// success.
 	heldResponseLimit = 8 << 20
 )
 
-// responseLostError says why a target's answer will not come.
+// responseLostError reports why a target's response will not arrive. The reason
+// is sent to the client.
 type responseLostError struct{ reason string }
 
 func (e *responseLostError) Error() string { return e.reason }
 
-// route is where a unit of work runs.
+// route is the member and the borrowed connection that a request runs on.
 type route struct {
 	lease  *cwpool.Lease
 	member cwgroup.MemberID
-	// primary is true if the member leads the term; then an answer is held
-	// until what was written is acknowledged.
-	primary  bool
-	term     cwgroup.Term
+	// primary is true if the member was chosen as the primary of the term.
+	// Responses to writes are then held until the write is acknowledged.
+	primary bool
+	term    cwgroup.Term
+	// deadline is when the statement times out.
 	deadline time.Time
 }
 
-// responseSummary is what is known of an answer once it was passed on.
+// responseSummary is what the proxy needs to know of a relayed response.
 type responseSummary struct {
-	// txStatus is the transaction txStatus of ReadyForQuery, zero if the relay
+	// txStatus is the transaction status of ReadyForQuery, or zero if relaying
 	// ended before it.
 	txStatus byte
-	// position is where the primary's log ended after a commit, zero if nothing was
-	// committed.
+	// position is the end of the primary's log after a commit, or zero if nothing
+	// was committed.
 	position cwgroup.Mark
-	// errorCode is the SQLSTATE of the first error, if any.
+	// errorCode is the SQLSTATE of the first error, or empty.
 	errorCode string
-	// commandTag is the last command commandTag.
+	// commandTag is the tag of the last CommandComplete.
 	commandTag string
 }
 
-// relayResponse passes one answer from a target to the caller: up to ReadyForQuery, or,
-// if steps is given and sync is false, until the steps are done. It returns an
-// error if the connection to the target is of no more use.
+// relayResponse relays one response from a target to the client: up to
+// ReadyForQuery or, if sync is false and expected responses are given in st,
+// until all of them have arrived or one is an error. It returns an error if the
+// connection to the target, or to the client, is no longer usable.
 //
-// Unless hold is set the answer is flushed as it grows; flushed reports whether
-// anything went out.
+// Rows are sent to the client as the response grows beyond streamThreshold, or
+// heldResponseLimit if hold is set; flushed reports whether any were.
 func (s *session) relayResponse(r route, st *responseQueue, sync, hold bool) (rep responseSummary, flushed bool, err error) {
 	limit := streamThreshold
 	if hold {
@@ -107,8 +113,8 @@
 			return rep, flushed, &responseLostError{reason: "the target began a COPY"}
 		case *pgproto3.ErrorResponse:
 			if cwtarget.EndsConnection(m) {
-				// The database ends its sessions, for instance since it was put
-				// out of charge. That is no answer to the caller's statement.
+				// The database ends its sessions, for instance because it was
+				// demoted. This error is not the response to the client's statement.
 				return rep, flushed, &responseLostError{reason: "the database ended the connection"}
 			}
 			if rep.errorCode == "" {
@@ -129,8 +135,8 @@
 		}
 		s.send(msg)
 		if _, row := msg.(*pgproto3.DataRow); row && len(s.output) > limit {
-			// Only rows are passed on early, never what says that a write
-			// succeeded: that waits for its majority.
+			// Only rows are sent early. A message that reports the success of a
+			// write waits until a majority has the record.
 			flushed = true
 			if err := s.flush(); err != nil {
 				return rep, flushed, errClientGone
@@ -139,31 +145,34 @@
 	}
 }
 
-// clientGoneError means that the answer cannot be delivered.
+// clientGoneError reports that the response cannot be delivered.
 type clientGoneError struct{}
 
 func (clientGoneError) Error() string { return "the caller is gone" }
 
 var errClientGone = clientGoneError{}
 
-// watchdog reads from a target and gives up where no answer will come.
+// watchdog reads messages from a target and ends the wait when no response can be
+// expected any more.
 type watchdog struct {
 	s             *session
 	route         route
 	lastActivity  time.Time
 	deadlineSetAt time.Time
-	// silenceLimit is how long the target may bring nothing before it is asked.
+	// silenceLimit is how long after lastActivity the target is asked whether it is
+	// busy for the connection.
 	silenceLimit time.Duration
-	// reportedIdle is true once the target said that it is not busy for this
-	// connection.
+	// reportedIdle is true if the target has reported that it is not busy for this
+	// connection, and has sent nothing since.
 	reportedIdle bool
 }
 
-// transferTime returns how long a statement may be on its way.
+// transferTime returns how long a statement of that many bytes may be in transit.
 func transferTime(bytes int) time.Duration {
 	return time.Duration(bytes) * time.Second / minTransferRate
 }
 
+// setReadDeadline makes the next read return after readPollInterval at most.
 func (w *watchdog) setReadDeadline() {
 	w.deadlineSetAt = time.Now()
 	_ = w.route.lease.Conn.SetReadDeadline(w.deadlineSetAt.Add(readPollInterval))
@@ -173,6 +182,7 @@
 	_ = w.route.lease.Conn.SetReadDeadline(time.Time{})
 }
 
+// receive returns the target's next message. Its error is a *responseLostError.
 func (w *watchdog) receive() (pgproto3.BackendMessage, error) {
 	for {
 		msg, err := w.route.lease.Conn.Front.Receive()
@@ -190,13 +200,14 @@
 	}
 }
 
-// checkTarget decides whether to go on waiting.
+// checkTarget returns an error if waiting any longer is pointless.
 //
-// Failures it guards against: the primary was replaced while it held the
-// answer; the statement ran out of time; the connection went silent because
-// something in between lost track of it, which shows as nothing at all while
-// new connections work. A long statement looks the same from here, so the
-// target is asked over its control connection whether it is busy for this one.
+// It guards against three failures: the primary was replaced before it
+// responded; the statement reached its deadline; or the connection went silent,
+// because a device on the path dropped its state. In the last case nothing at all
+// arrives, while new connections work. A long statement looks the same to the
+// proxy, so the target is asked over its control connection whether it is busy
+// for this one.
 func (w *watchdog) checkTarget() error {
 	now := w.s.server.Clock.Now()
 	if w.route.primary && !w.s.group.StillLeads(w.route.term) {
@@ -220,15 +231,16 @@
 		w.lastActivity, w.reportedIdle = now, false
 		return nil
 	case !w.reportedIdle:
-		// The answer may have been on its way while the question was asked.
+		// The response may have been in transit when the target answered, so only
+		// a second report in a row counts.
 		w.reportedIdle = true
 		return nil
 	}
 	return &responseLostError{reason: "the connection to the database went silent"}
 }
 
-// lostRefusal makes the refusal for an answer that will not come. The statement was
-// sent. A read took no effect in any case.
+// lostRefusal returns the refusal for a statement that was sent and whose response
+// will not arrive. The outcome of a write is unknown; a read took no effect.
 func lostRefusal(err error, write bool) error {
 	var l *responseLostError
 	reason := "the connection to the database broke"
--- a/internal/proxy/cwfront/request.go
+++ b/internal/proxy/cwfront/request.go
@@ -14,46 +14,51 @@
 	"cicadawalk.example/cicadawalk/internal/wire/cwtarget"
 )
 
-// Limits of running a unit.
+// Limits and codes of running a request.
 const (
-	// maxAttempts bounds how often a unit that certainly did not run is tried.
+	// maxAttempts is how often a request is tried that certainly took no effect.
 	maxAttempts = 4
-	// retryAfter is what a caller is told after a connection was lost.
+	// retryAfter is the retry delay suggested to a client after a connection to a
+	// target was lost.
 	retryAfter = 200 * time.Millisecond
-	// codeReadOnly is how a target refuses a write that it may not take.
+	// codeReadOnly is the SQLSTATE read_only_sql_transaction, with which a target
+	// that is not the primary refuses a write.
 	codeReadOnly = "25006"
 )
 
 // request is what is sent to a target at once: a simple query, or a batch of the
-// extended protocol.
+// extended protocol up to its Sync or Flush.
 type request struct {
-	// readOnly is true if nothing in the unit can write.
+	// readOnly is true if nothing in the request can write.
 	readOnly bool
-	// begins is true if the unit begins a transaction.
+	// begins is true if the request begins an explicit transaction.
 	begins bool
-	// mayCommit is true if the unit may commit the transaction it runs in.
+	// mayCommit is true if the request may commit the transaction that it runs in.
 	mayCommit bool
-	// sync is false for a batch that was flushed before its end. endsFlushedBatch is true
-	// for the end of such a batch: the target must hear of it in any case.
+	// sync is false for a batch that was flushed before its Sync.
+	// endsFlushedBatch is true for a request that brings the Sync of such a batch.
+	// It is sent even in a failed transaction, because the target waits for the
+	// Sync.
 	sync, endsFlushedBatch bool
-	// steps returns what to expect for a batch, and nil for a simple query. It
-	// queues the messages at the connection.
+	// send queues the messages on the connection. It returns the responses that a
+	// batch expects, and nil for a simple query.
 	send func(c *cwpool.Conn) *responseQueue
-	// onComplete is called with the connection after the answer was passed on.
+	// onComplete, if not nil, is called after the response was relayed.
 	onComplete func(c *cwpool.Conn, rep responseSummary)
-	// digest names the unit for its request key. It is worked out only for a
-	// unit that has one.
+	// digest returns the digest that ties the request to its request key. It is
+	// called only for requests with a key.
 	digest func() string
 }
 
-// noGroupRefusal is the refusal of a statement whose group is not known.
+// noGroupRefusal refuses a statement while the client's group is not known.
 func (s *session) noGroupRefusal() error {
 	return cwrefusal.NotRun(cwrefusal.InvalidParameter, 0,
 		"this service keeps its records in %d groups; set cicadawalk.shard to the key of the record's owner", len(s.entry.Groups)).
 		WithHint("SET cicadawalk.shard = '...', or give it as a start-up parameter.")
 }
 
-// runRequest runs a unit inside the transaction or by itself.
+// runRequest runs a request inside the open transaction or by itself. By itself
+// it is retried, within the retry budget, if it certainly took no effect.
 func (s *session) runRequest(req request) {
 	s.server.Metrics.Statements.Inc()
 	s.server.retryBudget.earn()
@@ -87,8 +92,9 @@
 	}
 }
 
-// attempt runs a unit once. If it failed, again says whether it may be tried
-// anew: nothing of it took effect, and nothing of its answer went out.
+// attempt runs a request once. After an error, retry reports whether it may be
+// run again: nothing of it took effect and no part of its response was sent to
+// the client.
 func (s *session) attempt(req request, deadline time.Time) (retry bool, err error) {
 	r, endWrite, err := s.acquireConnection(req.readOnly, deadline)
 	if err != nil {
@@ -115,9 +121,10 @@
 		return retry, lostRefusal(err, !req.readOnly)
 	}
 	if rep.errorCode == codeReadOnly && rep.txStatus == 'I' && !flushed && !req.readOnly && !req.mayCommit && !s.defaultReadOnly() {
-		// The member stopped leading after it was chosen, and said so before
-		// anything ran, unless an earlier statement of the unit had committed.
-		// The view knows a moment later.
+		// The member stopped being the primary after it was chosen, and refused
+		// the request before anything ran. Requests that may commit are excluded,
+		// because an earlier statement of theirs may have committed. The short
+		// sleep gives the group's view time to learn of the change.
 		s.output = s.output[:start]
 		s.releaseConnection(r)
 		endWrite()
@@ -127,15 +134,17 @@
 	return false, s.finishRequest(r, req, rep, endWrite, start, flushed)
 }
 
-// unsentError says that a unit certainly did not reach the target.
+// unsentError reports that a request was certainly not sent to the target.
 type unsentError struct{ cause error }
 
 func (e *unsentError) Error() string { return "not sent: " + e.cause.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the error that kept the request from being sent.
 func (e *unsentError) Unwrap() error { return e.cause }
 
-// exchange sends a unit and passes its answer on.
+// exchange applies the session's settings to the connection of r, sends a
+// request and relays the response. flushed reports whether a part of the response
+// was sent to the client.
 func (s *session) exchange(r route, req request) (responseSummary, bool, error) {
 	s.setActiveLease(r.lease)
 	if err := s.applySettings(r.lease.Conn); err != nil {
@@ -153,6 +162,7 @@
 	return rep, flushed, err
 }
 
+// applySettings makes the settings of a connection equal to the session's.
 func (s *session) applySettings(c *cwpool.Conn) error {
 	diff := s.settings.diff(c.Applied)
 	if diff == "" {
@@ -162,8 +172,10 @@
 	return err
 }
 
-// finishRequest ends a unit whose answer was read: a transaction that it opened is
-// kept, a write waits for its majority, and the connection goes back.
+// finishRequest completes a request whose response was read. If the request
+// opened a transaction, or was flushed before its Sync, the connection is kept
+// for it. Otherwise the connection goes back to the pool, and a write waits for
+// its acknowledgement by a majority.
 func (s *session) finishRequest(r route, req request, rep responseSummary, endWrite func(), start int, flushed bool) error {
 	if rep.txStatus != 'I' && req.sync {
 		s.tx = &transaction{
@@ -190,14 +202,17 @@
 	return err
 }
 
-// releaseConnection returns a connection whose answer was read to the end.
+// releaseConnection returns a connection to the pool, after its response was read
+// to the end.
 func (s *session) releaseConnection(r route) {
 	s.setActiveLease(nil)
 	r.lease.Release(true)
 }
 
-// awaitAcknowledgement waits until a majority has what was committed. Nothing that says
-// that the write succeeded goes to the caller before.
+// awaitAcknowledgement waits until a majority of the group's members has the log
+// up to m, where a commit ended. Until then no message that reports success of
+// the write may be sent to the client. For the zero position, when nothing was
+// written, it returns at once.
 func (s *session) awaitAcknowledgement(m cwgroup.Mark) error {
 	if m == (cwgroup.Mark{}) {
 		return nil
@@ -209,11 +224,13 @@
 		return cwrefusal.Unknown("the write ran at the primary, but it is not known to be kept: %s", outcome)
 	}
 	s.server.Metrics.Writes.Inc()
-	s.recordWrite(m)
+	s.recordPosition(m)
 	return nil
 }
 
-// acquireConnection finds where a unit runs and borrows a connection there.
+// acquireConnection selects the member that a request runs on, the primary unless
+// read is set, and borrows a connection to it. A write is counted as in progress
+// until the returned function is called.
 func (s *session) acquireConnection(read bool, deadline time.Time) (route, func(), error) {
 	r := route{deadline: deadline}
 	endWrite := func() {}
@@ -251,7 +268,9 @@
 	return r, endWrite, nil
 }
 
-// selectReadMember finds the member for a read: one that has the session's floor.
+// selectReadMember selects a member for a read whose data is at least as recent as
+// the session's floor. If the session has no floor for the group and the router
+// needs one, it is read from the primary.
 func (s *session) selectReadMember(ctx context.Context, deadline time.Time) (cwroute.Decision, error) {
 	if err := s.checkFloor(ctx); err != nil {
 		return cwroute.Decision{}, err
@@ -263,30 +282,34 @@
 		if err != nil || d.Kind != cwroute.AskPrimary {
 			return d, err
 		}
-		mark, err := s.group.Tip(ctx)
+		position, err := s.group.Tip(ctx)
 		if err != nil {
 			return d, err
 		}
 		if s.primaryPositions == nil {
 			s.primaryPositions = make(map[string]cwgroup.Mark)
 		}
-		s.primaryPositions[s.group.Name()] = mark
+		s.primaryPositions[s.group.Name()] = position
 		rd.Confirmed = true
 	}
 }
 
+// floor returns the log position that a read must at least see: the one in the
+// session token, or else the primary's position that was read after the client
+// connected, if any.
 func (s *session) floor() cwsession.Floor {
 	f := cwsession.FloorOf(s.token, s.group.Name())
 	if f.Known {
 		return f
 	}
-	mark, ok := s.primaryPositions[s.group.Name()]
-	return cwsession.Floor{Mark: mark, Known: ok}
+	position, ok := s.primaryPositions[s.group.Name()]
+	return cwsession.Floor{Mark: position, Known: ok}
 }
 
-// checkFloor compares a floor that came from outside with the primary, once. A
-// floor beyond everything the group has written would never be reached, and
-// nobody waits for it.
+// checkFloor compares a floor that came from the client's token with the
+// primary's log position, once for each group. A floor beyond everything that the
+// group has written would never be reached, so the token is refused instead of
+// waiting for it.
 func (s *session) checkFloor(ctx context.Context) error {
 	name := s.group.Name()
 	f := cwsession.FloorOf(s.token, name)
@@ -295,13 +318,13 @@
 	}
 	p, ok := s.group.View().Primary()
 	if !ok || !p.Last.AtLeast(f.Mark) {
-		tip, err := s.group.Tip(ctx)
+		position, err := s.group.Tip(ctx)
 		if err != nil {
-			// Without a primary the floor stays unchecked; placing the read
-			// bounds the wait.
+			// Without a primary the floor stays unchecked. Routing the read
+			// bounds the wait for it.
 			return nil
 		}
-		if err := f.CheckTip(tip); err != nil {
+		if err := f.CheckTip(position); err != nil {
 			return invalidSetting(tokenParameter, "", err.Error())
 		}
 	}
--- a/internal/proxy/cwfront/request_key.go
+++ b/internal/proxy/cwfront/request_key.go
@@ -13,15 +13,17 @@
 	"cicadawalk.example/cicadawalk/internal/wire/cwtarget"
 )
 
-// transactionDigest stands for the statements of an explicit transaction, which
-// are not known when it begins.
+// transactionDigest is the request digest of every explicit transaction, because
+// its statements are not known when it begins.
 const transactionDigest = "transaction"
 
-// resolveRetryInterval is the pause between tries to learn what became of a request.
+// resolveRetryInterval is the pause between attempts to find out the outcome of a
+// request.
 const resolveRetryInterval = 100 * time.Millisecond
 
-// substituteArguments puts quoted arguments into a statement of cwrequest, in one pass: an
-// argument that looks like a placeholder itself stays as it is.
+// substituteArguments replaces the placeholders $1, $2 ... of a cwrequest
+// statement with the quoted arguments. It does so in one pass, so that text in an
+// argument that looks like a placeholder is not replaced.
 func substituteArguments(query string, args ...string) string {
 	pairs := make([]string, 0, 2*len(args))
 	for i, a := range args {
@@ -30,7 +32,8 @@
 	return strings.NewReplacer(pairs...).Replace(query)
 }
 
-// runKeyedRequest runs a write that carries a request key, at most once.
+// runKeyedRequest runs a write, or begins a transaction, with a request key, so
+// that it takes effect at most once.
 func (s *session) runKeyedRequest(req request) {
 	key := s.proxySettings.requestKey
 	s.proxySettings.requestKey = ""
@@ -57,18 +60,18 @@
 	}
 }
 
-// keyedRequest is one run of a request with a key.
+// keyedRequest is a request with a request key while it is being run.
 type keyedRequest struct {
 	s        *session
 	key      string
 	digest   string
 	deadline time.Time
-	// tombstone is the state of a tombstone that this run takes the place of.
+	// tombstone is the state of the tombstone that this request replaces, or empty.
 	tombstone string
 }
 
-// attempt runs the request once. It returns again if it certainly did not run
-// and may be tried anew.
+// attempt runs the request once. After an error, retry reports whether it
+// certainly took no effect and may be run again.
 func (k *keyedRequest) attempt(req request) (retry bool, err error) {
 	s := k.s
 	r, endWrite, err := s.acquireConnection(false, k.deadline)
@@ -88,7 +91,8 @@
 		return true, cwrefusal.NotRun(cwrefusal.SerializationFailure, retryAfter, "the connection to the database broke before the commit")
 	}
 	if rep.errorCode != "" {
-		// The request itself failed; its key stays unused.
+		// The target refused the request. The rollback also removes its key, which
+		// can be used again.
 		s.rollback(r)
 		return false, nil
 	}
@@ -107,7 +111,8 @@
 	return k.commit(r, start)
 }
 
-// commit records the answer with the key and commits both.
+// commit records the response, which is queued from offset start, with the key
+// and commits both. It then waits for a majority.
 func (k *keyedRequest) commit(r route, start int) (retry bool, err error) {
 	s := k.s
 	encoded := base64.StdEncoding.EncodeToString(s.output[start:])
@@ -122,9 +127,9 @@
 		return false, s.resolveOutcome(k.key, k.digest, k.deadline)
 	}
 	s.releaseConnection(r)
-	mark, err := parseMark(res.Mark)
+	position, err := parseLogPosition(res.Mark)
 	if err == nil {
-		err = s.awaitAcknowledgement(mark)
+		err = s.awaitAcknowledgement(position)
 	}
 	if err != nil {
 		s.output = s.output[:start]
@@ -133,7 +138,8 @@
 	return false, nil
 }
 
-// begin begins the transaction and writes the key into it.
+// begin begins the transaction and inserts the key, after deleting the tombstone
+// that the request replaces, if any.
 func (k *keyedRequest) begin(r route) error {
 	s := k.s
 	if err := s.applySettings(r.lease.Conn); err != nil {
@@ -147,7 +153,9 @@
 	return err
 }
 
-// handleBeginError finds out why the key could not be written.
+// handleBeginError handles an error of begin by its SQLSTATE: it creates the table
+// of keys if that is missing (42P01), looks up a key that already exists (23505),
+// and asks for a retry if the member is no longer the primary.
 func (k *keyedRequest) handleBeginError(r route, err error) (retry bool, _ error) {
 	s := k.s
 	refusal := cwrefusal.NotRun(cwrefusal.SerializationFailure, retryAfter, "the request could not begin")
@@ -178,7 +186,9 @@
 	return false, cwrefusal.NotRun(cwrefusal.Code(cwtarget.ServerCode(err)), retryAfter, "the request could not begin: %v", err)
 }
 
-// handleExistingKey deals with a key that is there already.
+// handleExistingKey decides what an existing row of the key means: a completed
+// request is replayed, a key of another request is refused, and a tombstone is
+// replaced by the next attempt.
 func (k *keyedRequest) handleExistingKey(r route) (retry bool, err error) {
 	s := k.s
 	row, err := s.lookupKey(r, k.key)
@@ -197,13 +207,14 @@
 	return true, cwrefusal.NotRun(cwrefusal.SerializationFailure, retryAfter, "another attempt of this request is in progress")
 }
 
-// replay gives a recorded answer again, once it is certain to be kept.
+// replay sends the recorded response of a completed request, once its record
+// cannot be lost any more.
 //
-// The failure: the key is found in the log of a primary that has just taken
-// over, from an earlier term, and a third primary drops it; the caller was told
-// "done" and the record is lost. The guard: the answer waits until the
-// primary's log, up to a position asked for after the look-up and in the same
-// term, is on a majority.
+// A new primary can have the key in its log from an earlier term without a
+// majority having it. If a third primary then dropped the record, the client
+// would have been told that a lost request was done. So the replay waits until
+// the primary's log is on a majority, up to a position that was read after the
+// lookup and in the same term.
 func (s *session) replay(r route, row cwrequest.Row) error {
 	if err := s.awaitPrimaryLogOnMajority(r); err != nil {
 		return cwrefusal.Unknown("this request has run before, but it is not known yet whether that is kept")
@@ -221,34 +232,36 @@
 	return nil
 }
 
-// awaitPrimaryLogOnMajority waits until everything that the primary of the route's term has now
-// is on a majority.
+// awaitPrimaryLogOnMajority waits until the present log of the primary is on a
+// majority of the members. It returns an error if the primary's term is not the
+// one of the route, or if the majority is not confirmed.
 func (s *session) awaitPrimaryLogOnMajority(r route) error {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	tip, err := s.group.Tip(ctx)
+	position, err := s.group.Tip(ctx)
 	if err != nil {
 		return err
 	}
-	if tip.Term != r.term {
+	if position.Term != r.term {
 		return errTermChanged
 	}
-	if o := s.group.AwaitMajority(tip); o != cwack.Acknowledged {
+	if o := s.group.AwaitMajority(position); o != cwack.Acknowledged {
 		return cwrefusal.Unknown("not known to be kept: %s", o)
 	}
-	s.recordWrite(tip)
+	s.recordPosition(position)
 	return nil
 }
 
-// termChangedError means that what was read came from a primary that no longer
-// leads.
+// termChangedError reports that a row was read from a member that is no longer
+// the primary.
 type termChangedError struct{}
 
 func (termChangedError) Error() string { return "the primary changed" }
 
 var errTermChanged = termChangedError{}
 
-// resolveLostCommit answers for a transaction whose COMMIT may have been carried out.
+// resolveLostCommit finds out whether a transaction with a request key committed
+// after the response to its COMMIT was lost, and sends the client the result.
 func (s *session) resolveLostCommit(key, digest string) {
 	deadline := s.server.Clock.Now().Add(s.entry.Contract.StatementTimeout)
 	start := len(s.output)
@@ -261,10 +274,11 @@
 	}
 }
 
-// resolveOutcome finds out what became of a request whose answer was lost. If it ran,
-// its recorded answer is given and nil returned. If it did not, a tombstone is
-// written first, so that the lost attempt cannot commit any more, and only then
-// is the caller told that it was not run.
+// resolveOutcome finds out the outcome of a request whose response was lost. If
+// the request ran, its recorded response is queued and nil returned. If it did
+// not, a tombstone is written first, so that the lost attempt cannot commit any
+// more, and only then is a refusal as not run returned. If neither is known by
+// the deadline, the outcome is reported as unknown.
 func (s *session) resolveOutcome(key, digest string, deadline time.Time) error {
 	for s.server.Clock.Now().Before(deadline) {
 		done, err := s.resolveOutcomeOnce(key, digest, deadline)
@@ -276,6 +290,8 @@
 	return cwrefusal.Unknown("it could not be found out in time whether the request ran")
 }
 
+// resolveOutcomeOnce makes one attempt at resolveOutcome. If done is false, the
+// outcome is still unknown and the attempt may be repeated.
 func (s *session) resolveOutcomeOnce(key, digest string, deadline time.Time) (done bool, err error) {
 	r, endWrite, err := s.acquireConnection(false, deadline)
 	if err != nil {
@@ -287,8 +303,8 @@
 		s.releaseOrDiscard(r, err)
 		return false, err
 	}
-	verdict := cwrequest.Judge(row, digest)
-	if verdict == cwrequest.Absent {
+	meaning := cwrequest.Judge(row, digest)
+	if meaning == cwrequest.Absent {
 		err := s.writeTombstone(r, key, digest)
 		return err == nil, confirmNotRun(err)
 	}
@@ -296,7 +312,7 @@
 	if s.awaitPrimaryLogOnMajority(r) != nil {
 		return false, errTermChanged
 	}
-	switch verdict {
+	switch meaning {
 	case cwrequest.Replay:
 		answer, err := base64.StdEncoding.DecodeString(row.Answer)
 		if err != nil {
@@ -311,6 +327,8 @@
 	return true, cwrefusal.NotRun(cwrefusal.DuplicateRequest, 0, "this request key belongs to another request")
 }
 
+// confirmNotRun returns the refusal of a request that certainly did not run, or
+// err if its tombstone could not be written.
 func confirmNotRun(err error) error {
 	if err != nil {
 		return err
@@ -318,7 +336,8 @@
 	return cwrefusal.NotRun(cwrefusal.SerializationFailure, retryAfter, "the request was not run; it may be sent again with the same key")
 }
 
-// writeTombstone writes a tombstone and waits until it is kept.
+// writeTombstone inserts a tombstone for the key and waits until a majority has
+// it.
 func (s *session) writeTombstone(r route, key, digest string) error {
 	id := cwrequest.Tombstone(fmt.Sprintf("%d-%d", s.cancelKey.pid, s.server.Clock.Now().UnixNano()))
 	res, err := s.exec(r, substituteArguments(cwrequest.Bury, key, digest, id))
@@ -326,19 +345,19 @@
 	if err != nil {
 		return err
 	}
-	mark, err := parseMark(res.Mark)
+	position, err := parseLogPosition(res.Mark)
 	if err != nil {
 		return err
 	}
-	return s.awaitAcknowledgement(mark)
+	return s.awaitAcknowledgement(position)
 }
 
-// lookupKey reads the row of a key at the route's member.
+// lookupKey reads the row of a key from the member of r.
 func (s *session) lookupKey(r route, key string) (cwrequest.Row, error) {
 	res, err := s.exec(r, substituteArguments(cwrequest.Lookup, key))
 	if cwtarget.ServerCode(err) == "42P01" {
-		// No request with a key has committed in this group yet. Make the table,
-		// so that a tombstone can be written.
+		// The table is missing, so no request with a key has committed in this
+		// group yet. Create it, so that a tombstone can be written.
 		_, err = s.exec(r, cwrequest.CreateTable)
 		return cwrequest.Row{}, err
 	}
--- a/internal/proxy/cwfront/responses.go
+++ b/internal/proxy/cwfront/responses.go
@@ -6,32 +6,37 @@
 	"cicadawalk.example/cicadawalk/internal/proxy/cwpool"
 )
 
-// expectedResponse is one answer that a batch leads to.
+// expectedResponse is the response to one message of a batch.
 type expectedResponse struct {
-	// requestType is the message that ends the step, by the type byte of its request;
-	// zero for an answer that the proxy makes itself.
+	// requestType is the type byte of the message that the target responds to, or
+	// zero for a response that the proxy makes itself.
 	requestType byte
-	// hidden is true for an answer that the caller did not ask for.
+	// hidden is true for a response to a message that the proxy added, which the
+	// client must not see.
 	hidden bool
-	// encoded is the encoded answer of the proxy's own.
+	// encoded is the proxy's own response, as sent to the client.
 	encoded []byte
-	// statement is the statement that a P step prepares.
+	// statement is the target name of the statement that a Parse prepares.
 	statement string
 }
 
-// responseQueue are the answers to a batch, in order. They keep the caller's view of
-// its prepared statements apart from what the connection has.
+// responseQueue holds the expected responses to a batch, in order. It hides the
+// difference between the statements that the client has prepared and those that
+// are prepared on the target connection: the proxy adds a Parse or Close where
+// the connection needs one and omits those that it does not need.
 type responseQueue struct {
 	conn     *cwpool.Conn
 	expected []expectedResponse
 }
 
+// Encoded responses that the proxy sends in place of the target's.
 var (
 	parseComplete = []byte{'1', 0, 0, 0, 4}
 	closeComplete = []byte{'3', 0, 0, 0, 4}
 )
 
-// sendMessage queues a message at the connection and its answer here.
+// sendMessage queues a message of the batch on the connection, and its expected
+// response.
 func (st *responseQueue) sendMessage(o batchMessage) {
 	f := st.conn.Front
 	switch o.msgType {
@@ -57,7 +62,7 @@
 		st.expected = append(st.expected, expectedResponse{requestType: 'E'})
 	case 'C':
 		if o.objectType == 'S' {
-			// The text stays prepared at the target for the next caller.
+			// The statement stays prepared on the connection for other clients.
 			st.expected = append(st.expected, expectedResponse{encoded: closeComplete})
 			return
 		}
@@ -66,8 +71,9 @@
 	}
 }
 
-// ensurePrepared prepares a statement at the connection if it is not there yet. It
-// returns false if it is.
+// ensurePrepared queues a Parse for a statement unless the connection has it
+// already, and reports whether it did. It may also close the oldest prepared
+// statement of the connection to make room.
 func (st *responseQueue) ensurePrepared(p *preparedStatement, hidden bool) bool {
 	if st.conn.HasPrepared(p.targetName) {
 		return false
@@ -81,7 +87,7 @@
 	return true
 }
 
-// appendLocal appends the proxy's own answers whose turn has come.
+// appendLocal appends to out the proxy's own responses at the head of the queue.
 func (st *responseQueue) appendLocal(out []byte) []byte {
 	for len(st.expected) > 0 && st.expected[0].requestType == 0 {
 		out = append(out, st.expected[0].encoded...)
@@ -90,10 +96,11 @@
 	return out
 }
 
+// empty reports whether no more responses are expected.
 func (st *responseQueue) empty() bool { return len(st.expected) == 0 }
 
-// forwards takes a message of the target. It returns false if the caller is not
-// to see it.
+// forwards removes the expected response that a message of the target completes,
+// and reports whether the message is to be sent to the client.
 func (st *responseQueue) forwards(msg pgproto3.BackendMessage) bool {
 	var kind byte
 	switch msg.(type) {
@@ -118,8 +125,9 @@
 	return !hidden
 }
 
-// abort notes that the target skips the rest of the batch: what was to be
-// prepared is not there, and what was to be closed still is.
+// abort clears the queue after an error, when the target skips the rest of the
+// batch. Statements that were still to be prepared are not, and one that was
+// still to be closed remains, in which case the connection is not reused.
 func (st *responseQueue) abort() {
 	for _, s := range st.expected {
 		if s.statement != "" {
--- a/internal/proxy/cwfront/server.go
+++ b/internal/proxy/cwfront/server.go
@@ -8,10 +8,10 @@
 // to a write is held back until a majority of the group's members has the
 // record.
 //
-// No session state exists only on a target's connection. What a client needs in
-// order to continue on another connection or proxy is in its session token; the
-// settings and prepared statements of a session are kept by the proxy and
-// applied to whichever connection it borrows.
+// Apart from an open transaction, no session state exists only on a target's
+// connection. What a client needs in order to continue on another connection or
+// proxy is in its session token; the settings and prepared statements of a
+// session are kept by the proxy and applied to whichever connection it borrows.
 package cwfront
 
 import (
--- a/internal/proxy/cwfront/session.go
+++ b/internal/proxy/cwfront/session.go
@@ -123,10 +123,10 @@
 	return nil
 }
 
-// recordWrite records in the token that the session has written, or observed,
-// log position m of its group. The floor needs no check, because m comes from
+// recordPosition records in the token that the session has written up to, or
+// observed, log position m of its group. The floor needs no check, because m comes from
 // the primary.
-func (s *session) recordWrite(m cwgroup.Mark) {
+func (s *session) recordPosition(m cwgroup.Mark) {
 	s.token = s.token.WithMark(s.group.Name(), m)
 	if s.checkedFloors == nil {
 		s.checkedFloors = make(map[string]bool)
--- a/internal/proxy/cwfront/session_test.go
+++ b/internal/proxy/cwfront/session_test.go
@@ -16,13 +16,14 @@
 
 var testContext = context.Background()
 
-// testProxies is a group of three databases behind two proxies, with a link before
-// each database that tests can cut.
+// testProxies is a demo cluster of two proxies and a group of three databases. Its
+// links carry the traffic to each database, and tests can inject faults there.
 type testProxies struct {
 	*cwdemo.Bench
 	links map[cwgroup.MemberID]*cwlink.Link
 }
 
+// startProxies starts the cluster and stops it at the end of the test.
 func startProxies(c *qt.C, opts cwdemo.Options) *testProxies {
 	c.Helper()
 	b := &testProxies{links: make(map[cwgroup.MemberID]*cwlink.Link)}
@@ -41,6 +42,8 @@
 	return b
 }
 
+// connect connects to a proxy, with start-up parameters given as pairs of name and
+// value.
 func (b *testProxies) connect(c *qt.C, proxy int, params ...string) *pgx.Conn {
 	c.Helper()
 	conn, err := b.tryConnect(proxy, params...)
@@ -60,6 +63,7 @@
 	return pgx.ConnectConfig(testContext, cfg)
 }
 
+// exec runs a statement that must succeed, and returns its command tag.
 func exec(c *qt.C, conn *pgx.Conn, query string, args ...any) string {
 	c.Helper()
 	tag, err := conn.Exec(testContext, query, args...)
@@ -81,8 +85,8 @@
 	return n
 }
 
-// assertRefused checks an error's SQLSTATE and, for a refusal of the system's
-// own, whether it says "not run".
+// assertRefused checks that err is an ErrorResponse with the SQLSTATE code, and
+// returns it.
 func assertRefused(c *qt.C, err error, code string) *pgconn.PgError {
 	c.Helper()
 	var pe *pgconn.PgError
@@ -91,6 +95,7 @@
 	return pe
 }
 
+// token returns the session token last reported on the connection.
 func token(conn *pgx.Conn) string { return conn.PgConn().ParameterStatus("cicadawalk.sessionToken") }
 
 func TestStatements(t *testing.T) {
@@ -230,8 +235,8 @@
 	})
 }
 
-// A casero sees dates in another casero's format: one session sets a setting,
-// its pooled connection goes to the next, who never set it.
+// Guards against settings that leak between clients: one session changes a setting,
+// and its pooled connection is then used by a session that did not.
 func TestSettingsStayWithTheirSession(t *testing.T) {
 	c := qt.New(t)
 	contract := cwdemo.DefaultContract()
--- a/internal/proxy/cwfront/settings.go
+++ b/internal/proxy/cwfront/settings.go
@@ -15,7 +15,7 @@
 // parser returns them, and of the target's read-only setting.
 const (
 	settingToken       = "cicadawalk.sessiontoken"
-	settingKey         = "cicadawalk.requestkey"
+	settingRequestKey  = "cicadawalk.requestkey"
 	settingMaxAge      = "cicadawalk.maxage"
 	settingShard       = "cicadawalk.shard"
 	proxySettingPrefix = "cicadawalk."
@@ -127,7 +127,7 @@
 	switch name {
 	case settingToken:
 		return s.setToken(value)
-	case settingKey:
+	case settingRequestKey:
 		if value != "" {
 			if err := cwrequest.CheckKey(value); err != nil {
 				return invalidSetting("cicadawalk.requestKey", "", err.Error())
@@ -161,7 +161,7 @@
 	switch name {
 	case settingToken:
 		return s.token.String(), nil
-	case settingKey:
+	case settingRequestKey:
 		return s.proxySettings.requestKey, nil
 	case settingMaxAge:
 		return s.proxySettings.maxAge.String(), nil
--- a/internal/proxy/cwfront/simple.go
+++ b/internal/proxy/cwfront/simple.go
@@ -12,7 +12,7 @@
 	"cicadawalk.example/cicadawalk/internal/wire/cwsql"
 )
 
-// handleSimpleQuery answers a message of the simple protocol.
+// handleSimpleQuery answers a simple query, which may have several statements.
 func (s *session) handleSimpleQuery(text string) {
 	stmts, err := s.server.statementCache.Parse(text)
 	switch {
@@ -27,7 +27,7 @@
 	}
 }
 
-// runStatement answers one statement.
+// runStatement answers a simple query of one statement.
 func (s *session) runStatement(st cwsql.Statement, text string) {
 	if s.answerLocally(st, true) {
 		return
@@ -35,6 +35,8 @@
 	s.runRequest(s.simpleRequest(st, text))
 }
 
+// simpleRequest returns the request that sends a simple query of one statement to
+// a target.
 func (s *session) simpleRequest(st cwsql.Statement, text string) request {
 	req := request{
 		readOnly:  s.readsOnly(st),
@@ -51,7 +53,7 @@
 	return req
 }
 
-// readsOnly reports whether a statement may run at a replica.
+// readsOnly reports whether a statement may run on a replica.
 func (s *session) readsOnly(st cwsql.Statement) bool {
 	switch st.Kind {
 	case cwsql.Read, cwsql.Show, cwsql.Set, cwsql.SetLocal, cwsql.Reset:
@@ -62,6 +64,8 @@
 	return false
 }
 
+// defaultReadOnly reports whether the client has set
+// default_transaction_read_only.
 func (s *session) defaultReadOnly() bool {
 	switch strings.ToLower(s.settings.values[settingReadOnly]) {
 	case "on", "true", "yes", "1":
@@ -70,8 +74,9 @@
 	return false
 }
 
-// settingRecorder returns what to note once a SET or RESET succeeded at the
-// target, or nil.
+// settingRecorder returns a function that records a SET or RESET in the session
+// and on the connection, to be called with the target's response. It returns nil
+// for other statements.
 func (s *session) settingRecorder(st cwsql.Statement) func(*cwpool.Conn, responseSummary) {
 	if st.Kind != cwsql.Set && st.Kind != cwsql.Reset {
 		return nil
@@ -82,8 +87,9 @@
 		}
 		set := s.settings
 		if s.tx != nil {
-			// It counts only if the transaction commits, and the connection is
-			// not lent again: what it then has is not worth finding out.
+			// The setting becomes the session's only if the transaction commits.
+			// The connection is not pooled again, so that its settings after the
+			// transaction need not be tracked.
 			set = s.tx.pendingSettings
 			s.tx.settingsChanged = true
 		}
@@ -102,8 +108,9 @@
 	}
 }
 
-// answerLocally answers what needs no target. The simple flag says that rows
-// are described; the extended protocol asks for that by itself.
+// answerLocally answers a statement that needs no target, and returns false for
+// any other. The simple flag adds the row description to a result; a client of
+// the extended protocol requests it with a Describe.
 func (s *session) answerLocally(st cwsql.Statement, simple bool) bool {
 	inTx := s.tx != nil
 	if inTx && (s.tx.failed || s.tx.lease == nil) {
@@ -133,8 +140,8 @@
 	return true
 }
 
-// answerInFailedTransaction answers a statement in a transaction that can only be rolled
-// back.
+// answerInFailedTransaction answers a statement in a transaction that can only
+// be rolled back.
 func (s *session) answerInFailedTransaction(st cwsql.Statement) {
 	if st.Kind != cwsql.Commit && st.Kind != cwsql.Rollback {
 		s.failStatement(errAborted)
@@ -144,7 +151,8 @@
 	s.sendCommandComplete("ROLLBACK")
 }
 
-// rollbackTransaction ends the transaction at the target, if it is still there.
+// rollbackTransaction rolls back the open transaction and ends it. It sends the
+// client nothing.
 func (s *session) rollbackTransaction() {
 	tx := s.tx
 	if tx.lease != nil {
@@ -158,6 +166,8 @@
 	}
 }
 
+// answerSetting answers statements on the proxy's own settings, and RESET ALL
+// outside a transaction. It returns false if the statement must run at the target.
 func (s *session) answerSetting(st cwsql.Statement, simple bool) bool {
 	isProxySetting := strings.HasPrefix(st.Name, proxySettingPrefix)
 	switch {
@@ -196,6 +206,7 @@
 	return true
 }
 
+// discardAll answers DISCARD ALL. The shard, and with it the group, stays.
 func (s *session) discardAll(inTx bool) {
 	if inTx {
 		s.failStatement(&cwrefusal.Refusal{Code: "25001", Message: "DISCARD ALL cannot run inside a transaction block", NotRun: true})
@@ -206,6 +217,9 @@
 	s.sendCommandComplete("DISCARD ALL")
 }
 
+// unsupportedRefusal refuses what the proxy does not support, mostly statements
+// such as LISTEN that would leave state on a target connection, which other
+// clients share.
 func unsupportedRefusal(what string) error {
 	return cwrefusal.NotRun(cwrefusal.FeatureNotSupported, 0, "%s is not supported through cicadawalk: it would stay behind on a shared connection", what)
 }
@@ -218,12 +232,15 @@
 	s.send(&pgproto3.NoticeResponse{Severity: "WARNING", SeverityUnlocalized: "WARNING", Code: "25P01", Message: text})
 }
 
+// textColumn describes a row with one column of type text.
 func textColumn(name string) *pgproto3.RowDescription {
 	return &pgproto3.RowDescription{Fields: []pgproto3.FieldDescription{{
 		Name: []byte(name), DataTypeOID: pgtype.TextOID, DataTypeSize: -1, TypeModifier: -1,
 	}}}
 }
 
+// sendTextRow sends the result of a SHOW, with its row description if describe is
+// set.
 func (s *session) sendTextRow(name, value string, describe bool) {
 	if describe {
 		s.send(textColumn(name))
@@ -232,9 +249,9 @@
 	s.sendCommandComplete("SHOW")
 }
 
-// runStatements answers a query of runStatements statements. They are one implicit
-// transaction, so they run at one target; settings can stand only among
-// themselves.
+// runStatements answers a simple query of several statements. They form one
+// implicit transaction, so they are sent to one target as a whole. Statements on
+// settings are refused together with others; see runSettings.
 func (s *session) runStatements(stmts []cwsql.Statement, text string) {
 	if s.tx != nil && (s.tx.failed || s.tx.lease == nil) {
 		s.failStatement(errAborted)
@@ -274,7 +291,8 @@
 	s.runRequest(req)
 }
 
-// runSettings runs a query that has only settings, one by one.
+// runSettings runs a simple query that has only statements on settings, one by
+// one up to the first error. It refuses a query that has others, too.
 func (s *session) runSettings(stmts []cwsql.Statement, settingCount int) {
 	if settingCount < len(stmts) {
 		s.failStatement(cwrefusal.NotRun(cwrefusal.FeatureNotSupported, 0, "SET and RESET together with other statements in one query are not supported; send them apart"))
@@ -289,7 +307,7 @@
 	}
 }
 
-// containsError reports whether encoded messages contain an error.
+// containsError reports whether the encoded messages contain an ErrorResponse.
 func containsError(out []byte) bool {
 	for len(out) >= 5 {
 		if out[0] == 'E' {
--- a/internal/proxy/cwfront/token_test.go
+++ b/internal/proxy/cwfront/token_test.go
@@ -7,7 +7,7 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwsession"
 )
 
-// forgeToken makes a well-formed token with any mark.
+// forgeToken returns a well-formed session token with an arbitrary log position.
 func forgeToken(c *qt.C, group string, m cwgroup.Mark) string {
 	t := cwsession.Token{}.WithMark(group, m).String()
 	c.Assert(t, qt.Not(qt.Equals), "")
--- a/internal/proxy/cwfront/transaction.go
+++ b/internal/proxy/cwfront/transaction.go
@@ -11,10 +11,11 @@
 // connection that it holds.
 type transaction struct {
 	// lease is nil after the connection to the target was lost.
-	lease    *cwpool.Lease
-	member   cwgroup.MemberID
-	term     cwgroup.Term
-	primary  bool
+	lease   *cwpool.Lease
+	member  cwgroup.MemberID
+	term    cwgroup.Term
+	primary bool
+	// endWrite ends the write that acquireConnection counted as in progress.
 	endWrite func()
 	// failed is true if the client can only roll back, even if the transaction is
 	// still usable at the target.
