--- a/internal/proxy/cwfront/bench_test.go
+++ b/internal/proxy/cwfront/bench_test.go
@@ -15,9 +15,9 @@
 	"cicadawalk.example/cicadawalk/internal/tool/cwdemo"
 )
 
-// benchConn starts a demo and returns one connection to a proxy and one
-// straight to the primary, with a table of 100 rows.
-func benchConn(b *testing.B) (proxy, direct *pgx.Conn, bench *cwdemo.Bench) {
+// startBenchmark starts a demo cluster with a table of 100 rows. It returns a
+// connection to its proxy, one directly to the primary, and the cluster.
+func startBenchmark(b *testing.B) (proxy, direct *pgx.Conn, bench *cwdemo.Bench) {
 	b.Helper()
 	bench, err := cwdemo.Start(cwdemo.Options{Proxies: 1})
 	qt.Assert(b, err, qt.IsNil)
@@ -40,6 +40,7 @@
 	return proxy, direct, bench
 }
 
+// pointRead selects one row by its primary key.
 func pointRead(b *testing.B, conn *pgx.Conn, n int) {
 	var gate string
 	if err := conn.QueryRow(context.Background(), "SELECT gate FROM ronda WHERE id = $1", n%100).Scan(&gate); err != nil {
@@ -48,7 +49,7 @@
 }
 
 func BenchmarkPointRead(b *testing.B) {
-	proxy, direct, _ := benchConn(b)
+	proxy, direct, _ := startBenchmark(b)
 	for name, conn := range map[string]*pgx.Conn{"direct": direct, "proxy": proxy} {
 		b.Run(name, func(b *testing.B) {
 			for i := range b.N {
@@ -59,7 +60,7 @@
 }
 
 func BenchmarkWrite(b *testing.B) {
-	proxy, direct, _ := benchConn(b)
+	proxy, direct, _ := startBenchmark(b)
 	for name, conn := range map[string]*pgx.Conn{"direct": direct, "proxy": proxy} {
 		b.Run(name, func(b *testing.B) {
 			for i := range b.N {
@@ -71,9 +72,9 @@
 	}
 }
 
-// BenchmarkPointReads measures throughput with eight callers at once.
+// BenchmarkPointReads measures throughput with eight concurrent clients.
 func BenchmarkPointReads(b *testing.B) {
-	_, _, bench := benchConn(b)
+	_, _, bench := startBenchmark(b)
 	for name, url := range map[string]string{"direct": cwdemo.URL(bench.Databases[0].Addr()), "proxy": bench.URL(0)} {
 		b.Run(name, func(b *testing.B) {
 			var wg sync.WaitGroup
@@ -94,9 +95,9 @@
 	}
 }
 
-// TestAllocationsOfAForwardedStatement bounds what the proxy allocates for a
-// point read: the difference between reading through it and reading directly,
-// in one process.
+// TestAllocationsOfAForwardedStatement bounds the allocations of the proxy for one
+// statement: the difference between running SELECT 1 through the proxy and
+// directly, with everything in one process.
 func TestAllocationsOfAForwardedStatement(t *testing.T) {
 	ctx := context.Background()
 	bench, err := cwdemo.Start(cwdemo.Options{Proxies: 1})
@@ -117,10 +118,10 @@
 	cwbound.Check(t, "allocationsPerForwardedStatement", proxy-direct)
 }
 
-// TestMemoryOfAnIdleCaller bounds the heap and stacks of a caller that is
-// connected and does nothing. The callers are bare sockets in the same process,
-// so the figure is a little too high.
-func TestMemoryOfAnIdleCaller(t *testing.T) {
+// TestMemoryOfAnIdleClient bounds the heap and stack memory of an idle client
+// connection. The clients are plain sockets in the same process, so the measured
+// value is slightly too high.
+func TestMemoryOfAnIdleClient(t *testing.T) {
 	bench, err := cwdemo.Start(cwdemo.Options{Proxies: 1})
 	qt.Assert(t, err, qt.IsNil)
 	t.Cleanup(bench.Stop)
--- a/internal/proxy/cwfront/extended.go
+++ b/internal/proxy/cwfront/extended.go
@@ -12,107 +12,119 @@
 	"cicadawalk.example/cicadawalk/internal/wire/cwsql"
 )
 
-// op is one message of a batch.
-type op struct {
-	// kind is the message's type byte: P, B, D, E or C.
-	kind byte
-	// object is S or P for Describe and Close.
-	object byte
-	portal string
-	prep   *prepared
-	bind   *pgproto3.Bind
-	rows   uint32
+// batchMessage is a buffered message of a batch.
+type batchMessage struct {
+	// msgType is the protocol's type byte: P (Parse), B (Bind), D (Describe),
+	// E (Execute) or C (Close).
+	msgType byte
+	// objectType is what a Describe or Close is for: S (statement) or P (portal).
+	objectType byte
+	portal     string
+	statement  *preparedStatement
+	bind       *pgproto3.Bind
+	maxRows    uint32
 }
 
-// batch is what the caller sent of the extended protocol since the last Sync.
+// batch holds the extended-protocol messages that the client sent since the last
+// Sync, and the state of a batch that was flushed in part.
 type batch struct {
-	ops []op
-	// err is the first fault found by the proxy itself. Nothing of the batch
-	// runs then, as in PostgreSQL, where a batch is one implicit transaction.
+	messages []batchMessage
+	// err is the first error that the proxy itself found in the buffered messages.
+	// None of them is then run, as in PostgreSQL, where a batch is one implicit
+	// transaction.
 	err error
-	// lease is held after a Flush, until the Sync.
+	// lease is the connection held from a Flush outside a transaction until the
+	// Sync; route and endWrite belong to it.
 	lease    *cwpool.Lease
 	route    route
 	endWrite func()
-	// failed is true after an error that was passed on before the Sync.
+	// failed is true after an error that was sent to the client before the Sync.
 	failed bool
-	// unsynced is true if a part of the batch was flushed inside a transaction.
-	unsynced bool
-	// parses are the names that are being prepared, in order, since the last answer.
-	parses []string
+	// awaitingSync is true if a part of the batch was flushed inside a transaction
+	// and the target has not received the Sync yet.
+	awaitingSync bool
+	// pendingParses holds the statement names of the buffered Parse messages, in
+	// order.
+	pendingParses []string
 }
 
-func (b *batch) active() bool { return len(b.ops) > 0 || b.lease != nil || b.unsynced }
+// active reports whether a batch was begun and not yet ended by a Sync.
+func (b *batch) active() bool { return len(b.messages) > 0 || b.lease != nil || b.awaitingSync }
 
-// hold keeps the connection of a batch that was flushed.
-func (b *batch) hold(r route, endWrite func(), rep reply) {
-	b.lease, b.route, b.endWrite, b.failed = r.lease, r, endWrite, rep.code != ""
+// holdConnection keeps the connection of a flushed batch for its remainder.
+func (b *batch) holdConnection(r route, endWrite func(), rep responseSummary) {
+	b.lease, b.route, b.endWrite, b.failed = r.lease, r, endWrite, rep.errorCode != ""
 }
 
-// collect adds a message to the batch. The message is copied: its memory is
-// used again for the next one.
-func (s *session) collect(msg pgproto3.FrontendMessage) error {
+// addToBatch adds a message to the batch. What is kept of the message is copied,
+// because its memory is reused for the next one. After an error the rest of the
+// batch is ignored.
+func (s *session) addToBatch(msg pgproto3.FrontendMessage) error {
 	b := &s.batch
 	if b.err != nil || b.failed {
 		return nil
 	}
-	if len(b.ops) >= maxBatch {
-		b.err = cwrefusal.NotRun(cwrefusal.LimitExceeded, 0, "more than %d messages before a Sync", maxBatch)
+	if len(b.messages) >= maxBatchMessages {
+		b.err = cwrefusal.NotRun(cwrefusal.LimitExceeded, 0, "more than %d messages before a Sync", maxBatchMessages)
 		return nil
 	}
-	o, err := s.toOp(msg)
+	o, err := s.newBatchMessage(msg)
 	if err != nil {
 		b.err = err
 		return nil
 	}
-	b.ops = append(b.ops, o)
+	b.messages = append(b.messages, o)
 	return nil
 }
 
-func (s *session) toOp(msg pgproto3.FrontendMessage) (op, error) {
+// newBatchMessage converts a protocol message and updates the session's prepared
+// statements and portals accordingly.
+func (s *session) newBatchMessage(msg pgproto3.FrontendMessage) (batchMessage, error) {
 	switch m := msg.(type) {
 	case *pgproto3.Parse:
-		p, err := s.prepare(m)
+		p, err := s.prepareStatement(m)
 		if err == nil {
-			s.batch.parses = append(s.batch.parses, m.Name)
+			s.batch.pendingParses = append(s.batch.pendingParses, m.Name)
 		}
-		return op{kind: 'P', prep: p}, err
+		return batchMessage{msgType: 'P', statement: p}, err
 	case *pgproto3.Bind:
 		p, ok := s.prepared[m.PreparedStatement]
 		if !ok {
-			return op{}, noStatement(m.PreparedStatement)
+			return batchMessage{}, noStatementRefusal(m.PreparedStatement)
 		}
 		if s.portals == nil {
-			s.portals = make(map[string]*prepared)
+			s.portals = make(map[string]*preparedStatement)
 		}
 		s.portals[m.DestinationPortal] = p
-		return op{kind: 'B', prep: p, bind: copyBind(m)}, nil
+		return batchMessage{msgType: 'B', statement: p, bind: copyBind(m)}, nil
 	case *pgproto3.Describe:
 		if m.ObjectType == 'P' {
-			return op{kind: 'D', object: 'P', portal: m.Name, prep: s.portals[m.Name]}, nil
+			return batchMessage{msgType: 'D', objectType: 'P', portal: m.Name, statement: s.portals[m.Name]}, nil
 		}
 		p, ok := s.prepared[m.Name]
 		if !ok {
-			return op{}, noStatement(m.Name)
+			return batchMessage{}, noStatementRefusal(m.Name)
 		}
-		return op{kind: 'D', object: 'S', prep: p}, nil
+		return batchMessage{msgType: 'D', objectType: 'S', statement: p}, nil
 	case *pgproto3.Execute:
 		p, ok := s.portals[m.Portal]
 		if !ok {
-			return op{}, &cwrefusal.Refusal{Code: "34000", Message: "portal " + strconv.Quote(m.Portal) + " does not exist", NotRun: true}
+			return batchMessage{}, &cwrefusal.Refusal{Code: "34000", Message: "portal " + strconv.Quote(m.Portal) + " does not exist", NotRun: true}
 		}
-		return op{kind: 'E', portal: m.Portal, prep: p, rows: m.MaxRows}, nil
+		return batchMessage{msgType: 'E', portal: m.Portal, statement: p, maxRows: m.MaxRows}, nil
 	case *pgproto3.Close:
 		if m.ObjectType == 'S' {
 			delete(s.prepared, m.Name)
 		} else {
 			delete(s.portals, m.Name)
 		}
-		return op{kind: 'C', object: m.ObjectType, portal: m.Name}, nil
+		return batchMessage{msgType: 'C', objectType: m.ObjectType, portal: m.Name}, nil
 	}
-	return op{}, cwrefusal.NotRun(cwrefusal.ProtocolViolation, 0, "unexpected message in a batch")
+	return batchMessage{}, cwrefusal.NotRun(cwrefusal.ProtocolViolation, 0, "unexpected message in a batch")
 }
 
+// copyBind copies a Bind message, with all parameters in one allocation. The
+// statement name is left out, because each target connection has its own.
 func copyBind(m *pgproto3.Bind) *pgproto3.Bind {
 	size := 0
 	for _, p := range m.Parameters {
@@ -136,82 +148,87 @@
 	return c
 }
 
-// runBatch runs what was collected. With sync set the batch is over after.
+// runBatch runs the buffered messages. If sync is set, it also ends the batch.
 //
-// The failure: a batch is refused as not run, the caller tries it again, and is told
-// that the statement it prepares is there already; so it goes on for good. What was
-// not answered as prepared is not.
+// Statements that were not answered with a ParseComplete are forgotten.
+// Otherwise, when a batch is refused as not run and the client retries it, the
+// retry fails because its statement already exists, and so does every further
+// one.
 func (s *session) runBatch(sync bool) {
-	parses := s.batch.parses
-	s.batch.parses = nil
-	start, flushes := len(s.out), s.flushes
-	s.runCollected(sync)
-	if s.flushes != flushes {
-		// Large answers go out in parts; the first part has these answers.
+	pendingParses := s.batch.pendingParses
+	s.batch.pendingParses = nil
+	start, flushCount := len(s.output), s.flushCount
+	s.executeBatch(sync)
+	if s.flushCount != flushCount {
+		// A large response is sent in parts, and the first part contains every
+		// ParseComplete.
 		return
 	}
-	for _, name := range parses[min(len(parses), parseCompletes(s.out[start:])):] {
+	for _, name := range pendingParses[min(len(pendingParses), countParseCompletes(s.output[start:])):] {
 		delete(s.prepared, name)
 	}
 }
 
-func (s *session) runCollected(sync bool) {
+// executeBatch runs the buffered messages inside the open transaction, on the
+// connection held since a Flush, without a target, or as a new request.
+func (s *session) executeBatch(sync bool) {
 	b := &s.batch
-	ops := b.ops
-	b.ops = nil
+	messages := b.messages
+	b.messages = nil
 	err := b.err
 	b.err = nil
-	if b.unsynced && s.tx != nil {
-		s.continueInTransaction(ops, err, sync)
+	if b.awaitingSync && s.tx != nil {
+		s.continueInTransaction(messages, err, sync)
 		return
 	}
 	if b.failed {
 		if sync {
-			s.finishFlushed(nil)
+			s.finishFlushedBatch(nil)
 		}
 		return
 	}
 	if err != nil {
-		s.fail(err)
+		s.failStatement(err)
 		if !sync {
 			b.failed = true
 		} else if b.lease != nil {
-			s.finishFlushed(nil)
+			s.finishFlushedBatch(nil)
 		}
 		return
 	}
 	if b.lease != nil {
-		s.continueFlushed(ops, sync)
+		s.continueFlushedBatch(messages, sync)
 		return
 	}
-	if len(ops) == 0 {
+	if len(messages) == 0 {
 		return
 	}
-	if s.answerOps(ops) {
+	if s.answerBatchLocally(messages) {
 		return
 	}
-	s.runUnit(s.batchUnit(ops, sync))
+	s.runRequest(s.batchRequest(messages, sync))
 }
 
-// batchUnit makes the unit of a batch.
-func (s *session) batchUnit(ops []op, sync bool) unit {
-	u := unit{read: true, sync: sync}
-	for _, o := range ops {
-		if o.kind != 'E' {
+// batchRequest returns the request that sends the messages to a target, followed
+// by a Sync or a Flush.
+func (s *session) batchRequest(messages []batchMessage, sync bool) request {
+	req := request{readOnly: true, sync: sync}
+	for _, o := range messages {
+		if o.msgType != 'E' {
 			continue
 		}
-		u.read = u.read && s.readsOnly(o.prep.stmt)
-		u.begin = u.begin || o.prep.stmt.Kind == cwsql.Begin
-		u.ends = u.ends || o.prep.stmt.Kind == cwsql.Commit
-		if f := s.afterSetting(o.prep.stmt); f != nil {
-			u.done = f
+		req.readOnly = req.readOnly && s.readsOnly(o.statement.parsed)
+		req.begins = req.begins || o.statement.parsed.Kind == cwsql.Begin
+		req.mayCommit = req.mayCommit || o.statement.parsed.Kind == cwsql.Commit
+		if f := s.settingRecorder(o.statement.parsed); f != nil {
+			req.onComplete = f
 		}
 	}
-	u.digest = func() string { return digestOps(ops) }
-	u.send = func(c *cwpool.Conn) *steps {
-		st := &steps{conn: c}
-		for _, o := range ops {
-			st.send(o)
+	req.digest = func() string { return digestBatch(messages) }
+	req.send = func(c *cwpool.Conn) *responseQueue {
+		st := &responseQueue{conn: c}
+		for _, o := range messages {
+			st.sendMessage(o)
 		}
 		if sync {
 			c.Front.SendSync(&pgproto3.Sync{})
@@ -220,19 +237,19 @@
 		}
 		return st
 	}
-	return u
+	return req
 }
 
-// digestOps identifies a batch for its request key: statements, arguments, and
-// the shape of the answer.
-func digestOps(ops []op) string {
+// digestBatch returns the digest that ties a batch to its request key. It covers
+// message types, queries, parameters and result formats.
+func digestBatch(messages []batchMessage) string {
 	var parts [][]byte
-	for _, o := range ops {
-		parts = append(parts, []byte{o.kind, o.object})
-		if o.kind != 'B' {
+	for _, o := range messages {
+		parts = append(parts, []byte{o.msgType, o.objectType})
+		if o.msgType != 'B' {
 			continue
 		}
-		parts = append(parts, []byte(o.prep.query))
+		parts = append(parts, []byte(o.statement.query))
 		parts = append(parts, o.bind.Parameters...)
 		for _, f := range o.bind.ResultFormatCodes {
 			parts = append(parts, []byte{byte(f)})
@@ -241,41 +258,43 @@
 	return cwrequest.Digest(parts...)
 }
 
-// answerOps answers a batch that needs no target: it concerns only the
-// system's own settings, or the end of a transaction that has failed.
-func (s *session) answerOps(ops []op) bool {
+// answerBatchLocally answers a batch that needs no target: one that only
+// concerns the proxy's own settings, ends a failed transaction, or closes
+// prepared statements. It returns false if the batch must go to a target.
+func (s *session) answerBatchLocally(messages []batchMessage) bool {
 	local := false
-	for _, o := range ops {
-		if o.prep != nil {
-			local = local || s.isLocal(o.prep.stmt)
+	for _, o := range messages {
+		if o.statement != nil {
+			local = local || s.isLocal(o.statement.parsed)
 		}
 	}
 	if !local {
-		return s.closesOnly(ops)
+		return s.answerStatementCloses(messages)
 	}
-	for _, o := range ops {
-		if o.prep != nil && !s.isLocal(o.prep.stmt) {
-			s.fail(cwrefusal.NotRun(cwrefusal.FeatureNotSupported, 0, "cicadawalk settings together with other statements in one batch are not supported"))
+	for _, o := range messages {
+		if o.statement != nil && !s.isLocal(o.statement.parsed) {
+			s.failStatement(cwrefusal.NotRun(cwrefusal.FeatureNotSupported, 0, "cicadawalk settings together with other statements in one batch are not supported"))
 			return true
 		}
 	}
-	for _, o := range ops {
-		if !s.answerOp(o) {
+	for _, o := range messages {
+		if !s.answerMessageLocally(o) {
 			return true
 		}
 	}
 	return true
 }
 
+// isLocal reports whether a statement of a batch is answered without a target.
 func (s *session) isLocal(st cwsql.Statement) bool {
 	if s.tx != nil && (s.tx.failed || s.tx.lease == nil) {
 		return true
 	}
 	switch st.Kind {
 	case cwsql.Set, cwsql.SetLocal, cwsql.Show:
-		return strings.HasPrefix(st.Name, ownPrefix)
+		return strings.HasPrefix(st.Name, proxySettingPrefix)
 	case cwsql.Reset:
-		return st.Name == "" && s.tx == nil || strings.HasPrefix(st.Name, ownPrefix)
+		return st.Name == "" && s.tx == nil || strings.HasPrefix(st.Name, proxySettingPrefix)
 	case cwsql.Discard:
 		return true
 	case cwsql.Commit, cwsql.Rollback:
@@ -284,10 +303,10 @@
 	return false
 }
 
-// answerOp answers one message of a local batch. It returns false after an
-// error.
-func (s *session) answerOp(o op) bool {
-	switch o.kind {
+// answerMessageLocally answers one message of a batch that needs no target. It
+// returns false after an error.
+func (s *session) answerMessageLocally(o batchMessage) bool {
+	switch o.msgType {
 	case 'P':
 		s.send(&pgproto3.ParseComplete{})
 	case 'B':
@@ -295,99 +314,102 @@
 	case 'C':
 		s.send(&pgproto3.CloseComplete{})
 	case 'D':
-		if o.object == 'S' {
+		if o.objectType == 'S' {
 			s.send(&pgproto3.ParameterDescription{})
 		}
-		if o.prep != nil && o.prep.stmt.Kind == cwsql.Show {
-			s.send(textColumn(o.prep.stmt.Name))
+		if o.statement != nil && o.statement.parsed.Kind == cwsql.Show {
+			s.send(textColumn(o.statement.parsed.Name))
 		} else {
 			s.send(&pgproto3.NoData{})
 		}
 	case 'E':
-		start := len(s.out)
-		s.answerLocally(o.prep.stmt, false)
-		return !hasError(s.out[start:])
+		start := len(s.output)
+		s.answerLocally(o.statement.parsed, false)
+		return !containsError(s.output[start:])
 	}
 	return true
 }
 
-// closesOnly answers a batch that only closes prepared statements.
-func (s *session) closesOnly(ops []op) bool {
-	for _, o := range ops {
-		if o.kind != 'C' || o.object != 'S' {
+// answerStatementCloses answers a batch that only closes prepared statements, and
+// returns false for any other batch.
+func (s *session) answerStatementCloses(messages []batchMessage) bool {
+	for _, o := range messages {
+		if o.msgType != 'C' || o.objectType != 'S' {
 			return false
 		}
 	}
-	for range ops {
+	for range messages {
 		s.send(&pgproto3.CloseComplete{})
 	}
 	return true
 }
 
-// continueInTransaction runs more of a batch that was flushed inside a
-// transaction. The target hears of the batch's end whatever became of it:
-// after an error it ignores everything up to the Sync.
-func (s *session) continueInTransaction(ops []op, err error, sync bool) {
+// continueInTransaction runs the next part of a batch that was flushed inside a
+// transaction. The Sync is sent to the target even after an error, because the
+// target ignores all messages until it arrives.
+func (s *session) continueInTransaction(messages []batchMessage, err error, sync bool) {
 	b := &s.batch
 	if err != nil && !b.failed {
-		s.fail(err)
+		s.failStatement(err)
 		b.failed = true
 	}
 	if b.failed {
-		ops = nil
+		messages = nil
 	}
-	if !sync && len(ops) == 0 {
+	if !sync && len(messages) == 0 {
 		return
 	}
-	u := s.batchUnit(ops, sync)
-	u.resync = sync
+	req := s.batchRequest(messages, sync)
+	req.endsFlushedBatch = sync
 	if sync {
-		b.unsynced, b.failed = false, false
+		b.awaitingSync, b.failed = false, false
 	}
-	s.runInTransaction(u)
+	s.runInTransaction(req)
 }
 
-// continueFlushed runs more of a batch that was flushed before.
-func (s *session) continueFlushed(ops []op, sync bool) {
-	u := s.batchUnit(ops, sync)
-	if !sync && len(ops) == 0 {
+// continueFlushedBatch runs the next part of a batch that was flushed outside a
+// transaction.
+func (s *session) continueFlushedBatch(messages []batchMessage, sync bool) {
+	req := s.batchRequest(messages, sync)
+	if !sync && len(messages) == 0 {
 		return
 	}
-	s.finishFlushed(&u)
+	s.finishFlushedBatch(&req)
 }
 
-// finishFlushed sends the rest of a flushed batch, or only its Sync, over the
-// connection that is held for it.
-func (s *session) finishFlushed(u *unit) {
+// finishFlushedBatch sends the next part of a flushed batch over the connection
+// held for it; if req is nil, it sends only the Sync. After a Sync the batch is
+// over.
+func (s *session) finishFlushedBatch(req *request) {
 	b := &s.batch
 	r, endWrite := b.route, b.endWrite
 	if b.lease == nil {
 		s.batch = batch{}
 		return
 	}
-	if u == nil {
-		u = &unit{sync: true, read: !r.primary, send: func(c *cwpool.Conn) *steps {
+	if req == nil {
+		req = &request{sync: true, readOnly: !r.primary, send: func(c *cwpool.Conn) *responseQueue {
 			c.Front.SendSync(&pgproto3.Sync{})
 			return nil
 		}}
 	}
-	start := len(s.out)
-	rep, flushed, err := s.exchangeInTransaction(r, *u)
+	start := len(s.output)
+	rep, flushed, err := s.sendAndRelay(r, *req)
 	if err != nil {
 		s.batch = batch{}
-		s.setLease(nil)
+		s.setActiveLease(nil)
 		r.lease.Discard()
 		endWrite()
-		s.undo(start, flushed)
-		s.fail(lost(err, r.primary))
+		s.discardOutput(start, flushed)
+		s.failStatement(lostRefusal(err, r.primary))
 		return
 	}
-	if !u.sync {
-		b.failed = rep.code != ""
+	if !req.sync {
+		b.failed = rep.errorCode != ""
 		return
 	}
 	s.batch = batch{}
-	if err := s.settle(r, *u, rep, endWrite, start, flushed); err != nil {
-		s.fail(err)
+	if err := s.finishRequest(r, *req, rep, endWrite, start, flushed); err != nil {
+		s.failStatement(err)
 	}
 }
--- a/internal/proxy/cwfront/caller_test.go
+++ b/internal/proxy/cwfront/protocol_test.go
@@ -14,11 +14,11 @@
 	"cicadawalk.example/cicadawalk/internal/tool/cwdemo"
 )
 
-// Somebody sends garbage, or far too much, or leaves in the middle. The others
-// must not notice.
+// Clients that send malformed or oversized messages, or disconnect in the middle of
+// a transaction or statement, must not affect other clients.
 func TestBadCallers(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, cwdemo.Options{})
+	b := startProxies(c, cwdemo.Options{})
 	conn := b.connect(c, 0)
 	exec(c, conn, "CREATE TABLE ronda (id bigint PRIMARY KEY)")
 	raw := func(c *qt.C) net.Conn {
@@ -55,7 +55,7 @@
 		_, _ = nc.Write([]byte{'!', 0, 0, 0, 4})
 		assertEnds(c, nc)
 	})
-	c.Run("gone in the middle of a transaction", func(c *qt.C) {
+	c.Run("disconnect in the middle of a transaction", func(c *qt.C) {
 		nc, f := started(c)
 		f.Send(&pgproto3.Query{String: "BEGIN; INSERT INTO ronda VALUES (1)"})
 		c.Assert(f.Flush(), qt.IsNil)
@@ -65,7 +65,7 @@
 		exec(c, conn, "INSERT INTO ronda VALUES (2)")
 		c.Assert(queryInt(c, conn, "SELECT count(*) FROM ronda WHERE id = 1"), qt.Equals, int64(0))
 	})
-	c.Run("gone before the answer", func(c *qt.C) {
+	c.Run("disconnect before the response", func(c *qt.C) {
 		nc, f := started(c)
 		f.Send(&pgproto3.Query{String: "SELECT pg_sleep(0.05)"})
 		c.Assert(f.Flush(), qt.IsNil)
@@ -83,20 +83,22 @@
 	c.Assert(errors.As(err, &ne) && ne.Timeout(), qt.IsFalse)
 }
 
-// A driver that flushes in the middle of a batch hangs for good, or its next
-// statement does: what it flushed was answered, but the database was never told
-// that the batch was over.
+// Guards against a driver that hangs, at once or at its next statement, after it
+// sends a Flush in the middle of a batch: the flushed part was answered, but the
+// Sync that ends the batch never reached the database.
 func TestFlush(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, cwdemo.Options{})
+	b := startProxies(c, cwdemo.Options{})
 	exec(c, b.connect(c, 0), "CREATE TABLE ronda (id bigint PRIMARY KEY)")
 	nc, err := net.Dial("tcp", b.Proxies[0].Addr())
 	c.Assert(err, qt.IsNil)
 	defer nc.Close()
 	_ = nc.SetDeadline(time.Now().Add(10 * time.Second))
 	f := pgproto3.NewFrontend(nc, nc)
-	// until sends messages and reads up to one of a kind; it returns the kinds.
-	until := func(c *qt.C, last byte, msgs ...pgproto3.FrontendMessage) string {
+	// sendAndReadUntil sends messages and reads responses up to one with the type
+	// byte last. It returns the type bytes of the responses except ParameterStatus,
+	// each ReadyForQuery followed by its transaction status.
+	sendAndReadUntil := func(c *qt.C, last byte, msgs ...pgproto3.FrontendMessage) string {
 		for _, m := range msgs {
 			f.Send(m)
 		}
@@ -122,25 +124,25 @@
 		return []pgproto3.FrontendMessage{&pgproto3.Parse{Query: sql}, &pgproto3.Bind{}, &pgproto3.Execute{}}
 	}
 	flush, sync := &pgproto3.Flush{}, &pgproto3.Sync{}
-	until(c, 'Z', &pgproto3.StartupMessage{ProtocolVersion: pgproto3.ProtocolVersion30, Parameters: map[string]string{"user": "u", "database": cwdemo.Service}})
+	sendAndReadUntil(c, 'Z', &pgproto3.StartupMessage{ProtocolVersion: pgproto3.ProtocolVersion30, Parameters: map[string]string{"user": "u", "database": cwdemo.Service}})
 	for _, begin := range []bool{false, true} {
 		c.Run(fmt.Sprintf("in a transaction %t", begin), func(c *qt.C) {
 			idle, after := "ZI", "ZI"
 			if begin {
-				until(c, 'Z', &pgproto3.Query{String: "BEGIN"})
+				sendAndReadUntil(c, 'Z', &pgproto3.Query{String: "BEGIN"})
 				idle, after = "ZT", "ZE"
 			}
-			c.Assert(until(c, 'C', append(run("SELECT 1"), flush)...), qt.Equals, "12DC")
-			c.Assert(until(c, 'C', append(run("SELECT 2"), flush)...), qt.Equals, "12DC")
-			c.Assert(until(c, 'Z', sync), qt.Equals, idle)
-			c.Assert(until(c, 'E', append(run("SELECT * FROM absent"), flush)...), qt.Matches, "1?2?E")
-			c.Assert(until(c, 'Z', append(run("SELECT 3"), sync)...), qt.Equals, after)
-			c.Assert(until(c, 'E', append(run("SELECT * FROM absent"), flush)...), qt.Matches, "1?2?E")
-			c.Assert(until(c, 'Z', sync), qt.Equals, after)
+			c.Assert(sendAndReadUntil(c, 'C', append(run("SELECT 1"), flush)...), qt.Equals, "12DC")
+			c.Assert(sendAndReadUntil(c, 'C', append(run("SELECT 2"), flush)...), qt.Equals, "12DC")
+			c.Assert(sendAndReadUntil(c, 'Z', sync), qt.Equals, idle)
+			c.Assert(sendAndReadUntil(c, 'E', append(run("SELECT * FROM absent"), flush)...), qt.Matches, "1?2?E")
+			c.Assert(sendAndReadUntil(c, 'Z', append(run("SELECT 3"), sync)...), qt.Equals, after)
+			c.Assert(sendAndReadUntil(c, 'E', append(run("SELECT * FROM absent"), flush)...), qt.Matches, "1?2?E")
+			c.Assert(sendAndReadUntil(c, 'Z', sync), qt.Equals, after)
 			if begin {
-				c.Assert(until(c, 'Z', &pgproto3.Query{String: "ROLLBACK"}), qt.Equals, "CZI")
+				c.Assert(sendAndReadUntil(c, 'Z', &pgproto3.Query{String: "ROLLBACK"}), qt.Equals, "CZI")
 			}
-			c.Assert(until(c, 'Z', &pgproto3.Query{String: "SELECT 4"}), qt.Equals, "TDCZI")
+			c.Assert(sendAndReadUntil(c, 'Z', &pgproto3.Query{String: "SELECT 4"}), qt.Equals, "TDCZI")
 		})
 	}
 }
