--- a/internal/core/cwcatalogue/check.go
+++ b/internal/core/cwcatalogue/check.go
@@ -58,7 +58,7 @@
 		addressPaths: make(map[string]string),
 		groupPaths:   make(map[string]string),
 	}
-	k.checkDataCentres()
+	k.checkTopology()
 	services := make(map[string]bool)
 	for i, e := range c.Entries {
 		path := fmt.Sprintf("entries[%d]", i)
@@ -83,6 +83,7 @@
 	}
 }
 
+// checkName records a fault if s is not a valid name.
 func (k *checker) checkName(path, s string) {
 	ok := s != "" && len(s) <= MaxNameLen
 	for _, r := range s {
@@ -99,7 +100,8 @@
 	k.require(d >= low && d <= high, path, d.String(), fmt.Sprintf("%v to %v", low, high))
 }
 
-func (k *checker) checkDataCentres() {
+// checkTopology checks data centres and links.
+func (k *checker) checkTopology() {
 	seen := make(map[string]bool)
 	for i, d := range k.catalogue.DataCentres {
 		path := fmt.Sprintf("dataCentres[%d]", i)
@@ -115,6 +117,7 @@
 	}
 }
 
+// checkDataCentre records a fault if the catalogue has no data centre with the name.
 func (k *checker) checkDataCentre(path, name string) {
 	ok := slices.ContainsFunc(k.catalogue.DataCentres, func(d DataCentre) bool { return d.Name == name })
 	k.require(ok, path, name, "a data centre of this catalogue")
