--- a/internal/tool/cwsoak/access.go
+++ b/internal/tool/cwsoak/access.go
@@ -10,50 +10,53 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwcatalogue"
 )
 
-// The workspaces of a soak. Callers belong to the first ones in turn; the last one
-// is the soak's own and keeps its key.
-var workspaces = []string{"north", "south", "east", ownWorkspace}
+// workspaces are the workspaces of a soak. Callers are assigned to all but the last one in
+// turn; the last one is used for the soak's own checks, and its key is never revoked.
+var workspaces = []string{"north", "south", "east", soakWorkspace}
 
 const (
-	ownWorkspace = "soak"
-	// limited is the workspace with a quota.
-	limited = "east"
-	// takeEvery is with how many desired states a key is taken away.
-	takeEvery = 3
+	soakWorkspace = "soak"
+	// limitedWorkspace is the only workspace with a quota.
+	limitedWorkspace = "east"
+	// revisionsPerRevocation is the number of desired states after which the next key
+	// is revoked.
+	revisionsPerRevocation = 3
 )
 
-// Bounds that the settings of instances tell.
+// Bounds in the settings of the instances.
 const (
-	// KeyBound is how soon nothing may run with a key that was taken away.
+	// KeyBound is the time after the revocation of a key from which no statement may
+	// run with it.
 	KeyBound = 3 * time.Second
-	// QuotaWindow, QuotaOverage and QuotaSlack are how exactly quotas are kept.
+	// QuotaWindow, QuotaOverage and QuotaSlack define how precisely quotas are
+	// enforced; see cwcatalogue.QuotaRule.
 	QuotaWindow  = 5 * time.Second
 	QuotaOverage = 0.1
 	QuotaSlack   = 20
 )
 
-// limitedQuota is well below what the callers of its workspace send.
+// limitedQuota is well below the rate at which the callers of its workspace send.
 var limitedQuota = cwcatalogue.Quota{Rate: 15, Burst: 10}
 
-// access is the keys of the workspaces.
+// access holds the keys of the workspaces and the operations of limitedWorkspace.
 type access struct {
-	// none is true if callers need no keys.
-	none bool
+	// keyless is true if callers need no keys.
+	keyless bool
 
 	mu sync.Mutex
-	// now has the good key of each workspace, taken when the desired state without
-	// a key was acknowledged.
-	now   map[string]string
-	taken map[string]time.Time
-	// allowed are the times at which operations of the limited workspace were sent
-	// that succeeded by the time that done has.
-	allowed, done []time.Time
+	// current is the valid key of each workspace.
+	current map[string]string
+	// revokedAt is when the desired state without a key was acknowledged.
+	revokedAt map[string]time.Time
+	// sentAt and doneAt are when each successful operation of limitedWorkspace was sent
+	// and answered, with the same indexes.
+	sentAt, doneAt []time.Time
 }
 
 func newAccess(keyless bool) *access {
-	a := &access{none: keyless, now: make(map[string]string), taken: make(map[string]time.Time)}
+	a := &access{keyless: keyless, current: make(map[string]string), revokedAt: make(map[string]time.Time)}
 	for _, w := range workspaces {
-		a.now[w] = w + "-key-0"
+		a.current[w] = w + "-key-0"
 	}
 	return a
 }
@@ -61,89 +64,92 @@
 // workspaceOf returns the workspace of a caller.
 func workspaceOf(caller int) string { return workspaces[caller%(len(workspaces)-1)] }
 
-func (a *access) key(workspace string) string {
-	if a.none {
+// currentKey returns the valid key of a workspace; empty if no keys are used.
+func (a *access) currentKey(workspace string) string {
+	if a.keyless {
 		return ""
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.now[workspace]
+	return a.current[workspace]
 }
 
-// next returns the keys of a desired state, and those that it takes away.
-func (a *access) next(revision int) (keys map[string][]string, gone []string) {
+// nextKeys returns the keys of each workspace in a desired state, and the keys that it
+// revokes. Every revisionsPerRevocation revisions, the key of the next workspace is
+// replaced.
+func (a *access) nextKeys(revision int) (keys map[string][]string, revoked []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if revision%takeEvery == 0 {
-		w := workspaceOf(revision / takeEvery)
-		gone = append(gone, a.now[w])
-		a.now[w] = fmt.Sprintf("%s-key-%d", w, revision)
+	if revision%revisionsPerRevocation == 0 {
+		w := workspaceOf(revision / revisionsPerRevocation)
+		revoked = append(revoked, a.current[w])
+		a.current[w] = fmt.Sprintf("%s-key-%d", w, revision)
 	}
 	keys = make(map[string][]string)
-	for w, k := range a.now {
+	for w, k := range a.current {
 		keys[w] = []string{k}
 	}
-	return keys, gone
+	return keys, revoked
 }
 
-// took notes that a desired state without these keys was acknowledged.
-func (a *access) took(keys []string) {
+// recordRevoked records that a desired state without these keys was acknowledged now.
+func (a *access) recordRevoked(keys []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, k := range keys {
-		a.taken[k] = time.Now()
+		a.revokedAt[k] = time.Now()
 	}
 }
 
-// checkKey checks that a statement which was sent at a time and ran had a key that
-// was good enough.
-func (w *world) checkKey(key string, sent time.Time) {
-	w.access.mu.Lock()
-	at, ok := w.access.taken[key]
-	w.access.mu.Unlock()
+// checkKey checks that the key of a statement that ran was not revoked more than KeyBound
+// before the statement was sent.
+func (env *environment) checkKey(key string, sent time.Time) {
+	env.access.mu.Lock()
+	at, ok := env.access.revokedAt[key]
+	env.access.mu.Unlock()
 	if late := sent.Sub(at); ok && late > KeyBound {
-		w.ledger.fail(Revoked, "a statement ran that was sent %v after its key was taken away", late)
+		env.ledger.addViolation(Revoked, "a statement ran that was sent %v after its key was revoked", late)
 	}
 }
 
-// count notes an operation of a workspace that succeeded.
-func (a *access) count(workspace string, sent time.Time) {
-	if workspace != limited {
+// countOperation records a successful operation if its workspace has a quota.
+func (a *access) countOperation(workspace string, sent time.Time) {
+	if workspace != limitedWorkspace {
 		return
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.allowed, a.done = append(a.allowed, sent), append(a.done, time.Now())
+	a.sentAt, a.doneAt = append(a.sentAt, sent), append(a.doneAt, time.Now())
 }
 
-// checkAccess checks for whom the targets ran each statement, and how many
-// operations of the limited workspace ran in each window.
-func (w *world) checkAccess() {
-	if w.access.none {
+// checkWorkspaces checks that the targets ran each statement for the workspace of its
+// caller, and that limitedWorkspace stayed within its quota in each window.
+func (env *environment) checkWorkspaces() {
+	if env.access.keyless {
 		return
 	}
-	for _, g := range w.groups {
+	for _, g := range env.groups {
 		for _, ran := range g.Contexts() {
 			digits, _, _ := strings.Cut(strings.TrimPrefix(ran.ID, "c"), "-")
 			caller, err := strconv.Atoi(digits)
 			if err == nil && ran.Workspace != workspaceOf(caller) {
-				w.ledger.fail(Misbooked, "%s ran for %q", ran.ID, ran.Workspace)
+				env.ledger.addViolation(Misbooked, "statement %s ran for workspace %q", ran.ID, ran.Workspace)
 			}
 		}
 	}
-	a := w.access
+	a := env.access
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	most := (limitedQuota.Rate*QuotaWindow.Seconds()+limitedQuota.Burst)*(1+QuotaOverage) + QuotaSlack
-	for _, from := range a.allowed {
+	limit := (limitedQuota.Rate*QuotaWindow.Seconds()+limitedQuota.Burst)*(1+QuotaOverage) + QuotaSlack
+	for _, from := range a.sentAt {
 		n := 0
-		for i, sent := range a.allowed {
-			if !sent.Before(from) && !a.done[i].After(from.Add(QuotaWindow)) {
+		for i, sent := range a.sentAt {
+			if !sent.Before(from) && !a.doneAt[i].After(from.Add(QuotaWindow)) {
 				n++
 			}
 		}
-		if float64(n) > most {
-			w.ledger.fail(OverQuota, "%d operations in one window, %.0f allowed", n, most)
+		if float64(n) > limit {
+			env.ledger.addViolation(OverQuota, "%d operations in one window, %.0f allowed", n, limit)
 			return
 		}
 	}
--- a/internal/tool/cwsoak/caller.go
+++ b/internal/tool/cwsoak/caller.go
@@ -12,64 +12,68 @@
 	"cicadawalk.example/cicadawalk/internal/proxy/cwport"
 )
 
-// Times of a caller.
+// Timing of a caller.
 const (
-	answerWithin = 3 * time.Second
-	thinkTime    = 15 * time.Millisecond
-	sessionPause = 50 * time.Millisecond
-	// calmFor is how long no unplanned fault may have been for a cut to count.
-	calmFor = 3 * time.Second
-	// crossing is how long a statement and the end of its session may be on
-	// their way to each other: an instance that sends a resting caller away has
-	// not read what comes at the same moment, and nothing of it ran.
-	crossing = 5 * time.Millisecond
+	// answerTimeout is how long a caller waits for the answer to a statement.
+	answerTimeout = 3 * time.Second
+	meanThinkTime = 15 * time.Millisecond
+	sessionPause  = 50 * time.Millisecond
+	// minUndisturbed is the time before a statement in which there must have been no
+	// unplanned fault for an interruption of the statement to count as a violation.
+	minUndisturbed = 3 * time.Second
+	// crossingWindow is the time within which a statement and the end of its session
+	// may cross on the network. An instance that closes an idle session has not read
+	// a statement that arrives at the same moment, so nothing of it ran.
+	crossingWindow = 5 * time.Millisecond
 )
 
-// caller is one person: a session after the other, at any instance, each for
-// some statements.
+// caller opens one session after another, each at a random instance and for a few
+// operations.
 type caller struct {
-	world *world
-	id    int
-	rand  *rand.Rand
-	// items counts the items, n the numbers written to the present one.
-	items, n int
-	item     string
-	group    *group
-	// sent counts the statements, for their ids.
-	sent int
+	env  *environment
+	id   int
+	rand *rand.Rand
+	// itemCount is the number of items so far, lastNumber the last number that was
+	// written to the current item.
+	itemCount, lastNumber int
+	item                  string
+	group                 *group
+	// statementCount is the number of statements so far, for their ids.
+	statementCount int
 }
 
-func (c *caller) loop(ctx context.Context) error {
-	c.nextItem()
-	for pause(ctx, sessionPause) {
-		c.session(ctx)
+func (c *caller) run(ctx context.Context) error {
+	c.startItem()
+	for sleep(ctx, sessionPause) {
+		c.runSession(ctx)
 	}
 	return nil
 }
 
-// nextItem begins a new item. After a write of which nobody knows whether it
-// ran, it may yet run later, over a newer number of the same item.
-func (c *caller) nextItem() {
-	c.group = c.world.groups[c.rand.IntN(len(c.world.groups))]
-	c.item, c.n = fmt.Sprintf("i%d-%d", c.id, c.items), 0
-	c.items++
-	c.world.ledger.open(c.group.Service, c.item)
+// startItem begins a new item. It is called after a write with an unknown outcome:
+// that write may still run later and overwrite a newer number of the same item.
+func (c *caller) startItem() {
+	c.group = c.env.groups[c.rand.IntN(len(c.env.groups))]
+	c.item, c.lastNumber = fmt.Sprintf("i%d-%d", c.id, c.itemCount), 0
+	c.itemCount++
+	c.env.ledger.addItem(c.group.Service, c.item)
 }
 
-// session serves one session until it ends.
-func (c *caller) session(ctx context.Context) {
-	p := c.world.instances[c.rand.IntN(len(c.world.instances))]
-	kind := rules[c.rand.IntN(len(rules))]
-	key := c.world.access.key(workspaceOf(c.id))
-	t, err := c.world.cfg.Platform.Caller.Dial(ctx, cwport.Endpoint{Service: kind.prefix + c.group.Service, Address: p.callers}, key)
+// runSession opens a session at a random instance, with a random read rule, and runs 3
+// to 22 operations on it, fewer if the session becomes unusable.
+func (c *caller) runSession(ctx context.Context) {
+	p := c.env.instances[c.rand.IntN(len(c.env.instances))]
+	readRule := readRules[c.rand.IntN(len(readRules))]
+	key := c.env.access.currentKey(workspaceOf(c.id))
+	t, err := c.env.cfg.Platform.Caller.Dial(ctx, cwport.Endpoint{Service: readRule.prefix + c.group.Service, Address: p.callerAddress}, key)
 	if err != nil {
 		return
 	}
 	defer func() { _ = t.Close() }()
-	s := &session{caller: c, target: t, process: p, rule: kind.rule, key: key}
-	s.life, _ = p.state()
+	s := &session{caller: c, target: t, process: p, rule: readRule.rule, key: key}
+	s.startCount, _ = p.state()
 	for range 3 + c.rand.IntN(20) {
-		if !pause(ctx, time.Duration(c.rand.Int64N(int64(2*thinkTime)))) || !s.operation() {
+		if !sleep(ctx, time.Duration(c.rand.Int64N(int64(2*meanThinkTime)))) || !s.runOperation() {
 			return
 		}
 	}
@@ -82,96 +86,105 @@
 	process *process
 	rule    cwcatalogue.ReadRule
 	key     string
-	// life is the count of starts of the process when the session began.
-	life int
-	// wrote is the highest number of the caller's item that it acknowledged.
-	wrote int
-	// txBegan is when the open transaction was sent; zero if there is none.
-	txBegan time.Time
+	// startCount is the number of starts of the process when the session began.
+	startCount int
+	// ackedNumber is the highest number of the caller's item that was acknowledged in
+	// this session; zero if there is none.
+	ackedNumber int
+	// txStarted is when the BEGIN of the open transaction was sent; zero if no
+	// transaction is open.
+	txStarted time.Time
 }
 
-// operation does one thing. It returns false once the session is of no use.
-func (s *session) operation() bool {
+// runOperation runs a random operation: a read of the caller's own item (40%), a read of
+// any item of the group (20%), a write (30%) or a transaction (10%). It returns false
+// if the session is no longer usable.
+func (s *session) runOperation() bool {
 	switch r := s.caller.rand.IntN(10); {
 	case r < 4:
 		return s.read(s.caller.item)
 	case r < 6:
-		name, ok := s.caller.world.ledger.any(s.caller.group.Service, s.caller.rand.IntN)
+		name, ok := s.caller.env.ledger.randomItem(s.caller.group.Service, s.caller.rand.IntN)
 		return !ok || s.read(name)
 	case r < 9:
 		return s.write()
 	default:
-		return s.transaction()
+		return s.runTransaction()
 	}
 }
 
-// ask sends one statement. The second result is false if no answer came.
-func (s *session) ask(verb cwstatement.Verb, text string) (cwstatement.Answer, string, bool) {
+// execute sends one statement and returns its answer and id; false if no answer
+// arrived. For a statement that succeeded, it checks that the key was not revoked, and
+// counts the operation for the check of the quota.
+func (s *session) execute(verb cwstatement.Verb, text string) (cwstatement.Answer, string, bool) {
 	c := s.caller
-	c.sent++
-	id := fmt.Sprintf("c%d-%d", c.id, c.sent)
-	if err := s.target.SetTimeout(answerWithin); err != nil {
+	c.statementCount++
+	id := fmt.Sprintf("c%d-%d", c.id, c.statementCount)
+	if err := s.target.SetTimeout(answerTimeout); err != nil {
 		return cwstatement.Answer{}, id, false
 	}
 	began := time.Now()
 	if verb == cwstatement.Read {
-		s.noteRead(id, began)
+		s.recordRead(id, began)
 	}
-	a, err := ask(s.target, cwstatement.Command{ID: id, Verb: verb, Text: text})
+	a, err := roundTrip(s.target, cwstatement.Command{ID: id, Verb: verb, Text: text})
 	if err != nil {
-		s.cut(began, err)
+		s.checkInterruption(began, err)
 		return a, id, false
 	}
 	if a.Code == cwstatement.OK && verb != cwstatement.Begin && verb != cwstatement.Rollback {
-		c.world.checkKey(s.key, began)
+		c.env.checkKey(s.key, began)
 		if a.State == cwstatement.Idle && verb != cwstatement.Commit {
-			c.world.access.count(workspaceOf(c.id), began)
+			c.env.access.countOperation(workspaceOf(c.id), began)
 		}
 	}
 	return a, id, true
 }
 
-// noteRead notes what a read that is sent now must see.
-func (s *session) noteRead(id string, began time.Time) {
-	if !s.txBegan.IsZero() {
-		began = s.txBegan
+// recordRead records what a read that is sent now must see.
+func (s *session) recordRead(id string, began time.Time) {
+	if !s.txStarted.IsZero() {
+		began = s.txStarted
 	}
 	c := s.caller
-	r := sentRead{group: c.group.Service, instance: s.process.name, rule: s.rule, began: began}
-	if s.rule == cwcatalogue.ReadOwnWrites && s.wrote > 0 {
-		r.item, r.wrote = c.item, s.wrote
+	r := sentRead{group: c.group.Service, instance: s.process.name, rule: s.rule, startedAt: began}
+	if s.rule == cwcatalogue.ReadOwnWrites && s.ackedNumber > 0 {
+		r.item, r.ackedNumber = c.item, s.ackedNumber
 	}
-	c.world.ledger.noteRead(id, r)
+	c.env.ledger.recordRead(id, r)
 }
 
-// cut checks a connection that ended in the middle of a statement.
-func (s *session) cut(began time.Time, err error) {
+// checkInterruption reports a violation if a planned stop of the instance interrupted a
+// statement, unless the cause can be an unplanned fault, the timeout, or a statement
+// that crossed the end of its session.
+func (s *session) checkInterruption(began time.Time, err error) {
 	took := time.Since(began)
-	life, ending := s.process.state()
-	planned := ending || life != s.life
-	if planned && took > crossing && took < answerWithin && s.caller.world.calm(calmFor+took) {
-		s.caller.world.ledger.fail(Cut, "by %s after %v: %v", s.process.name, took, err)
+	startCount, stopping := s.process.state()
+	planned := stopping || startCount != s.startCount
+	if planned && took > crossingWindow && took < answerTimeout && s.caller.env.undisturbedFor(minUndisturbed+took) {
+		s.caller.env.ledger.addViolation(Cut, "statement interrupted by %s after %v: %v", s.process.name, took, err)
 	}
 }
 
-// checkProof checks that an answer is to the statement.
+// checkProof checks that an answer belongs to the statement with the id.
 func (s *session) checkProof(a cwstatement.Answer, id string) {
 	if a.Proof != "proof-"+id {
-		s.caller.world.ledger.fail(Mixed, "%s got %q", id, a.Proof)
+		s.caller.env.ledger.addViolation(Mixed, "statement %s got proof %q", id, a.Proof)
 	}
 }
 
+// read reads an item and checks the value. It returns false if no answer arrived.
 func (s *session) read(name string) bool {
-	l := s.caller.world.ledger
+	l := s.caller.env.ledger
 	age := maxAge
 	if s.rule == cwcatalogue.ReadNewest {
 		age = 0
 	}
-	floor := l.floor(name, age)
+	floor := l.minVisible(name, age)
 	if s.rule == cwcatalogue.ReadOwnWrites && name == s.caller.item {
-		floor = max(floor, s.wrote)
+		floor = max(floor, s.ackedNumber)
 	}
-	a, id, ok := s.ask(cwstatement.Read, "READ "+name)
+	a, id, ok := s.execute(cwstatement.Read, "READ "+name)
 	if !ok || a.Code != cwstatement.OK {
 		return ok
 	}
@@ -180,84 +193,89 @@
 	return true
 }
 
+// checkValue checks that an answer has one row with a number of at least floor. An empty
+// value stands for 0.
 func (s *session) checkValue(name string, a cwstatement.Answer, floor int) {
 	if len(a.Rows) != 1 {
-		s.caller.world.ledger.fail(Mixed, "%d rows for %s", len(a.Rows), name)
+		s.caller.env.ledger.addViolation(Mixed, "%d rows for item %s", len(a.Rows), name)
 		return
 	}
 	n := 0
 	if a.Rows[0] != "" {
 		var err error
 		if n, err = strconv.Atoi(a.Rows[0]); err != nil {
-			s.caller.world.ledger.fail(Mixed, "%q for %s", a.Rows[0], name)
+			s.caller.env.ledger.addViolation(Mixed, "value %q for item %s", a.Rows[0], name)
 			return
 		}
 	}
 	if n < floor {
-		s.caller.world.ledger.fail(Stale, "%s read of %s at %s: %d, not %d", s.rule, name, s.process.name, n, floor)
+		s.caller.env.ledger.addViolation(Stale, "%s read of item %s at %s returned %d, must be at least %d", s.rule, name, s.process.name, n, floor)
 	}
 }
 
+// write writes the next number to the caller's item.
 func (s *session) write() bool {
 	c := s.caller
-	c.n++
-	a, id, ok := s.ask(cwstatement.Write, fmt.Sprintf("WRITE %s %d", c.item, c.n))
+	c.lastNumber++
+	a, id, ok := s.execute(cwstatement.Write, fmt.Sprintf("WRITE %s %d", c.item, c.lastNumber))
 	if ok && a.Code == cwstatement.OK {
 		s.checkProof(a, id)
 	}
-	return s.written(a, ok)
+	return s.recordOutcome(a, ok)
 }
 
-// written takes the outcome of a write or a commit. It returns false once the
-// session is of no use: the next item may be of another group.
-func (s *session) written(a cwstatement.Answer, answered bool) bool {
+// recordOutcome records the outcome of a write or a commit. It returns false if the
+// session must be given up: after an unknown outcome the next item may belong to another
+// group.
+func (s *session) recordOutcome(a cwstatement.Answer, answered bool) bool {
 	c := s.caller
 	switch {
 	case answered && a.Code == cwstatement.OK:
-		c.world.ledger.ack(c.item, c.n)
-		s.wrote = c.n
+		c.env.ledger.acknowledge(c.item, c.lastNumber)
+		s.ackedNumber = c.lastNumber
 	case answered && a.Code.Promises():
-		c.world.ledger.deny(c.item, c.n)
+		c.env.ledger.recordNotRun(c.item, c.lastNumber)
 	case answered && a.Code == cwstatement.Unauthorised:
-		// The key was taken away; the next session has the new one.
-		c.world.ledger.deny(c.item, c.n)
+		// The key was revoked; the next session uses the new one.
+		c.env.ledger.recordNotRun(c.item, c.lastNumber)
 		return false
 	default:
-		c.world.ledger.doubt()
-		c.nextItem()
+		c.env.ledger.recordUnresolved()
+		c.startItem()
 		return false
 	}
 	return true
 }
 
-// transaction writes, reads what it wrote, and commits or rolls back.
-func (s *session) transaction() bool {
+// runTransaction runs a transaction that writes, reads its own write, and commits, or
+// rolls back after a failure and in a quarter of the cases.
+func (s *session) runTransaction() bool {
 	c := s.caller
-	s.txBegan = time.Now()
-	defer func() { s.txBegan = time.Time{} }()
-	if a, _, ok := s.ask(cwstatement.Begin, "BEGIN"); !ok || a.Code != cwstatement.OK {
+	s.txStarted = time.Now()
+	defer func() { s.txStarted = time.Time{} }()
+	if a, _, ok := s.execute(cwstatement.Begin, "BEGIN"); !ok || a.Code != cwstatement.OK {
 		return ok
 	}
-	c.n++
-	a, id, ok := s.ask(cwstatement.Write, fmt.Sprintf("WRITE %s %d", c.item, c.n))
+	c.lastNumber++
+	a, id, ok := s.execute(cwstatement.Write, fmt.Sprintf("WRITE %s %d", c.item, c.lastNumber))
 	if ok && a.Code == cwstatement.OK {
 		s.checkProof(a, id)
-		a, id, ok = s.ask(cwstatement.Read, "READ "+c.item)
+		a, id, ok = s.execute(cwstatement.Read, "READ "+c.item)
 		if ok && a.Code == cwstatement.OK {
 			s.checkProof(a, id)
-			s.checkValue(c.item, a, c.n)
+			s.checkValue(c.item, a, c.lastNumber)
 		}
 	}
 	if !ok {
-		// Nothing was committed, and a connection that ends rolls back.
-		c.world.ledger.deny(c.item, c.n)
+		// No COMMIT was sent, and the end of a connection rolls its transaction back.
+		c.env.ledger.recordNotRun(c.item, c.lastNumber)
 		return false
 	}
 	if a.Code != cwstatement.OK || c.rand.IntN(4) == 0 {
-		c.world.ledger.deny(c.item, c.n)
-		_, _, ok = s.ask(cwstatement.Rollback, "ROLLBACK")
+		c.env.ledger.recordNotRun(c.item, c.lastNumber)
+		_, _, ok = s.execute(cwstatement.Rollback, "ROLLBACK")
 		return ok
 	}
-	a, _, ok = s.ask(cwstatement.Commit, "COMMIT")
-	return s.written(a, ok)
+	a, _, ok = s.execute(cwstatement.Commit, "COMMIT")
+	return s.recordOutcome(a, ok)
 }
--- a/internal/tool/cwsoak/entries.go
+++ b/internal/tool/cwsoak/entries.go
@@ -8,60 +8,64 @@
 	"cicadawalk.example/cicadawalk/internal/proxy/cwport"
 )
 
-// reportEvery is how soon a target reports a change of its role.
-const reportEvery = 50 * time.Millisecond
+// roleReportInterval is the interval at which targets report a change of their role.
+const roleReportInterval = 50 * time.Millisecond
 
-// entry is a target's entry in the list. The world's lock guards it.
+// entry is a target's entry in the store. It is guarded by environment.mu.
 type entry struct {
 	listing cwport.Listing
-	// lapsed is true while the list lacks it though the target may live.
+	// lapsed is true while the entry is missing from the store although the target
+	// may be running.
 	lapsed bool
 }
 
-// report writes a target's entry if it has changed.
-func (w *world) report(g *group, id cwgroup.MemberID) error {
+// reportRole writes a target's entry if its role has changed and the target is up.
+func (env *environment) reportRole(g *group, id cwgroup.MemberID) error {
 	role, up := g.Role(id)
 	now := cwport.LeadershipReplica
 	if role == cwgroup.RolePrimary {
 		now = cwport.LeadershipPrimary
 	}
-	w.mu.Lock()
+	env.mu.Lock()
 	e := g.entries[id]
 	changed := up && !e.lapsed && e.listing.Role != now
 	if changed {
 		e.listing.Role = now
 	}
 	l := e.listing
-	w.mu.Unlock()
+	env.mu.Unlock()
 	if !changed {
 		return nil
 	}
-	return w.store.List(l)
+	return env.store.List(l)
 }
 
-// loopEntries lets the targets report how they see themselves.
-func (w *world) loopEntries(ctx context.Context) {
-	for pause(ctx, reportEvery) {
-		for _, g := range w.groups {
+// runRoleReports makes the targets report changes of their role until ctx ends.
+func (env *environment) runRoleReports(ctx context.Context) {
+	for sleep(ctx, roleReportInterval) {
+		for _, g := range env.groups {
 			for _, id := range g.ids {
-				if err := w.report(g, id); err != nil {
-					w.cfg.Log.Error("entryNotWritten", "target", id, "cause", err)
+				if err := env.reportRole(g, id); err != nil {
+					env.cfg.Log.Error("entryNotWritten", "target", id, "cause", err)
 				}
 			}
 		}
 	}
 }
 
-// lapse takes a target's entry out of the list, and returns what writes it again.
-func (w *world) lapse(g *group, id cwgroup.MemberID) (writeAgain func()) {
-	w.setLapsed(g, id, true)
-	w.store.Unlist(string(id))
-	return func() { w.setLapsed(g, id, false) }
+// lapseEntry removes a target's entry from the store. The returned function lets the
+// target write it again.
+func (env *environment) lapseEntry(g *group, id cwgroup.MemberID) (writeAgain func()) {
+	env.setLapsed(g, id, true)
+	env.store.Unlist(string(id))
+	return func() { env.setLapsed(g, id, false) }
 }
 
-func (w *world) setLapsed(g *group, id cwgroup.MemberID, lapsed bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// setLapsed sets whether an entry has lapsed, and clears its role, so that the next
+// report writes it.
+func (env *environment) setLapsed(g *group, id cwgroup.MemberID, lapsed bool) {
+	env.mu.Lock()
+	defer env.mu.Unlock()
 	e := g.entries[id]
 	e.lapsed, e.listing.Role = lapsed, cwport.LeadershipUnknown
 }
--- a/internal/tool/cwsoak/faults.go
+++ b/internal/tool/cwsoak/faults.go
@@ -14,150 +14,157 @@
 	"cicadawalk.example/cicadawalk/internal/standin/cwlink"
 )
 
-// storeGate is the store behind its misbehaviour.
-type storeGate struct {
+// faultyStore passes requests to the store, with the faults that are set.
+type faultyStore struct {
 	next http.Handler
 
 	mu sync.Mutex
-	// down refuses, slow delays, lose lets writes take effect late and without
-	// an answer.
-	down, lose bool
-	slow       time.Duration
+	// down answers each request with status 503. loseWrites delays writes by
+	// lostWriteDelay and drops their answers. delay is added to each request.
+	down, loseWrites bool
+	delay            time.Duration
 }
 
-func (g *storeGate) set(f func(*storeGate)) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	f(g)
+func (s *faultyStore) set(f func(*faultyStore)) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	f(s)
 }
 
 // ServeHTTP implements http.Handler.
-func (g *storeGate) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	g.mu.Lock()
-	down, lose, slow := g.down, g.lose, g.slow
-	g.mu.Unlock()
-	time.Sleep(slow)
+func (s *faultyStore) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	s.mu.Lock()
+	down, loseWrites, delay := s.down, s.loseWrites, s.delay
+	s.mu.Unlock()
+	time.Sleep(delay)
 	switch {
 	case down:
 		w.WriteHeader(http.StatusServiceUnavailable)
-	case lose && r.Method == http.MethodPost:
-		time.Sleep(lateWrite)
-		g.next.ServeHTTP(discard{}, r)
+	case loseWrites && r.Method == http.MethodPost:
+		time.Sleep(lostWriteDelay)
+		s.next.ServeHTTP(discardResponse{}, r)
 		panic(http.ErrAbortHandler)
 	default:
-		g.next.ServeHTTP(w, r)
+		s.next.ServeHTTP(w, r)
 	}
 }
 
-// discard is an answer that nobody gets.
-type discard struct{}
+// discardResponse is an http.ResponseWriter that discards the response.
+type discardResponse struct{}
 
-func (discard) Header() http.Header         { return http.Header{} }
-func (discard) Write(b []byte) (int, error) { return len(b), nil }
-func (discard) WriteHeader(int)             {}
+func (discardResponse) Header() http.Header         { return http.Header{} }
+func (discardResponse) Write(b []byte) (int, error) { return len(b), nil }
+func (discardResponse) WriteHeader(int)             {}
 
-// Times of faults.
+// Timing of faults.
 const (
-	lateWrite = 300 * time.Millisecond
-	storeSlow = 200 * time.Millisecond
-	linkSlow  = 30 * time.Millisecond
-	// beginEvery is the mean pause between two faults, lastFor their mean
-	// length: two or three overlap.
-	beginEvery = 600 * time.Millisecond
-	lastFor    = 1500 * time.Millisecond
-	// restoreEvery is the mean pause between two restores of the store, and
-	// restoreLasts how long it is away for one.
-	restoreEvery = 5 * time.Second
-	restoreLasts = 700 * time.Millisecond
+	lostWriteDelay = 300 * time.Millisecond
+	storeDelay     = 200 * time.Millisecond
+	linkDelay      = 30 * time.Millisecond
+	// faultInterval is the mean interval between two faults, meanFaultDuration their
+	// mean duration: two or three faults overlap on average.
+	faultInterval     = 600 * time.Millisecond
+	meanFaultDuration = 1500 * time.Millisecond
+	// restoreInterval is the mean interval between two restores of the store, and
+	// meanRestoreDuration the mean time for which the store is down for one.
+	restoreInterval     = 5 * time.Second
+	meanRestoreDuration = 700 * time.Millisecond
 )
 
-// faults plays faults until its time is up.
-type faults struct {
-	world *world
-	rand  *rand.Rand
-	// restores draws the restores of the store, which come beside the other faults,
-	// so that a seed's other faults stay what they are.
-	restores *rand.Rand
-	// members draws what happens among the targets, beside the others as well.
-	members *rand.Rand
+// faultInjector injects random faults.
+type faultInjector struct {
+	env  *environment
+	rand *rand.Rand
+	// restoreRand is the source of randomness of the restores of the store. It is
+	// separate, so that restores do not change the other faults of a seed.
+	restoreRand *rand.Rand
+	// memberRand is the source of randomness of the faults of members, separate for
+	// the same reason.
+	memberRand *rand.Rand
 
-	mu     sync.Mutex
-	played int
-	// active are the ends of the faults that go on, by what they harm.
+	mu sync.Mutex
+	// injected is the number of faults so far.
+	injected int
+	// active ends the faults, by the name of what they affect. Faults that have ended
+	// stay in it; ending them again has no effect.
 	active map[string]func()
 }
 
-// fault is something that can go wrong.
+// fault is a kind of fault.
 type fault struct {
 	name string
-	// planned is true for what must cut nobody off.
+	// planned is true for faults that must not interrupt any statement.
 	planned bool
-	// begin lets it go wrong; end, which may be nil, mends it. What names the
-	// thing that is harmed: one fault at a time harms it.
+	// begin starts the fault; end, which may be nil, ends it. what is the name of the
+	// thing that is affected: a new fault of the same thing ends the previous one.
 	begin func() (what string, end func())
 }
 
-func (f *faults) loop(ctx context.Context) error {
-	all := f.kinds()
-	for pause(ctx, time.Duration(f.rand.ExpFloat64()*float64(beginEvery))) {
+// run injects faults of links, the store, targets and processes until ctx ends.
+func (f *faultInjector) run(ctx context.Context) error {
+	all := f.allFaults()
+	for sleep(ctx, time.Duration(f.rand.ExpFloat64()*float64(faultInterval))) {
 		k := all[f.rand.IntN(len(all))]
-		length := time.Duration(f.rand.ExpFloat64() * float64(lastFor))
-		f.play(k, length)
+		length := time.Duration(f.rand.ExpFloat64() * float64(meanFaultDuration))
+		f.inject(k, length)
 	}
 	return nil
 }
 
-// loopRestores has the store go back to copies.
-func (f *faults) loopRestores(ctx context.Context) error {
-	for pause(ctx, time.Duration(f.restores.ExpFloat64()*float64(restoreEvery))) {
-		age := f.restores.IntN(copies)
-		after := time.Duration(f.restores.Int64N(int64(writeAgainWithin)))
-		length := time.Duration(f.restores.ExpFloat64() * float64(restoreLasts))
-		f.play(f.restored(age, after), length)
+// runRestores restores snapshots of the store until ctx ends.
+func (f *faultInjector) runRestores(ctx context.Context) error {
+	for sleep(ctx, time.Duration(f.restoreRand.ExpFloat64()*float64(restoreInterval))) {
+		age := f.restoreRand.IntN(maxSnapshots)
+		after := time.Duration(f.restoreRand.Int64N(int64(maxRewriteDelay)))
+		length := time.Duration(f.restoreRand.ExpFloat64() * float64(meanRestoreDuration))
+		f.inject(f.restoreFault(age, after), length)
 	}
 	return nil
 }
 
-func (f *faults) restored(age int, after time.Duration) fault {
+// restoreFault returns the fault in which the store is down and comes back with an older
+// snapshot. Lost rows are written again after a delay.
+func (f *faultInjector) restoreFault(age int, after time.Duration) fault {
 	return fault{name: "storeRestored", begin: func() (string, func()) {
-		f.world.gate.set(func(g *storeGate) { g.down = true })
+		f.env.faultyStore.set(func(s *faultyStore) { s.down = true })
 		return "store", func() {
-			f.world.restore(age, after)
-			f.world.gate.set(func(g *storeGate) { g.down = false })
+			f.env.restore(age, after)
+			f.env.faultyStore.set(func(s *faultyStore) { s.down = false })
 		}
 	}}
 }
 
-func (f *faults) play(k fault, length time.Duration) {
+// inject starts a fault that ends after a duration.
+func (f *faultInjector) inject(k fault, length time.Duration) {
 	f.mu.Lock()
-	f.played++
+	f.injected++
 	f.mu.Unlock()
 	if !k.planned {
-		f.world.disturb()
+		f.env.markDisturbed()
 	}
 	what, end := k.begin()
-	f.world.cfg.Log.Info("fault", "kind", k.name, "what", what, "forMs", length.Milliseconds())
+	f.env.cfg.Log.Info("fault", "kind", k.name, "what", what, "forMs", length.Milliseconds())
 	if end == nil {
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if before := f.active[what]; before != nil {
-		before()
+	if previous := f.active[what]; previous != nil {
+		previous()
 	}
 	var once sync.Once
-	mend := func() {
+	endOnce := func() {
 		once.Do(func() {
 			end()
-			f.world.disturb()
+			f.env.markDisturbed()
 		})
 	}
-	f.active[what] = mend
-	time.AfterFunc(length, mend)
+	f.active[what] = endOnce
+	time.AfterFunc(length, endOnce)
 }
 
-// lift ends all faults.
-func (f *faults) lift() {
+// endAll ends all faults.
+func (f *faultInjector) endAll() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, end := range f.active {
@@ -165,82 +172,83 @@
 	}
 }
 
-func (f *faults) kinds() []fault {
-	return append(append(f.linkKinds(), f.storeKinds()...), append(f.targetKinds(), f.processKinds()...)...)
+func (f *faultInjector) allFaults() []fault {
+	return append(append(f.linkFaults(), f.storeFaults()...), append(f.targetFaults(), f.processFaults()...)...)
 }
 
-// anyLink returns the path to some target, or of some instance to the store.
-func (f *faults) anyLink() *cwlink.Link {
+// randomLink returns the path to a random target or, in a quarter of the cases, the path
+// of a random instance to the store.
+func (f *faultInjector) randomLink() *cwlink.Link {
 	if f.rand.IntN(4) == 0 {
-		return f.world.stores[f.rand.IntN(len(f.world.stores))]
+		return f.env.storeLinks[f.rand.IntN(len(f.env.storeLinks))]
 	}
-	g := f.anyGroup()
+	g := f.randomGroup()
 	return g.links[g.ids[f.rand.IntN(len(g.ids))]]
 }
 
-func (f *faults) anyGroup() *group { return f.world.groups[f.rand.IntN(len(f.world.groups))] }
+func (f *faultInjector) randomGroup() *group { return f.env.groups[f.rand.IntN(len(f.env.groups))] }
 
-func (f *faults) linkKinds() []fault {
+func (f *faultInjector) linkFaults() []fault {
 	set := func(faults cwlink.Faults) func() (string, func()) {
 		return func() (string, func()) {
-			l := f.anyLink()
+			l := f.randomLink()
 			l.SetFaults(faults)
 			return l.Addr(), func() { l.SetFaults(cwlink.Faults{}) }
 		}
 	}
 	return []fault{
-		{name: "linkSlow", begin: set(cwlink.Faults{Delay: linkSlow})},
+		{name: "linkSlow", begin: set(cwlink.Faults{Delay: linkDelay})},
 		{name: "linkCut", begin: set(cwlink.Faults{Cut: true})},
 		{name: "linkCutOneWay", begin: set(cwlink.Faults{CutBack: true})},
 		{name: "linkReset", begin: set(cwlink.Faults{Refuse: true})},
 		{name: "linkSilent", begin: func() (string, func()) {
-			l := f.anyLink()
+			l := f.randomLink()
 			l.Silence()
 			return l.Addr(), nil
 		}},
 	}
 }
 
-func (f *faults) storeKinds() []fault {
-	set := func(begin, end func(*storeGate)) func() (string, func()) {
+func (f *faultInjector) storeFaults() []fault {
+	set := func(begin, end func(*faultyStore)) func() (string, func()) {
 		return func() (string, func()) {
-			f.world.gate.set(begin)
-			return "store", func() { f.world.gate.set(end) }
+			f.env.faultyStore.set(begin)
+			return "store", func() { f.env.faultyStore.set(end) }
 		}
 	}
 	return []fault{
-		{name: "storeDown", begin: set(func(g *storeGate) { g.down = true }, func(g *storeGate) { g.down = false })},
-		{name: "storeSlow", begin: set(func(g *storeGate) { g.slow = storeSlow }, func(g *storeGate) { g.slow = 0 })},
-		{name: "storeLosesWrites", begin: set(func(g *storeGate) { g.lose = true }, func(g *storeGate) { g.lose = false })},
+		{name: "storeDown", begin: set(func(s *faultyStore) { s.down = true }, func(s *faultyStore) { s.down = false })},
+		{name: "storeSlow", begin: set(func(s *faultyStore) { s.delay = storeDelay }, func(s *faultyStore) { s.delay = 0 })},
+		{name: "storeLosesWrites", begin: set(func(s *faultyStore) { s.loseWrites = true }, func(s *faultyStore) { s.loseWrites = false })},
 		{name: "storeForgets", begin: func() (string, func()) {
-			f.world.store.DropHistory()
+			f.env.store.DropHistory()
 			return "store's history", nil
 		}},
 	}
 }
 
-func (f *faults) targetKinds() []fault {
+func (f *faultInjector) targetFaults() []fault {
 	return []fault{
 		{name: "primaryDark", begin: func() (string, func()) {
-			g := f.anyGroup()
+			g := f.randomGroup()
 			id := cmp.Or(g.Primary(), g.ids[0])
 			g.SetDark(id, true, clockwork.NewRealClock())
 			return "dark " + string(id), func() { g.SetDark(id, false, clockwork.NewRealClock()) }
 		}},
 		{name: "targetDark", begin: func() (string, func()) {
-			g := f.anyGroup()
+			g := f.randomGroup()
 			id := g.ids[f.rand.IntN(len(g.ids))]
 			g.SetDark(id, true, clockwork.NewRealClock())
 			return "dark " + string(id), func() { g.SetDark(id, false, clockwork.NewRealClock()) }
 		}},
 		{name: "targetDeaf", begin: func() (string, func()) {
-			g := f.anyGroup()
+			g := f.randomGroup()
 			id := g.ids[f.rand.IntN(len(g.ids))]
 			g.SetDeaf(id, true)
 			return "deaf " + string(id), func() { g.SetDeaf(id, false) }
 		}},
 		{name: "answersLost", begin: func() (string, func()) {
-			g := f.anyGroup()
+			g := f.randomGroup()
 			id := g.ids[f.rand.IntN(len(g.ids))]
 			g.LoseAnswers(id, true)
 			return "answers " + string(id), func() { g.LoseAnswers(id, false) }
@@ -248,11 +256,11 @@
 	}
 }
 
-func (f *faults) processKinds() []fault {
-	any := func() *process { return f.world.instances[f.rand.IntN(len(f.world.instances))] }
+func (f *faultInjector) processFaults() []fault {
+	randomProcess := func() *process { return f.env.instances[f.rand.IntN(len(f.env.instances))] }
 	send := func(s syscall.Signal) func() (string, func()) {
 		return func() (string, func()) {
-			p := any()
+			p := randomProcess()
 			p.signal(s)
 			return p.name, nil
 		}
@@ -262,19 +270,19 @@
 		{name: "terminate", planned: true, begin: send(syscall.SIGTERM)},
 		{name: "reload", planned: true, begin: send(syscall.SIGHUP)},
 		{name: "terminateAndReload", planned: true, begin: func() (string, func()) {
-			p := any()
+			p := randomProcess()
 			p.signal(syscall.SIGTERM)
 			p.signal(syscall.SIGHUP)
 			return p.name, nil
 		}},
 		{name: "killAll", begin: func() (string, func()) {
-			for _, p := range f.world.instances {
+			for _, p := range f.env.instances {
 				p.signal(syscall.SIGKILL)
 			}
 			return "all", nil
 		}},
 		{name: "pause", begin: func() (string, func()) {
-			p := any()
+			p := randomProcess()
 			p.signal(syscall.SIGSTOP)
 			return "pause " + p.name, func() { p.signal(syscall.SIGCONT) }
 		}},
--- a/internal/tool/cwsoak/ledger.go
+++ b/internal/tool/cwsoak/ledger.go
@@ -9,63 +9,67 @@
 	"cicadawalk.example/cicadawalk/internal/standin/cwreplica"
 )
 
-// Kind is a promise that was broken.
+// Kind is a guarantee that can be violated.
 type Kind string
 
-// The promises.
+// The guarantees, each named after its violation.
 const (
-	// Lost is an acknowledged record that the newest primary lacks.
+	// Lost is an acknowledged record that the newest primary does not have.
 	Lost Kind = "lost"
-	// Doubled is a record that was written twice.
+	// Doubled is a record that was written more than once.
 	Doubled Kind = "doubled"
-	// Stale is a read that missed what it had to see.
+	// Stale is a read that did not see a write which its read rule requires.
 	Stale Kind = "stale"
 	// Mixed is an answer that belongs to another statement.
 	Mixed Kind = "mixed"
-	// FalseNotRun is a record that was written though its caller was promised
-	// that nothing is kept.
+	// FalseNotRun is a record that was written although its caller was told that
+	// the statement had no effect.
 	FalseNotRun Kind = "falseNotRun"
-	// Holders is two holders that promoted under one fence.
+	// Holders is two holders that promoted with the same fence, or a fence lower than
+	// an earlier one.
 	Holders Kind = "holders"
-	// Reverted is an instance that went back to an older desired state.
+	// Reverted is an instance that returned to an older desired state.
 	Reverted Kind = "reverted"
-	// Cut is a caller cut off in the middle of a statement by a planned stop.
+	// Cut is a statement that was interrupted by a planned stop of an instance.
 	Cut Kind = "cut"
-	// Revoked is a statement that ran too long after its key was taken away.
+	// Revoked is a statement that ran more than KeyBound after its key was revoked.
 	Revoked Kind = "revoked"
-	// Misbooked is a statement that a target ran for another workspace.
+	// Misbooked is a statement that a target ran for the wrong workspace.
 	Misbooked Kind = "misbooked"
-	// OverQuota is a window with more operations of a workspace than allowed.
+	// OverQuota is a window in which a workspace ran more operations than its quota
+	// allows.
 	OverQuota Kind = "overQuota"
-	// Outdated is an instance without a desired state that was acknowledged long
-	// enough before.
+	// Outdated is an instance that does not have a desired state in force within
+	// the time limit after it was acknowledged.
 	Outdated Kind = "outdated"
-	// NotRecovered is a database that is not served after all faults.
+	// NotRecovered is a group that is not served after all faults were removed.
 	NotRecovered Kind = "notRecovered"
 )
 
-// Violation is one promise that was broken.
+// Violation is one violated guarantee, with a description of what was observed.
 type Violation struct {
 	Kind Kind
 	What string
 }
 
-// item is what one writer writes, in ascending numbers.
+// item is a row that one caller writes, with ascending numbers as its values.
 type item struct {
 	group string
-	// acked are the acknowledged numbers with their times; denied those of
-	// which the writer was promised that nothing is kept.
+	// acked are the acknowledged numbers with their times; notRun those whose caller
+	// was told that the write had no effect.
 	acked  []ack
-	denied map[int]bool
+	notRun map[int]bool
 }
 
+// ack is an acknowledged number and when the acknowledgement arrived.
 type ack struct {
 	at time.Time
 	n  int
 }
 
-// newest returns the highest number that was acknowledged by a time.
-func (i *item) newest(at time.Time) int {
+// newestAt returns the highest number that was acknowledged up to a time; zero if there
+// is none.
+func (i *item) newestAt(at time.Time) int {
 	for k := len(i.acked) - 1; k >= 0; k-- {
 		if !i.acked[k].at.After(at) {
 			return i.acked[k].n
@@ -74,91 +78,97 @@
 	return 0
 }
 
-// ledger keeps what callers were told.
+// ledger records what callers were told, and the violations that were found.
 type ledger struct {
 	mu         sync.Mutex
 	items      map[string]*item
-	names      map[string][]string
+	itemNames  map[string][]string
 	violations []Violation
 	refused    int
 	unresolved int
 	reads      int
-	// sent are the reads that were sent, by the id of the statement.
-	sent map[string]sentRead
+	// sentReads are the reads that were sent, by the id of the statement.
+	sentReads map[string]sentRead
 }
 
 func newLedger() *ledger {
-	return &ledger{items: make(map[string]*item), names: make(map[string][]string), sent: make(map[string]sentRead)}
+	return &ledger{items: make(map[string]*item), itemNames: make(map[string][]string), sentReads: make(map[string]sentRead)}
 }
 
-func (l *ledger) fail(k Kind, format string, args ...any) {
+// addViolation records a violation.
+func (l *ledger) addViolation(k Kind, format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.violations = append(l.violations, Violation{Kind: k, What: fmt.Sprintf(format, args...)})
 }
 
-// open begins an item of a group.
-func (l *ledger) open(group, name string) {
+// addItem adds an item of a group.
+func (l *ledger) addItem(group, name string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.items[name] = &item{group: group, denied: make(map[int]bool)}
-	l.names[group] = append(l.names[group], name)
+	l.items[name] = &item{group: group, notRun: make(map[int]bool)}
+	l.itemNames[group] = append(l.itemNames[group], name)
 }
 
-// any returns some item of a group.
-func (l *ledger) any(group string, pick func(n int) int) (string, bool) {
+// randomItem returns an item of a group, or false if there is none. pick returns an index
+// below n.
+func (l *ledger) randomItem(group string, pick func(n int) int) (string, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	names := l.names[group]
+	names := l.itemNames[group]
 	if len(names) == 0 {
 		return "", false
 	}
 	return names[pick(len(names))], true
 }
 
-func (l *ledger) ack(name string, n int) {
+// acknowledge records that the write of n to an item was acknowledged.
+func (l *ledger) acknowledge(name string, n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	i := l.items[name]
 	i.acked = append(i.acked, ack{at: time.Now(), n: n})
 }
 
-func (l *ledger) deny(name string, n int) {
+// recordNotRun records that the write of n to an item had no effect.
+func (l *ledger) recordNotRun(name string, n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.refused++
-	l.items[name].denied[n] = true
+	l.items[name].notRun[n] = true
 }
 
-func (l *ledger) doubt() {
+// recordUnresolved counts a write with an unknown outcome.
+func (l *ledger) recordUnresolved() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.unresolved++
 }
 
-// floor returns what a read that begins now must see at least, if it accepts
-// data of an age.
-func (l *ledger) floor(name string, age time.Duration) int {
+// minVisible returns the lowest number of an item that a read which begins now may
+// return, if it accepts data that is up to age old.
+func (l *ledger) minVisible(name string, age time.Duration) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.reads++
-	return l.items[name].newest(time.Now().Add(-age))
+	return l.items[name].newestAt(time.Now().Add(-age))
 }
 
-// settle checks the logs of the groups against what callers were told.
-func (l *ledger) settle(groups []*group) {
+// checkGroups compares the logs of the groups with what callers were told.
+func (l *ledger) checkGroups(groups []*group) {
 	for _, g := range groups {
-		l.settleGroup(g.Group)
+		l.checkGroup(g.Group)
 	}
 }
 
-func (l *ledger) settleGroup(g *cwreplica.Group) {
+// checkGroup checks the items and the promotions of one group.
+func (l *ledger) checkGroup(g *cwreplica.Group) {
 	seen := make(map[string]map[int]int)
 	for _, writes := range g.Records() {
 		for name, value := range writes {
 			n, err := strconv.Atoi(value)
 			if err != nil {
-				l.fail(Mixed, "%s has %q", name, value)
+				l.addViolation(Mixed, "item %s has value %q", name, value)
 				continue
 			}
 			if seen[name] == nil {
@@ -172,42 +182,47 @@
 	l.mu.Unlock()
 	for name, i := range items {
 		if i.group == g.Service {
-			l.settleItem(name, i, seen[name])
+			l.checkItem(name, i, seen[name])
 		}
 	}
-	l.settleFences(g)
+	l.checkPromotions(g)
 }
 
-func (l *ledger) settleItem(name string, i *item, seen map[int]int) {
+// checkItem compares what callers were told about an item with the log. seen is how
+// often each number was written.
+func (l *ledger) checkItem(name string, i *item, seen map[int]int) {
 	for _, a := range i.acked {
 		if seen[a.n] == 0 {
-			l.fail(Lost, "%s %s=%d", i.group, name, a.n)
+			l.addViolation(Lost, "%s %s=%d", i.group, name, a.n)
 		}
 	}
 	for n, times := range seen {
 		if times > 1 {
-			l.fail(Doubled, "%s %s=%d %d times", i.group, name, n, times)
+			l.addViolation(Doubled, "%s %s=%d written %d times", i.group, name, n, times)
 		}
-		if i.denied[n] {
-			l.fail(FalseNotRun, "%s %s=%d", i.group, name, n)
+		if i.notRun[n] {
+			l.addViolation(FalseNotRun, "%s %s=%d", i.group, name, n)
 		}
 	}
 }
 
-func (l *ledger) settleFences(g *cwreplica.Group) {
+// checkPromotions checks that each fence was used by one holder and that fences never
+// decrease.
+func (l *ledger) checkPromotions(g *cwreplica.Group) {
 	holders := make(map[uint64]string)
 	highest := uint64(0)
 	for _, p := range g.Promotions() {
 		if holder, ok := holders[p.Fence]; ok && holder != p.Holder {
-			l.fail(Holders, "%s: %s and %s under fence %d", g.Service, holder, p.Holder, p.Fence)
+			l.addViolation(Holders, "%s: %s and %s promoted with fence %d", g.Service, holder, p.Holder, p.Fence)
 		}
 		if p.Fence < highest {
-			l.fail(Holders, "%s: fence %d after %d", g.Service, p.Fence, highest)
+			l.addViolation(Holders, "%s: promotion with fence %d after fence %d", g.Service, p.Fence, highest)
 		}
 		holders[p.Fence], highest = p.Holder, max(highest, p.Fence)
 	}
 }
 
+// report returns the counts and violations so far.
 func (l *ledger) report() Report {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/tool/cwsoak/members.go
+++ b/internal/tool/cwsoak/members.go
@@ -10,86 +10,89 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwgroup"
 )
 
-// Times of what happens among the targets.
+// Timing of the faults of members.
 const (
-	// membersEvery is the mean pause between two of these faults.
-	membersEvery = 700 * time.Millisecond
-	// lapseLasts is the mean length of a lapse of an entry: a target counts as gone
-	// after some seconds.
-	lapseLasts = 6 * time.Second
-	// downAtMost bounds how long a target takes to start again, lateAtMost how much
-	// later than it receives them a replica applies records.
-	downAtMost = 800 * time.Millisecond
-	lateAtMost = 4 * time.Second
+	// memberFaultInterval is the mean interval between two of these faults.
+	memberFaultInterval = 700 * time.Millisecond
+	// meanLapseDuration is the mean duration of a lapse of an entry. It is longer than
+	// that of other faults since a target counts as gone only some seconds after its
+	// entry is missing.
+	meanLapseDuration = 6 * time.Second
+	// maxDowntime is the longest time that a target takes to restart, maxApplyDelay
+	// the longest delay between the receipt of a record by a replica and its
+	// application.
+	maxDowntime   = 800 * time.Millisecond
+	maxApplyDelay = 4 * time.Second
 )
 
-// loopMembers plays what happens among the targets, and between them and single
-// instances.
-func (f *faults) loopMembers(ctx context.Context) error {
-	kinds := f.memberKinds()
-	for pause(ctx, time.Duration(f.members.ExpFloat64()*float64(membersEvery))) {
-		k := kinds[f.members.IntN(len(kinds))]
-		length := time.Duration(f.members.ExpFloat64() * float64(k.lasts))
-		f.play(k.fault, length)
+// runMemberFaults injects faults of single targets, of the paths between targets, and of
+// the paths between targets and single instances, until ctx ends.
+func (f *faultInjector) runMemberFaults(ctx context.Context) error {
+	kinds := f.memberFaults()
+	for sleep(ctx, time.Duration(f.memberRand.ExpFloat64()*float64(memberFaultInterval))) {
+		k := kinds[f.memberRand.IntN(len(kinds))]
+		length := time.Duration(f.memberRand.ExpFloat64() * float64(k.meanDuration))
+		f.inject(k.fault, length)
 	}
 	return nil
 }
 
-// memberFault is a fault with its mean length.
+// memberFault is a fault with its mean duration.
 type memberFault struct {
 	fault
-	lasts time.Duration
+	meanDuration time.Duration
 }
 
-func (f *faults) memberKinds() []memberFault {
+// memberFaults returns all faults that runMemberFaults chooses from.
+func (f *faultInjector) memberFaults() []memberFault {
 	clock := clockwork.NewRealClock()
 	return []memberFault{
-		{lasts: 2 * lastFor, fault: fault{name: "replicaLate", begin: func() (string, func()) {
-			g, id := f.anyMember()
-			g.SetLate(id, time.Duration(f.members.Int64N(int64(lateAtMost))), clock)
+		{meanDuration: 2 * meanFaultDuration, fault: fault{name: "replicaLate", begin: func() (string, func()) {
+			g, id := f.randomMember()
+			g.SetLate(id, time.Duration(f.memberRand.Int64N(int64(maxApplyDelay))), clock)
 			return "late " + string(id), func() { g.SetLate(id, 0, clock) }
 		}}},
-		{lasts: lastFor, fault: fault{name: "memberApart", begin: func() (string, func()) {
-			g, id := f.anyMember()
-			return "members of " + g.Service, f.cut(g, f.apart(g, id))
+		{meanDuration: meanFaultDuration, fault: fault{name: "memberApart", begin: func() (string, func()) {
+			g, id := f.randomMember()
+			return "members of " + g.Service, f.cutPaths(g, f.pathsToOthers(g, id))
 		}}},
-		{lasts: 2 * lastFor, fault: fault{name: "split", begin: func() (string, func()) {
-			g, id := f.anyMember()
-			return "members of " + g.Service, f.cut(g, append(f.apart(g, id), f.sides(g, id)...))
+		{meanDuration: 2 * meanFaultDuration, fault: fault{name: "split", begin: func() (string, func()) {
+			g, id := f.randomMember()
+			return "members of " + g.Service, f.cutPaths(g, append(f.pathsToOthers(g, id), f.pathsToOtherSide(g, id)...))
 		}}},
-		{lasts: lastFor, fault: fault{name: "pathCut", begin: func() (string, func()) {
-			g, id := f.anyMember()
-			p := f.world.instances[f.members.IntN(len(f.world.instances))]
-			return "path " + p.name + " " + string(id), f.cut(g, []pair{{p.name, string(id)}})
+		{meanDuration: meanFaultDuration, fault: fault{name: "pathCut", begin: func() (string, func()) {
+			g, id := f.randomMember()
+			p := f.env.instances[f.memberRand.IntN(len(f.env.instances))]
+			return "path " + p.name + " " + string(id), f.cutPaths(g, []path{{p.name, string(id)}})
 		}}},
-		{lasts: lastFor, fault: fault{name: "memberRestarts", begin: func() (string, func()) {
-			g, id := f.anyMember()
-			go g.Restart(id, time.Duration(f.members.Int64N(int64(downAtMost))), clock)
+		{meanDuration: meanFaultDuration, fault: fault{name: "memberRestarts", begin: func() (string, func()) {
+			g, id := f.randomMember()
+			go g.Restart(id, time.Duration(f.memberRand.Int64N(int64(maxDowntime))), clock)
 			return "start of " + string(id), nil
 		}}},
-		{lasts: lapseLasts, fault: fault{name: "entryLapses", begin: func() (string, func()) {
-			g, id := f.anyMember()
-			return "entry " + string(id), f.world.lapse(g, id)
+		{meanDuration: meanLapseDuration, fault: fault{name: "entryLapses", begin: func() (string, func()) {
+			g, id := f.randomMember()
+			return "entry " + string(id), f.env.lapseEntry(g, id)
 		}}},
-		{lasts: lastFor, fault: fault{name: "holderHeldUp", begin: func() (string, func()) {
-			return "holder", f.holdUp(syscall.SIGSTOP)
+		{meanDuration: meanFaultDuration, fault: fault{name: "holderHeldUp", begin: func() (string, func()) {
+			return "holder", f.signalNextHolder(syscall.SIGSTOP)
 		}}},
-		{lasts: lastFor, fault: fault{name: "holderKilled", begin: func() (string, func()) {
-			return "holder", f.holdUp(syscall.SIGKILL)
+		{meanDuration: meanFaultDuration, fault: fault{name: "holderKilled", begin: func() (string, func()) {
+			return "holder", f.signalNextHolder(syscall.SIGKILL)
 		}}},
 	}
 }
 
-func (f *faults) anyMember() (*group, cwgroup.MemberID) {
-	g := f.world.groups[f.members.IntN(len(f.world.groups))]
-	return g, g.ids[f.members.IntN(len(g.ids))]
+func (f *faultInjector) randomMember() (*group, cwgroup.MemberID) {
+	g := f.env.groups[f.memberRand.IntN(len(f.env.groups))]
+	return g, g.ids[f.memberRand.IntN(len(g.ids))]
 }
 
-// pair is two ends of a path.
-type pair struct{ a, b string }
+// path is the two ends of a network path: names of instances or members.
+type path struct{ a, b string }
 
-// cut cuts paths, and returns what mends them.
-func (f *faults) cut(g *group, paths []pair) (mend func()) {
+// cutPaths cuts paths. The returned function restores them.
+func (f *faultInjector) cutPaths(g *group, paths []path) (restore func()) {
 	for _, p := range paths {
 		g.Cut(p.a, p.b, true)
 	}
@@ -100,50 +103,51 @@
 	}
 }
 
-// apart returns the paths between a member and the others.
-func (f *faults) apart(g *group, id cwgroup.MemberID) []pair {
-	var out []pair
+// pathsToOthers returns the paths between a member and the other members.
+func (f *faultInjector) pathsToOthers(g *group, id cwgroup.MemberID) []path {
+	var out []path
 	for _, other := range g.ids {
 		if other != id {
-			out = append(out, pair{string(id), string(other)})
+			out = append(out, path{string(id), string(other)})
 		}
 	}
 	return out
 }
 
-// sides puts each instance on the side of a member or of the others, and returns the
-// paths to the other side.
-func (f *faults) sides(g *group, id cwgroup.MemberID) []pair {
-	var out []pair
-	for _, p := range f.world.instances {
-		near := f.members.IntN(2) == 0
+// pathsToOtherSide assigns each instance at random to one side of a network partition, that
+// of a member or that of the other members. It returns the paths between the instances
+// and the members of the opposite side.
+func (f *faultInjector) pathsToOtherSide(g *group, id cwgroup.MemberID) []path {
+	var out []path
+	for _, p := range f.env.instances {
+		near := f.memberRand.IntN(2) == 0
 		for _, m := range g.ids {
 			if near != (m == id) {
-				out = append(out, pair{p.name, string(m)})
+				out = append(out, path{p.name, string(m)})
 			}
 		}
 	}
 	return out
 }
 
-// holdUp sends a signal to the instance that promotes next, as soon as it has, and
-// returns what lets it go on.
-func (f *faults) holdUp(s syscall.Signal) (goOn func()) {
-	held := func(name string) {
-		for _, p := range f.world.instances {
+// signalNextHolder sends a signal to the instance that promotes a target next, right after
+// the promotion. The returned function cancels that and resumes all instances.
+func (f *faultInjector) signalNextHolder(s syscall.Signal) (resume func()) {
+	sendSignal := func(name string) {
+		for _, p := range f.env.instances {
 			if p.name == name {
 				p.signal(s)
 			}
 		}
 	}
-	f.world.mu.Lock()
-	f.world.holdNext = held
-	f.world.mu.Unlock()
+	f.env.mu.Lock()
+	f.env.onPromotion = sendSignal
+	f.env.mu.Unlock()
 	return func() {
-		f.world.mu.Lock()
-		f.world.holdNext = nil
-		f.world.mu.Unlock()
-		for _, p := range f.world.instances {
+		f.env.mu.Lock()
+		f.env.onPromotion = nil
+		f.env.mu.Unlock()
+		for _, p := range f.env.instances {
 			p.signal(syscall.SIGCONT)
 		}
 	}
--- a/internal/tool/cwsoak/process.go
+++ b/internal/tool/cwsoak/process.go
@@ -9,23 +9,24 @@
 	"time"
 )
 
-// restartAfter is how long the platform leaves a process that has ended.
-const restartAfter = 300 * time.Millisecond
+// restartDelay is the time between the end of a process and its restart.
+const restartDelay = 300 * time.Millisecond
 
-// process is one instance: a real proxy, started again whenever it ends.
+// process is one instance: a proxy process that is restarted whenever it ends.
 type process struct {
-	name    string
-	program string
-	args    []string
-	logFile string
-	callers string
+	name          string
+	program       string
+	args          []string
+	logFile       string
+	callerAddress string
 
 	mu  sync.Mutex
 	cmd *exec.Cmd
-	// life counts the starts.
-	life int
-	// ending is true from a SIGTERM to the next start.
-	ending bool
+	// startCount is the number of starts.
+	startCount int
+	// stopping is true from a SIGTERM to the next start.
+	stopping bool
+	// closed is true once stop was called; the process is not restarted then.
 	closed bool
 	done   chan struct{}
 }
@@ -46,44 +47,46 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	p.cmd, p.ending, p.done = cmd, false, make(chan struct{})
-	p.life++
-	go p.run(cmd, out, p.done)
+	p.cmd, p.stopping, p.done = cmd, false, make(chan struct{})
+	p.startCount++
+	go p.waitAndRestart(cmd, out, p.done)
 	return nil
 }
 
-// run waits for the end of the process and starts it again.
-func (p *process) run(cmd *exec.Cmd, out *os.File, done chan struct{}) {
-	// How it ended stands in its log.
+// waitAndRestart waits for the end of the process and restarts it.
+func (p *process) waitAndRestart(cmd *exec.Cmd, out *os.File, done chan struct{}) {
+	// The cause of the exit is in the process's log.
 	_ = cmd.Wait()
 	_ = out.Close()
 	close(done)
-	time.Sleep(restartAfter)
+	time.Sleep(restartDelay)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.closed {
-		// A program that cannot be started shows as not recovered.
+		// A program that cannot be started is reported as NotRecovered.
 		_ = p.startLocked()
 	}
 }
 
+// signal sends a signal to the process.
 func (p *process) signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s == syscall.SIGTERM {
-		p.ending = true
+		p.stopping = true
 	}
-	// A process that has just ended takes no signal, and needs none.
+	// The error of a process that has just ended is of no interest.
 	_ = p.cmd.Process.Signal(s)
 }
 
-// state returns the count of starts, and whether a planned stop is under way.
-func (p *process) state() (life int, ending bool) {
+// state returns the number of starts, and whether a planned stop is in progress.
+func (p *process) state() (startCount int, stopping bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.life, p.ending
+	return p.startCount, p.stopping
 }
 
+// stop kills the process for good and waits for its end.
 func (p *process) stop() {
 	p.mu.Lock()
 	p.closed = true
--- a/internal/tool/cwsoak/reads.go
+++ b/internal/tool/cwsoak/reads.go
@@ -10,59 +10,64 @@
 	"cicadawalk.example/cicadawalk/internal/standin/cwreplica"
 )
 
-// sentRead is what a read must see.
+// sentRead is a read that was sent, with what it must see.
 type sentRead struct {
 	group    string
 	instance string
 	rule     cwcatalogue.ReadRule
-	// began is when it was sent, or its transaction.
-	began time.Time
-	// wrote is the highest number of item that its session had acknowledged; zero
-	// if that need not be seen.
-	item  string
-	wrote int
+	// startedAt is when the read was sent or, inside a transaction, its BEGIN.
+	startedAt time.Time
+	// ackedNumber is the highest number of item that was acknowledged in the read's
+	// session; zero if the read need not see it.
+	item        string
+	ackedNumber int
 }
 
-func (l *ledger) noteRead(id string, r sentRead) {
+// recordRead records a read by the id of its statement.
+func (l *ledger) recordRead(id string, r sentRead) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.sent[id] = r
+	l.sentReads[id] = r
 }
 
-// checkReads checks the log that each read ran on: it must have every commit of the
-// group, whatever its item, that was acknowledged early enough before the read was
-// sent. Whether its answer arrived is all the same. Commits that were rolled back do
-// not count; that they are lost shows elsewhere.
+// checkReads checks the log that each read ran on. The log must have every commit of the
+// group, to any item, that was acknowledged early enough before the read was sent. The
+// check includes reads whose answer was lost. It ignores commits that are not in the
+// newest primary's log; checkItem reports those as lost.
 func (l *ledger) checkReads(groups []*group) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, g := range groups {
-		l.checkReadsOf(g)
+		l.checkGroupReads(g)
 	}
 }
 
-// kept is a commit that was acknowledged and is in the log.
-type kept struct {
+// survivingCommit is an acknowledged commit that is in the newest primary's log.
+type survivingCommit struct {
+	// at is when the commit was acknowledged.
 	at time.Time
-	// length is how long a log must be to have it and all acknowledged before it.
+	// length is the number of records that a log must have to contain this commit and
+	// all that were acknowledged before it.
 	length int
 }
 
-// lackingReads counts the reads that lacked something, by where they ran.
-type lackingReads struct {
+// staleReadKey groups stale reads in reports: by the instance that sent them, the member
+// that ran them, and the read rule.
+type staleReadKey struct {
 	instance string
 	member   cwgroup.MemberID
 	rule     cwcatalogue.ReadRule
 }
 
-func (l *ledger) checkReadsOf(g *group) {
+// checkGroupReads checks the reads of one group. The caller holds mu.
+func (l *ledger) checkGroupReads(g *group) {
 	log := g.Log()
-	places := placesOf(log)
-	all := l.keptOf(g.Service, places)
-	lacking := make(map[lackingReads]int)
-	first := make(map[lackingReads]string)
+	lengths := writeLengths(log)
+	commits := l.survivingCommits(g.Service, lengths)
+	staleCounts := make(map[staleReadKey]int)
+	firstReads := make(map[staleReadKey]string)
 	for _, run := range g.Reads() {
-		r, ok := l.sent[run.ID]
+		r, ok := l.sentReads[run.ID]
 		if !ok {
 			continue
 		}
@@ -70,68 +75,69 @@
 		if r.rule == cwcatalogue.ReadNewest {
 			age = 0
 		}
-		needs := max(lengthBefore(all, r.began.Add(-age)), places[itemNumber{r.item, r.wrote}])
-		if log.Common(run.Log) >= needs {
+		required := max(requiredLength(commits, r.startedAt.Add(-age)), lengths[itemWrite{r.item, r.ackedNumber}])
+		if log.Common(run.Log) >= required {
 			continue
 		}
-		k := lackingReads{r.instance, run.Member, r.rule}
-		if lacking[k]++; lacking[k] == 1 {
-			first[k] = run.ID + " sent at " + r.began.Format(time.RFC3339Nano) + " has " + strconv.Itoa(log.Common(run.Log)) + " of " + strconv.Itoa(needs)
+		k := staleReadKey{r.instance, run.Member, r.rule}
+		if staleCounts[k]++; staleCounts[k] == 1 {
+			firstReads[k] = run.ID + " sent at " + r.startedAt.Format(time.RFC3339Nano) + " has " + strconv.Itoa(log.Common(run.Log)) + " of " + strconv.Itoa(required)
 		}
 	}
-	for k, n := range lacking {
+	for k, n := range staleCounts {
 		l.violations = append(l.violations, Violation{
-			Kind: Stale, What: strconv.Itoa(n) + " " + string(k.rule) + " reads by " + k.instance + " at " + string(k.member) + ", the first " + first[k],
+			Kind: Stale, What: strconv.Itoa(n) + " " + string(k.rule) + " reads by " + k.instance + " at " + string(k.member) + ", the first " + firstReads[k],
 		})
 	}
 }
 
-// itemNumber is one write.
-type itemNumber struct {
+// itemWrite identifies one write.
+type itemWrite struct {
 	item string
 	n    int
 }
 
-// placesOf returns how long a log must be to have each write.
-func placesOf(log cwreplica.Log) map[itemNumber]int {
-	places := make(map[itemNumber]int)
+// writeLengths returns, for each write, the number of records that a log must have to
+// contain it.
+func writeLengths(log cwreplica.Log) map[itemWrite]int {
+	lengths := make(map[itemWrite]int)
 	for i := range log.Len() {
 		for name, value := range log.Writes(i) {
 			if n, err := strconv.Atoi(value); err == nil {
-				places[itemNumber{name, n}] = i + 1
+				lengths[itemWrite{name, n}] = i + 1
 			}
 		}
 	}
-	return places
+	return lengths
 }
 
-// keptOf returns the commits of a group that were acknowledged and are in the log, by
-// the time of that. The caller holds mu.
-func (l *ledger) keptOf(service string, places map[itemNumber]int) []kept {
-	var all []kept
+// survivingCommits returns the acknowledged commits of a group that are in the log, ordered
+// by the time of their acknowledgement. The caller holds mu.
+func (l *ledger) survivingCommits(service string, lengths map[itemWrite]int) []survivingCommit {
+	var commits []survivingCommit
 	for name, i := range l.items {
 		if i.group != service {
 			continue
 		}
 		for _, a := range i.acked {
-			if length, ok := places[itemNumber{name, a.n}]; ok {
-				all = append(all, kept{at: a.at, length: length})
+			if length, ok := lengths[itemWrite{name, a.n}]; ok {
+				commits = append(commits, survivingCommit{at: a.at, length: length})
 			}
 		}
 	}
-	slices.SortFunc(all, func(a, b kept) int { return a.at.Compare(b.at) })
-	for i := 1; i < len(all); i++ {
-		all[i].length = max(all[i].length, all[i-1].length)
+	slices.SortFunc(commits, func(a, b survivingCommit) int { return a.at.Compare(b.at) })
+	for i := 1; i < len(commits); i++ {
+		commits[i].length = max(commits[i].length, commits[i-1].length)
 	}
-	return all
+	return commits
 }
 
-// lengthBefore returns how long a log must be to have all that was acknowledged before
-// a time.
-func lengthBefore(all []kept, t time.Time) int {
-	i, _ := slices.BinarySearchFunc(all, t, func(k kept, t time.Time) int { return k.at.Compare(t) })
+// requiredLength returns the number of records that a log must have to contain every
+// commit that was acknowledged before a time.
+func requiredLength(commits []survivingCommit, t time.Time) int {
+	i, _ := slices.BinarySearchFunc(commits, t, func(k survivingCommit, t time.Time) int { return k.at.Compare(t) })
 	if i == 0 {
 		return 0
 	}
-	return all[i-1].length
+	return commits[i-1].length
 }
--- a/internal/tool/cwsoak/soak.go
+++ b/internal/tool/cwsoak/soak.go
@@ -1,19 +1,25 @@
-// Package cwsoak runs the real proxies as processes, brings faults about from
-// outside of them, and checks what callers and targets see.
+// Package cwsoak is a fault-injection test: it runs the proxies as processes, injects
+// faults from outside of them, and checks what callers and targets observe.
 //
-// A run has a seed. From it come the faults, their times and the callers'
-// statements: paths that are slow, cut, reset or silent, a store that is down,
-// slow or loses answers, targets that go dark or receive nothing, processes that
-// are killed, stopped, continued, ended and restarted, changes of the desired
-// state, in series and overlapping. Clocks are not touched: only a privileged
-// process may set them, and the proxies measure by the boot-time clock.
-// The databases misbehave as databases do: replicas are late, paths between them and
-// to single instances are cut, one starts again and has forgotten that it was fenced,
-// the entry of one that lives lapses, and an instance is held up or killed right after
-// it has promoted one.
+// The seed of a run determines the faults, their times and the callers' statements.
+// Faults happen one after another and at the same time:
 //
-// The promises that are checked stand in the Kind of a Violation. At the end all
-// faults are lifted, and the system has to serve again.
+//   - Network paths are slow, cut, reset, or silent.
+//   - The store is down, slow, loses answers, drops its change history, or is restored
+//     from an older snapshot.
+//   - Targets stop answering, lose their answers, or receive no replication.
+//   - Processes are killed, suspended, resumed, terminated and restarted.
+//   - The desired state changes.
+//   - Replicas apply records late, the paths between targets or to single instances are
+//     cut, a target restarts and forgets that it was fenced, the entry of a running
+//     target lapses, and an instance is suspended or killed right after it has promoted
+//     a target.
+//
+// Clocks are not changed: only a privileged process may set them, and the proxies use
+// the boot-time clock.
+//
+// The values of Kind are the guarantees that are checked. At the end all faults are
+// removed, and the system has to serve every group again.
 package cwsoak
 
 import (
@@ -31,112 +37,127 @@
 	"cicadawalk.example/cicadawalk/internal/proxy/cwport"
 )
 
-// Store is the stand-in for the platform's store and its duties.
+// Store is the stand-in for the platform's store and for the services that carry out
+// duties such as promotions.
 type Store interface {
 	http.Handler
+	// List writes a target's entry.
 	List(l cwport.Listing) error
-	// Unlist lets a target's entry lapse.
+	// Unlist removes a target's entry, as if it had lapsed.
 	Unlist(id string)
-	// Desire writes a desired state, with the keys of its workspaces.
+	// Desire writes a desired state, with the keys of each workspace by its name.
 	Desire(c cwcatalogue.Catalogue, keys map[string][]string) error
+	// DropHistory forgets all changes so far, so that clients have to read
+	// everything again.
 	DropHistory()
-	// Copy copies all rows. The result goes back to them and loses what came after,
-	// and its own result has the operator and the targets write again what they had
-	// written.
+	// Copy takes a snapshot of all rows. Calling restore goes back to the snapshot
+	// and loses later changes; calling writeAgain then writes the lost rows of the
+	// operator and the targets again.
 	Copy() (restore func() (writeAgain func()))
 }
 
-// Addresses are what the settings of one instance name, IP:port.
+// Addresses is the part of an instance's settings that differs between instances: its
+// name, its data centre, and the addresses that it uses, IP:port.
 type Addresses struct{ Instance, DataCentre, Callers, Ready, Peers, Store string }
 
-// Platform is the users' platform as far as a soak needs it.
+// Platform is the interface to the users' platform that a soak needs.
 type Platform struct {
+	// NewStore returns a store that passes promotions to p.
 	NewStore func(p cwport.Promoter) Store
-	// ServeTarget serves a target's protocol on a connection.
+	// ServeTarget serves the protocol of a target on a connection. Statements go to
+	// sessions that d opens.
 	ServeTarget func(id cwgroup.MemberID, d cwport.Dialer, conn net.Conn)
-	// Caller opens callers' sessions.
+	// Caller opens the sessions of callers.
 	Caller cwport.Dialer
-	// Settings writes the settings of an instance.
+	// Settings returns the settings file of an instance.
 	Settings func(a Addresses) []byte
-	// Command returns the words after the program's that start an instance.
+	// Command returns the arguments of the program that start an instance with the
+	// settings file at a path.
 	Command func(settings string) []string
 }
 
-// Config is one run.
+// Config is the configuration of one run.
 type Config struct {
-	Seed     uint64
+	Seed uint64
+	// Duration is how long faults are injected.
 	Duration time.Duration
-	// Instances and Groups are how many there are, Callers how many call at
-	// once.
+	// Instances and Groups are the numbers of proxies and groups, Callers is the
+	// number of concurrent callers.
 	Instances, Groups, Callers int
-	// Keyless leaves keys, workspaces and quotas out. Then each connection to a target
-	// tells which instance it is of, and paths between the two can be cut.
+	// Keyless runs without keys, workspaces and quotas. Connections to targets then
+	// carry the name of their instance, so that the path between one instance and one
+	// target can be cut.
 	Keyless bool
-	// Program is the path of the proxy, Dir a folder for settings and logs.
+	// Program is the path of the proxy program, Dir the folder for settings and logs.
 	Program, Dir string
 	Platform     Platform
 	Log          *log.Logger
 }
 
-// Report is what a run found.
+// Report is the result of a run.
 type Report struct {
-	Seed       uint64
-	Faults     int
+	Seed uint64
+	// Faults is the number of injected faults.
+	Faults int
+	// Acked, Refused and Unresolved are the numbers of writes that were acknowledged,
+	// that were reported as not run, and whose outcome is unknown.
 	Acked      int
 	Refused    int
 	Unresolved int
+	// Reads is the number of reads that were sent.
 	Reads      int
 	Violations []Violation
 }
 
-// settleFor is how long the system has to serve everything again once all
-// faults are lifted: claims live 2 s, promotions take one, and what was found
-// lost is tried again within a second.
-const settleFor = 20 * time.Second
+// recoveryTimeout is the time within which the system has to serve everything again
+// after all faults are removed: claims expire after 2 s, a promotion takes 1 s, and
+// unreachable targets are tried again within 1 s.
+const recoveryTimeout = 20 * time.Second
 
-// restoreStream is the stream of a seed that restores are drawn from; 0 is that of
-// the other faults, and callers have those that follow.
+// restoreStream is the PCG stream that restores of the store are drawn from. Stream 0 is
+// used for the other faults, and the streams from 1 on for callers.
 const restoreStream = 1 << 32
 
-// memberStream is the stream that what happens among the targets is drawn from.
+// memberStream is the PCG stream that faults of members are drawn from.
 const memberStream = 2 << 32
 
-// Run plays one soak.
+// Run runs one soak. It returns an error if the run could not be carried out; violated
+// guarantees are in the report.
 func Run(ctx context.Context, cfg Config) (Report, error) {
-	w, err := newWorld(cfg)
+	env, err := newEnvironment(cfg)
 	if err != nil {
 		return Report{}, err
 	}
-	defer w.stop()
-	entries, stopEntries := context.WithCancel(ctx)
-	defer stopEntries()
-	go w.loopEntries(entries)
-	if err := w.ready(ctx); err != nil {
+	defer env.stop()
+	reportCtx, stopReports := context.WithCancel(ctx)
+	defer stopReports()
+	go env.runRoleReports(reportCtx)
+	if err := env.waitReady(ctx); err != nil {
 		return Report{}, err
 	}
-	run, cancel := context.WithTimeout(ctx, cfg.Duration)
+	faultCtx, cancel := context.WithTimeout(ctx, cfg.Duration)
 	defer cancel()
-	eg, run := errgroup.WithContext(run)
+	eg, faultCtx := errgroup.WithContext(faultCtx)
 	for i := range cfg.Callers {
-		c := &caller{world: w, id: i, rand: rand.New(rand.NewPCG(cfg.Seed, uint64(i)+1))}
-		eg.Go(func() error { return c.loop(run) })
+		c := &caller{env: env, id: i, rand: rand.New(rand.NewPCG(cfg.Seed, uint64(i)+1))}
+		eg.Go(func() error { return c.run(faultCtx) })
 	}
-	f := &faults{world: w, rand: rand.New(rand.NewPCG(cfg.Seed, 0)), restores: rand.New(rand.NewPCG(cfg.Seed, restoreStream)), members: rand.New(rand.NewPCG(cfg.Seed, memberStream)), active: make(map[string]func())}
-	eg.Go(func() error { return f.loop(run) })
-	eg.Go(func() error { return f.loopRestores(run) })
-	eg.Go(func() error { return f.loopMembers(run) })
-	eg.Go(func() error { return w.loopVersions(run) })
-	eg.Go(func() error { return w.loopCopies(run) })
+	f := &faultInjector{env: env, rand: rand.New(rand.NewPCG(cfg.Seed, 0)), restoreRand: rand.New(rand.NewPCG(cfg.Seed, restoreStream)), memberRand: rand.New(rand.NewPCG(cfg.Seed, memberStream)), active: make(map[string]func())}
+	eg.Go(func() error { return f.run(faultCtx) })
+	eg.Go(func() error { return f.runRestores(faultCtx) })
+	eg.Go(func() error { return f.runMemberFaults(faultCtx) })
+	eg.Go(func() error { return env.runDesiredStates(faultCtx) })
+	eg.Go(func() error { return env.takeSnapshots(faultCtx) })
 	if err := eg.Wait(); err != nil {
 		return Report{}, err
 	}
-	f.lift()
-	w.recover(ctx)
-	w.endRestored(ctx)
-	w.ledger.settle(w.groups)
-	w.ledger.checkReads(w.groups)
-	w.checkAccess()
-	r := w.ledger.report()
-	r.Seed, r.Faults = cfg.Seed, f.played
+	f.endAll()
+	env.checkRecovery(ctx)
+	env.checkAfterRestore(ctx)
+	env.ledger.checkGroups(env.groups)
+	env.ledger.checkReads(env.groups)
+	env.checkWorkspaces()
+	r := env.ledger.report()
+	r.Seed, r.Faults = cfg.Seed, f.injected
 	return r, nil
 }
--- a/internal/tool/cwsoak/versions.go
+++ b/internal/tool/cwsoak/versions.go
@@ -11,86 +11,90 @@
 	"cicadawalk.example/cicadawalk/internal/proxy/cwport"
 )
 
-// versionName is a database that exists from one desired state on.
-func versionName(revision int) string { return fmt.Sprintf("version-%d", revision) }
+// revisionDatabase returns the name of a database that exists from a desired state on.
+func revisionDatabase(revision int) string { return fmt.Sprintf("version-%d", revision) }
 
-// desire writes the next desired state: all databases, and one for each version
-// so far.
-func (w *world) desire() error {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	next := w.revision + 1
-	c := cwcatalogue.Catalogue{Revision: cwcatalogue.Revision(next), Keyed: !w.cfg.Keyless}
-	keys, gone := w.access.next(next)
+// writeDesiredState writes the next desired state. It has the databases of all groups, and
+// one database for each revision so far, which shows the revisions that an instance has.
+func (env *environment) writeDesiredState() error {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	next := env.revision + 1
+	c := cwcatalogue.Catalogue{Revision: cwcatalogue.Revision(next), Keyed: !env.cfg.Keyless}
+	keys, revoked := env.access.nextKeys(next)
 	for _, name := range workspaces {
 		ws := cwcatalogue.Workspace{Name: name}
-		if name == limited {
+		if name == limitedWorkspace {
 			ws.Quota = limitedQuota
 		}
 		c.Workspaces = append(c.Workspaces, ws)
 	}
 	contract := cwcatalogue.Contract{
-		Connections: connections, StatementTimeout: time.Second, Aim: 500 * time.Millisecond,
+		Connections: connectionsPerTarget, StatementTimeout: time.Second, Aim: 500 * time.Millisecond,
 		MaxAge: maxAge, IdleTransaction: 5 * time.Second,
 	}
-	for _, g := range w.groups {
-		for _, r := range rules {
+	for _, g := range env.groups {
+		for _, r := range readRules {
 			contract.Reads = r.rule
 			c.Entries = append(c.Entries, cwcatalogue.Entry{Service: r.prefix + g.Service, Groups: []cwcatalogue.Group{{Name: g.Service}}, Contract: contract})
 		}
 	}
 	for v := 1; v <= next; v++ {
-		c.Entries = append(c.Entries, cwcatalogue.Entry{Service: versionName(v), Groups: []cwcatalogue.Group{{Name: w.groups[0].Service}}, Contract: contract})
+		c.Entries = append(c.Entries, cwcatalogue.Entry{Service: revisionDatabase(v), Groups: []cwcatalogue.Group{{Name: env.groups[0].Service}}, Contract: contract})
 	}
-	if err := w.store.Desire(c, keys); err != nil {
+	if err := env.store.Desire(c, keys); err != nil {
 		return err
 	}
-	w.access.took(gone)
-	w.revision = next
+	env.access.recordRevoked(revoked)
+	env.revision = next
 	return nil
 }
 
-// loopVersions writes desired states and checks that no instance goes back.
-func (w *world) loopVersions(ctx context.Context) error {
-	seen := make([]struct{ life, revision int }, len(w.instances))
-	for pause(ctx, versionEvery) {
-		if err := w.desire(); err != nil {
+// runDesiredStates writes desired states at regular intervals and checks that no instance
+// returns to an older one, except by a restart.
+func (env *environment) runDesiredStates(ctx context.Context) error {
+	seen := make([]struct{ startCount, revision int }, len(env.instances))
+	for sleep(ctx, desiredStateInterval) {
+		if err := env.writeDesiredState(); err != nil {
 			return err
 		}
-		for i, p := range w.instances {
-			life, _ := p.state()
-			if seen[i].life != life {
-				seen[i].life, seen[i].revision = life, 0
+		for i, p := range env.instances {
+			startCount, _ := p.state()
+			if seen[i].startCount != startCount {
+				seen[i].startCount, seen[i].revision = startCount, 0
 			}
-			if seen[i].revision > 0 && w.lacks(ctx, p, seen[i].revision) {
-				if now, _ := p.state(); now == life {
-					w.ledger.fail(Reverted, "%s had desired state %d", p.name, seen[i].revision)
+			if seen[i].revision > 0 && env.lacksRevision(ctx, p, seen[i].revision) {
+				if now, _ := p.state(); now == startCount {
+					env.ledger.addViolation(Reverted, "%s no longer has desired state %d", p.name, seen[i].revision)
 				}
 			}
-			if w.has(ctx, p, w.revision) {
-				seen[i].revision = w.revision
+			if env.hasRevision(ctx, p, env.revision) {
+				seen[i].revision = env.revision
 			}
 		}
 	}
 	return nil
 }
 
-// has and lacks ask an instance for a database that came with a revision. An
-// instance that does not answer neither has nor lacks it.
-func (w *world) has(ctx context.Context, p *process, revision int) bool {
-	return w.connect(ctx, p, versionName(revision)) == nil
+// hasRevision reports whether an instance serves the database of a revision. It is false
+// if the instance does not answer.
+func (env *environment) hasRevision(ctx context.Context, p *process, revision int) bool {
+	return env.connect(ctx, p, revisionDatabase(revision)) == nil
 }
 
-func (w *world) lacks(ctx context.Context, p *process, revision int) bool {
+// lacksRevision reports whether an instance answers that the database of a revision does
+// not exist. It is false if the instance does not answer.
+func (env *environment) lacksRevision(ctx context.Context, p *process, revision int) bool {
 	var refused *cwport.RefusedError
-	err := w.connect(ctx, p, versionName(revision))
+	err := env.connect(ctx, p, revisionDatabase(revision))
 	return errors.As(err, &refused) && refused.Code == cwstatement.NoDatabase
 }
 
-func (w *world) connect(ctx context.Context, p *process, database string) error {
+// connect opens a session to a database through an instance and closes it.
+func (env *environment) connect(ctx context.Context, p *process, database string) error {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	t, err := w.cfg.Platform.Caller.Dial(ctx, cwport.Endpoint{Service: database, Address: p.callers}, w.access.key(ownWorkspace))
+	t, err := env.cfg.Platform.Caller.Dial(ctx, cwport.Endpoint{Service: database, Address: p.callerAddress}, env.access.currentKey(soakWorkspace))
 	if err != nil {
 		return err
 	}
