--- a/internal/tool/cwcommand/load.go
+++ b/internal/tool/cwcommand/load.go
@@ -63,7 +63,7 @@
 	fs.Float64Var(&p.Rate, "rate", 0, "operations per second of all sessions, on a fixed schedule; 0 starts each operation when the last one ends")
 	fs.Float64Var(&p.WriteShare, "write-share", 0.1, "fraction of operations that write, 0 to 1")
 	fs.IntVar(&p.RoamEvery, "roam-every", 0, "number of operations after which a session moves to the next URL; 0 never")
-	fs.DurationVar(&p.MaxAge, "max-age", 0, "greatest age of the data that reads accept; 0 accepts no stale data")
+	fs.DurationVar(&p.MaxAge, "max-age", 0, "greatest age of the data that reads accept; 0 sets no limit")
 	fs.BoolVar(&p.Keys, "keys", false, "send a request key with each write, so that it can be retried safely")
 	fs.BoolVar(&p.DropToken, "drop-token", false, "move between URLs without the session token")
 	fs.Uint64Var(&p.Seed, "seed", 1, "seed of the random number generator")
