--- a/internal/tool/cwload/load.go
+++ b/internal/tool/cwload/load.go
@@ -1,11 +1,12 @@
-// Package cwload drives callers against proxies and checks what they were told.
+// Package cwload generates load on proxies and checks the consistency guarantees.
 //
-// A Plan has sessions that write records and read their own back, roam between
-// proxies, and repeat what was refused as not run. Each session keeps a ledger
-// of what was acknowledged. At the end the ledger is compared with the
-// databases: a record that was acknowledged and is not there is lost, one that
-// is there twice is doubled, and a read that did not show the session's own
-// acknowledged records was stale.
+// A Plan describes sessions that write records, read their own records, move from proxy
+// to proxy with their session token, and repeat writes that were refused as not run.
+// Each session keeps a ledger of the outcomes of its writes. At the end the ledgers are
+// compared with the records in the database: an acknowledged record that is missing was
+// lost, a record that is there more than once was duplicated, and a record that is there
+// although each answer said "not run" shows a wrong answer. A read that returned fewer
+// records than the session had acknowledged was stale.
 package cwload
 
 import (
@@ -24,70 +25,88 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Error is the class of failures to run a load.
+// Error is the class of errors that prevent a run, as opposed to violations.
 var Error = errs.Class("load")
 
-// Plan says what load to make.
+// Plan describes a load.
 type Plan struct {
 	// URLs are connection strings, one for each proxy.
-	URLs     []string
+	URLs []string
+	// Sessions is the number of concurrent sessions.
 	Sessions int
+	// Duration is how long operations are started.
 	Duration time.Duration
-	// WriteShare is the part of the operations that write, 0 to 1.
+	// WriteShare is the fraction of operations that write, 0 to 1.
 	WriteShare float64
-	// Rate is the operations a second of all sessions together, started on a
-	// schedule whether or not earlier ones have ended; latency counts from the
-	// schedule. Zero means that each session starts the next when one ends.
+	// Rate is the number of operations per second of all sessions together, on a
+	// fixed schedule. Latency is measured from the scheduled start, also if an
+	// operation starts late because the one before it took long. Zero means that
+	// each session starts an operation when the last one ends.
 	Rate float64
-	// RoamEvery is the number of operations after which a session moves to the
-	// next proxy; zero means never.
+	// RoamEvery is the number of operations after which a session moves to the next
+	// proxy; zero means never.
 	RoamEvery int
-	// MaxAge is the age of data that reads accept; zero means none.
+	// MaxAge is the greatest age of data that reads accept; zero sets no limit, so that
+	// only the session token counts.
 	MaxAge time.Duration
-	// Keys gives each write a request key.
+	// Keys makes each write carry a request key, so that a write with an unknown
+	// outcome can be repeated.
 	Keys bool
-	// DropToken makes a session roam without its token.
+	// DropToken makes sessions move between proxies without their session token.
 	DropToken bool
-	Seed      uint64
-	// Table is where the records go; it is created if it is not there.
+	// Seed is the seed of the random choices.
+	Seed uint64
+	// Table is the table for the records, "ronda" if empty. It is created if it does
+	// not exist, and must have no records.
 	Table string
-	// Begin is called when the table is ready and the sessions begin; it may be nil.
+	// Begin is called when the table is ready, right before the sessions start; it may
+	// be nil.
 	Begin func()
 }
 
-// Report is what a load led to.
+// Report is the result of a load.
 type Report struct {
+	// Operations is the number of completed operations: Acknowledged writes and Reads.
 	Operations   int
 	Acknowledged int
 	Reads        int
-	NotRun       int
-	Unknown      int
-	Errors       int
+	// NotRun, Unknown and Errors are the numbers of answers that refused an operation
+	// as not run, that left its outcome unknown, and of other errors.
+	NotRun  int
+	Unknown int
+	Errors  int
 	// FirstRefusal is the first answer that said "not run".
 	FirstRefusal string
-	// FirstError is the first error that was no refusal.
-	FirstError    string
+	// FirstError is the first of Errors.
+	FirstError string
+	// StaleOwnReads is the number of reads that lacked a record which the session had
+	// acknowledged.
 	StaleOwnReads int
-	Lost          int
-	Doubled       int
-	FalseNotRun   int
-	Elapsed       time.Duration
-	// ReadLatency and WriteLatency are in microseconds.
+	// Lost, Doubled and FalseNotRun are the numbers of records that were acknowledged
+	// and are missing, that are there more than once, and that are there although
+	// each answer said that the write did not run.
+	Lost        int
+	Doubled     int
+	FalseNotRun int
+	// Elapsed is the time from the start of the sessions to the end of the last one.
+	Elapsed time.Duration
+	// ReadLatency and WriteLatency are the latencies of completed operations, in
+	// microseconds.
 	ReadLatency, WriteLatency *hdrhistogram.Histogram
-	// Acks are the times at which writes were acknowledged, with their starts.
+	// Acks are the acknowledged writes.
 	Acks []Ack
 }
 
-// Ack is one acknowledged write.
+// Ack is when an acknowledged write was started and when it was acknowledged.
 type Ack struct{ Began, Ended time.Time }
 
-// OK reports whether no promise was broken.
+// OK reports whether no consistency guarantee was violated.
 func (r *Report) OK() bool {
 	return r.Lost == 0 && r.Doubled == 0 && r.StaleOwnReads == 0 && r.FalseNotRun == 0
 }
 
-// LongestPause returns the longest time between two acknowledgements: while the
-// primary is replaced, nothing is acknowledged.
+// LongestPause returns the longest time between two acknowledgements. It measures the
+// gap of a failover: no write is acknowledged while the primary is replaced.
 func (r *Report) LongestPause() time.Duration {
 	ends := make([]time.Time, 0, len(r.Acks))
 	for _, a := range r.Acks {
@@ -101,22 +120,25 @@
 	return longest
 }
 
-// maxLatency is the longest latency that the histograms hold, in microseconds.
-const maxLatency = 60_000_000
+// maxLatencyMicros is the greatest latency that the histograms record, in
+// microseconds; greater ones are recorded as this value.
+const maxLatencyMicros = 60_000_000
 
-func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxLatency, 3) }
+func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxLatencyMicros, 3) }
 
-// Load is a running plan.
+// Load runs a Plan.
 type Load struct {
 	plan Plan
 
 	mu     sync.Mutex
 	report Report
+	// ledger has the ledger of each session, by its id.
 	ledger map[int]*ledger
 }
 
-// Run carries out a plan and checks the ledger through check, a connection
-// string for a database or proxy that shows the final state.
+// Run runs a plan and compares the ledgers with the records that it reads through check,
+// the connection string of a database or proxy. It returns an error if the plan could not
+// be run; violations are in the report.
 func Run(ctx context.Context, p Plan, check string) (*Report, error) {
 	if p.Table == "" {
 		p.Table = "ronda"
@@ -126,38 +148,39 @@
 	}
 	l := &Load{plan: p, ledger: make(map[int]*ledger)}
 	l.report.ReadLatency, l.report.WriteLatency = newHistogram(), newHistogram()
-	if err := l.prepare(ctx); err != nil {
+	if err := l.prepareTable(ctx); err != nil {
 		return nil, err
 	}
 	if p.Begin != nil {
 		p.Begin()
 	}
 	began := time.Now()
-	if err := l.drive(ctx); err != nil {
+	if err := l.runSessions(ctx); err != nil {
 		return nil, err
 	}
 	l.report.Elapsed = time.Since(began)
-	if err := l.compare(ctx, check); err != nil {
+	if err := l.checkRecords(ctx, check); err != nil {
 		return nil, err
 	}
 	return &l.report, nil
 }
 
-// prepareWait bounds the time for which the table is tried while it is refused as not run.
-const prepareWait = 10 * time.Second
+// prepareTimeout bounds the time for which the creation of the table is retried while it
+// is refused as not run.
+const prepareTimeout = 10 * time.Second
 
-// prepare makes the table ready. What is refused as not run is tried again when the answer
-// says so, as sessions do: proxies that have just started refuse until they know their
-// groups.
-func (l *Load) prepare(ctx context.Context) error {
-	end := time.Now().Add(prepareWait)
+// prepareTable creates the table. Like the sessions, it retries statements that were
+// refused as not run, after the delay that the answer tells: proxies that have just
+// started refuse statements until they know their groups.
+func (l *Load) prepareTable(ctx context.Context) error {
+	end := time.Now().Add(prepareTimeout)
 	for {
 		err := l.createTable(ctx)
 		var pe *pgconn.PgError
 		if !errors.As(err, &pe) {
 			return err
 		}
-		after, refused := refusal(pe)
+		after, refused := parseRefusal(pe)
 		if !refused || time.Now().Add(after).After(end) {
 			return err
 		}
@@ -169,6 +192,7 @@
 	}
 }
 
+// createTable creates the table with its index and checks that it is empty.
 func (l *Load) createTable(ctx context.Context) error {
 	conn, err := pgx.Connect(ctx, l.plan.URLs[0])
 	if err != nil {
@@ -193,22 +217,22 @@
 	return nil
 }
 
-// drive runs the sessions until the duration is over.
-func (l *Load) drive(ctx context.Context) error {
+// runSessions runs the sessions for the plan's duration.
+func (l *Load) runSessions(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, l.plan.Duration)
 	defer cancel()
 	g := &errgroup.Group{}
 	for i := range l.plan.Sessions {
-		led := &ledger{state: make(map[int]outcome)}
-		l.ledger[i] = led
-		s := &session{load: l, id: i, ledger: led, rng: rand.New(rand.NewPCG(l.plan.Seed, uint64(i)))}
+		sessionLedger := &ledger{outcomes: make(map[int]outcome)}
+		l.ledger[i] = sessionLedger
+		s := &session{load: l, id: i, ledger: sessionLedger, rng: rand.New(rand.NewPCG(l.plan.Seed, uint64(i)))}
 		g.Go(func() error { return s.run(ctx) })
 	}
 	return g.Wait()
 }
 
-// compare reads every record and holds it against the ledger.
-func (l *Load) compare(ctx context.Context, check string) error {
+// checkRecords reads all records and compares them with the ledgers.
+func (l *Load) checkRecords(ctx context.Context, check string) error {
 	conn, err := pgx.Connect(ctx, check)
 	if err != nil {
 		return Error.Wrap(err)
@@ -229,8 +253,8 @@
 	if err := rows.Err(); err != nil {
 		return Error.Wrap(err)
 	}
-	for id, led := range l.ledger {
-		for seq, o := range led.state {
+	for id, sessionLedger := range l.ledger {
+		for seq, o := range sessionLedger.outcomes {
 			n := found[[2]int{id, seq}]
 			switch {
 			case n > 1:
--- a/internal/tool/cwload/session.go
+++ b/internal/tool/cwload/session.go
@@ -14,45 +14,56 @@
 	"github.com/jackc/pgx/v5/pgconn"
 )
 
-// outcome is what a session knows about one of its writes.
+// outcome is what a session was told about one of its writes.
 type outcome uint8
 
 const (
-	// unknown means that the answer was lost, or said so.
+	// unknown means that the answer was lost, or said that the outcome is unknown.
 	unknown outcome = iota
+	// acknowledged means that the write succeeded.
 	acknowledged
-	// notRun means that every answer to the write said that it was not run.
+	// notRun means that each answer said that the write did not run.
 	notRun
 )
 
 // ledger is what a session was told about its writes, by sequence number.
 type ledger struct {
-	state map[int]outcome
+	outcomes map[int]outcome
+	// acked is the number of acknowledged writes.
 	acked int
 }
 
-// session is one caller that roams.
+// session is one caller.
 type session struct {
 	load   *Load
 	id     int
 	ledger *ledger
 	rng    *rand.Rand
 
+	// conn is the open connection, to the proxy with the index proxy in Plan.URLs; nil
+	// if there is none.
 	conn  *pgx.Conn
 	proxy int
+	// token is the session token that a proxy sent last.
 	token string
-	seq   int
-	ops   int
+	// lastSeq is the sequence number of the last write.
+	lastSeq        int
+	operationCount int
 }
 
-// operation bounds and pauses.
+// Limits and delays of operations.
 const (
-	opTimeout    = 15 * time.Second
-	connectPause = 50 * time.Millisecond
-	defaultRetry = 50 * time.Millisecond
-	maxTries     = 40
+	// operationTimeout is the timeout of one attempt.
+	operationTimeout = 15 * time.Second
+	// connectRetryDelay is the delay after a failure to connect.
+	connectRetryDelay = 50 * time.Millisecond
+	// defaultRetryDelay is the delay before a retry if the answer tells none.
+	defaultRetryDelay = 50 * time.Millisecond
+	// maxAttempts bounds the attempts at one operation.
+	maxAttempts = 40
 )
 
+// run runs operations until ctx ends, on the schedule of Plan.Rate if it is set.
 func (s *session) run(ctx context.Context) error {
 	defer s.close()
 	s.proxy = s.id % len(s.load.plan.URLs)
@@ -64,7 +75,7 @@
 	}
 	for ctx.Err() == nil {
 		if step > 0 {
-			wait(ctx, time.Until(due))
+			sleep(ctx, time.Until(due))
 			due = due.Add(step)
 		} else {
 			due = time.Now()
@@ -76,12 +87,13 @@
 		if step > 0 {
 			intended = due.Add(-step)
 		}
-		s.one(intended)
+		s.runOperation(intended)
 	}
 	return nil
 }
 
-func wait(ctx context.Context, d time.Duration) {
+// sleep waits for d or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
 	}
@@ -91,10 +103,11 @@
 	}
 }
 
-// one carries out one operation to its end, also after the plan's time is over.
-func (s *session) one(intended time.Time) {
-	s.ops++
-	if r := s.load.plan.RoamEvery; r > 0 && s.ops%r == 0 {
+// runOperation runs one operation, a read or a write. It completes the operation even if
+// the plan's duration is over by then. intended is when the operation was scheduled.
+func (s *session) runOperation(intended time.Time) {
+	s.operationCount++
+	if r := s.load.plan.RoamEvery; r > 0 && s.operationCount%r == 0 {
 		s.roam()
 	}
 	if s.rng.Float64() < s.load.plan.WriteShare {
@@ -104,6 +117,7 @@
 	s.read(intended)
 }
 
+// roam moves the session to the next proxy.
 func (s *session) roam() {
 	s.close()
 	s.proxy = (s.proxy + 1) % len(s.load.plan.URLs)
@@ -119,7 +133,8 @@
 	s.conn = nil
 }
 
-// connected returns the connection, making one if there is none.
+// connected returns the open connection, or opens one. After a failure to connect it
+// selects the next proxy and waits for connectRetryDelay.
 func (s *session) connected(ctx context.Context) (*pgx.Conn, error) {
 	if s.conn != nil && !s.conn.IsClosed() {
 		return s.conn, nil
@@ -138,11 +153,12 @@
 	if err != nil {
 		s.conn = nil
 		s.proxy = (s.proxy + 1) % len(s.load.plan.URLs)
-		time.Sleep(connectPause)
+		time.Sleep(connectRetryDelay)
 	}
 	return s.conn, err
 }
 
+// keepToken stores the session token that the proxy sent last.
 func (s *session) keepToken() {
 	if s.conn == nil {
 		return
@@ -152,34 +168,37 @@
 	}
 }
 
-// write writes one record, repeating it while it is certain, or made certain by
-// its key, that it did not run.
+// write writes one record. It repeats the write while the answers say that it did not run
+// and, with a request key, also after an unknown outcome: the key prevents that the write
+// takes effect twice.
 func (s *session) write(intended time.Time) {
-	s.seq++
-	seq := s.seq
+	s.lastSeq++
+	seq := s.lastSeq
 	began := time.Now()
-	state := notRun
-	for range maxTries {
+	result := notRun
+	for range maxAttempts {
 		err := s.insert(seq)
 		if err == nil {
 			s.keepToken()
 			s.acknowledge(seq, began, intended)
 			return
 		}
-		refused, pause := s.note(err)
+		refused, pause := s.recordError(err)
 		if !refused {
-			state = unknown
+			result = unknown
 			if !s.load.plan.Keys {
 				break
 			}
 		}
 		time.Sleep(pause)
 	}
-	s.ledger.state[seq] = state
+	s.ledger.outcomes[seq] = result
 }
 
+// insert sends one attempt to write a record. A notSentError means that the write was
+// never sent.
 func (s *session) insert(seq int) error {
-	ctx, cancel := context.WithTimeout(context.Background(), opTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), operationTimeout)
 	defer cancel()
 	conn, err := s.connected(ctx)
 	if err != nil {
@@ -195,16 +214,17 @@
 	return err
 }
 
-// notSentError says that the write was never sent.
+// notSentError reports that an operation was never sent, so that it did not run.
 type notSentError struct{ cause error }
 
 func (e *notSentError) Error() string { return e.cause.Error() }
 
 func (e *notSentError) Unwrap() error { return e.cause }
 
+// acknowledge records an acknowledged write. Latency is measured from intended.
 func (s *session) acknowledge(seq int, began, intended time.Time) {
 	ended := time.Now()
-	s.ledger.state[seq] = acknowledged
+	s.ledger.outcomes[seq] = acknowledged
 	s.ledger.acked++
 	l := s.load
 	l.mu.Lock()
@@ -212,28 +232,30 @@
 	l.report.Operations++
 	l.report.Acknowledged++
 	l.report.Acks = append(l.report.Acks, Ack{Began: began, Ended: ended})
-	_ = l.report.WriteLatency.RecordValue(min(ended.Sub(intended).Microseconds()+1, maxLatency))
+	_ = l.report.WriteLatency.RecordValue(min(ended.Sub(intended).Microseconds()+1, maxLatencyMicros))
 }
 
-var retryAfterText = regexp.MustCompile(`retryAfterMs=(\d+)`)
+// retryAfterPattern finds the delay in the detail of a refusal, in milliseconds.
+var retryAfterPattern = regexp.MustCompile(`retryAfterMs=(\d+)`)
 
-// refusal returns when to come back with a request that certainly did not run; false if
-// that is not said.
-func refusal(pe *pgconn.PgError) (time.Duration, bool) {
-	m := retryAfterText.FindStringSubmatch(pe.Detail)
+// parseRefusal returns the delay after which to repeat a request that did not run; false if
+// the error does not say that it did not run.
+func parseRefusal(pe *pgconn.PgError) (time.Duration, bool) {
+	m := retryAfterPattern.FindStringSubmatch(pe.Detail)
 	if m == nil || !strings.Contains(pe.Detail, "notRun=true") {
 		return 0, false
 	}
 	ms, err := strconv.Atoi(m[1])
 	if err != nil {
-		return defaultRetry, true
+		return defaultRetryDelay, true
 	}
 	return max(time.Duration(ms)*time.Millisecond, time.Millisecond), true
 }
 
-// note counts an error. It returns whether the request certainly did not run,
-// and the pause before a repeat.
-func (s *session) note(err error) (refused bool, pause time.Duration) {
+// recordError counts an error. It returns whether the request did not run for certain, and
+// the delay before it is repeated. After an error that is not an answer of the proxy, the
+// session moves to the next proxy.
+func (s *session) recordError(err error) (refused bool, pause time.Duration) {
 	l := s.load
 	var pe *pgconn.PgError
 	var ns *notSentError
@@ -246,36 +268,37 @@
 		if !isNotSent {
 			l.report.Unknown++
 		}
-		return isNotSent, defaultRetry
+		return isNotSent, defaultRetryDelay
 	}
 	if s.conn != nil && s.conn.IsClosed() {
 		s.conn = nil
 	}
-	if after, refused := refusal(pe); refused {
+	if after, refused := parseRefusal(pe); refused {
 		l.report.NotRun++
 		if l.report.FirstRefusal == "" {
 			l.report.FirstRefusal = err.Error()
 		}
 		return true, after
 	}
+	// 08007 is transaction_resolution_unknown.
 	if pe.Code == "08007" {
 		l.report.Unknown++
-		return isNotSent, defaultRetry
+		return isNotSent, defaultRetryDelay
 	}
 	l.report.Errors++
 	if l.report.FirstError == "" {
 		l.report.FirstError = err.Error()
 	}
-	return isNotSent, defaultRetry
+	return isNotSent, defaultRetryDelay
 }
 
-// read reads the session's own records and checks that none is missing.
+// read counts the session's own records and checks that no acknowledged one is missing.
 func (s *session) read(intended time.Time) {
 	want := s.ledger.acked
-	for range maxTries {
+	for range maxAttempts {
 		n, err := s.count()
 		if err != nil {
-			_, pause := s.note(err)
+			_, pause := s.recordError(err)
 			time.Sleep(pause)
 			continue
 		}
@@ -286,14 +309,15 @@
 		if n < want {
 			l.report.StaleOwnReads++
 		}
-		_ = l.report.ReadLatency.RecordValue(min(time.Since(intended).Microseconds()+1, maxLatency))
+		_ = l.report.ReadLatency.RecordValue(min(time.Since(intended).Microseconds()+1, maxLatencyMicros))
 		l.mu.Unlock()
 		return
 	}
 }
 
+// count returns the number of the session's own records.
 func (s *session) count() (int, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), opTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), operationTimeout)
 	defer cancel()
 	conn, err := s.connected(ctx)
 	if err != nil {
