--- a/internal/tool/cwdemo/cluster.go
+++ b/internal/tool/cwdemo/cluster.go
@@ -1,6 +1,9 @@
-// Package cwdemo runs the whole path in one process: a group of three stand-in
-// databases, the platform's stand-in and two proxies, with sessions that roam
-// between the proxies while the primary is killed.
+// Package cwdemo runs proxies, stand-in databases and a stand-in of the platform in one
+// process, for the demo command and for tests.
+//
+// A Bench is such a deployment: groups of three databases, the platform's table service,
+// and a number of proxies. Once runs a failover scenario on it: sessions move between two
+// proxies while the primary is stopped. Serve runs it until it is interrupted.
 package cwdemo
 
 import (
@@ -25,37 +28,39 @@
 	"cicadawalk.example/cicadawalk/internal/wire/cwstore"
 )
 
-// Error is the class of the demo's failures.
+// Error is the class of the demo's errors.
 var Error = errs.Class("demo")
 
-// Service is the demo's database service.
+// Service is the name of the demo's database service.
 const Service = "libro-rondas"
 
-// Loopback addresses stand for data centres.
+// hosts are the loopback addresses of the databases, one for each data centre.
 var hosts = []string{"127.0.1.1", "127.0.2.1", "127.0.3.1"}
 
+// dataCentres are the names of the data centres, in the order of hosts.
 var dataCentres = []string{"hall-rufino", "hall-chivilcoy", "hall-casilda"}
 
-// Options say what to start.
+// Options configures a Bench.
 type Options struct {
-	// Proxies is how many proxies run; Listen gives their addresses, and any
-	// that are missing are chosen freely.
+	// Proxies is the number of proxies. Listen has their addresses, IP:port each;
+	// proxies without one listen on a free port.
 	Proxies int
 	Listen  []string
-	// ListLag is how long the platform's list of instances lags.
+	// ListLag is the delay of the platform's list of instances.
 	ListLag time.Duration
-	// Contract is the entry's; the zero value takes DefaultContract.
+	// Contract is the contract of the catalogue's entry; the zero value stands for
+	// DefaultContract.
 	Contract cwcatalogue.Contract
-	// Log receives the proxies' events.
+	// Log receives the log lines of the proxies; nil discards them.
 	Log io.Writer
-	// Groups is how many groups the service has; zero means one.
+	// Groups is the number of groups of the service; zero means one.
 	Groups int
-	// Direct lets tests put something between proxies and databases: it returns
-	// the address under which the proxies find a database.
+	// Direct lets tests put a relay between proxies and databases: it returns the
+	// address that the catalogue has for a database. It may be nil.
 	Direct func(id cwgroup.MemberID, address string) string
 }
 
-// DefaultContract is the contract of the demo's entry.
+// DefaultContract returns the contract of the demo's catalogue entry.
 func DefaultContract() cwcatalogue.Contract {
 	return cwcatalogue.Contract{
 		Class:                cwcatalogue.ClassReads,
@@ -70,15 +75,16 @@
 	}
 }
 
-// Bench is everything that runs.
+// Bench is a running deployment. Make one with Start, and end it with Stop.
 type Bench struct {
+	// Databases are the databases of all groups, three for each group.
 	Databases []*cwdatabase.Running
 	Platform  *cwtable.Platform
 	Proxies   []*Proxy
 	opts      Options
 }
 
-// Proxy is one running proxy.
+// Proxy is one running proxy of a Bench.
 type Proxy struct {
 	*cwnode.Node
 	cancel context.CancelFunc
@@ -91,7 +97,8 @@
 	return p.group.Wait()
 }
 
-// Start starts everything and waits until the proxies are ready.
+// Start starts the databases, the platform and the proxies, and waits up to 10 s until the
+// proxies are ready.
 func Start(opts Options) (*Bench, error) {
 	if opts.Contract == (cwcatalogue.Contract{}) {
 		opts.Contract = DefaultContract()
@@ -167,7 +174,7 @@
 	return nil
 }
 
-// Catalogue returns the demo's catalogue, before its first revision.
+// Catalogue returns the demo's catalogue; its revision is 0.
 func (b *Bench) Catalogue() cwcatalogue.Catalogue {
 	c := cwcatalogue.Catalogue{}
 	for i, dc := range dataCentres {
@@ -197,7 +204,8 @@
 	})
 }
 
-// StartProxy starts the proxy with an index and tells the platform.
+// StartProxy starts the proxy with an index and adds it to the platform's list of
+// instances. It does not wait until the proxy is ready.
 func (b *Bench) StartProxy(i int) (*Proxy, error) {
 	listen := "127.0.0.1:0"
 	if i < len(b.opts.Listen) {
@@ -229,7 +237,7 @@
 	return p, nil
 }
 
-// TellPlatform makes the platform list the present proxies.
+// TellPlatform replaces the platform's list of instances by the current proxies.
 func (b *Bench) TellPlatform() {
 	var list []cwplatform.InstanceBody
 	for i, p := range b.Proxies {
@@ -243,11 +251,11 @@
 	b.Platform.SetInstances(list)
 }
 
-// AwaitReady waits until each proxy can serve writes.
+// AwaitReady waits until each proxy can serve writes. It fails after limit.
 func (b *Bench) AwaitReady(limit time.Duration) error {
 	deadline := time.Now().Add(limit)
 	for {
-		if b.ready() {
+		if b.allReady() {
 			return nil
 		}
 		if time.Now().After(deadline) {
@@ -257,7 +265,9 @@
 	}
 }
 
-func (b *Bench) ready() bool {
+// allReady reports whether each proxy serves all its groups and has a share of the
+// connections of each target.
+func (b *Bench) allReady() bool {
 	for _, p := range b.Proxies {
 		s := p.Status()
 		if !s.Ready || len(s.Groups) == 0 {
@@ -277,12 +287,12 @@
 	return true
 }
 
-// URL returns a connection string for a proxy.
+// URL returns the connection string of a proxy.
 func (b *Bench) URL(i int) string {
 	return URL(b.Proxies[i].Addr())
 }
 
-// URL returns a connection string for an address.
+// URL returns the connection string for the demo's service at an address, IP:port.
 func URL(addr string) string {
 	ap, err := netip.ParseAddrPort(addr)
 	host := addr
@@ -292,8 +302,8 @@
 	return "postgres://casero@" + host + "/" + Service + "?sslmode=disable"
 }
 
-// Primary returns the index of the database that leads the highest term of the
-// first group.
+// Primary returns the index in Databases of the primary with the highest term in the
+// first group; -1 if there is none.
 func (b *Bench) Primary() int {
 	best, term := -1, cwgroup.Term(0)
 	for i, d := range b.Databases[:len(hosts)] {
@@ -304,7 +314,7 @@
 	return best
 }
 
-// Stop ends everything.
+// Stop stops the proxies, the databases and the platform.
 func (b *Bench) Stop() {
 	for _, p := range b.Proxies {
 		_ = p.Stop()
--- a/internal/tool/cwdemo/demo_test.go
+++ b/internal/tool/cwdemo/demo_test.go
@@ -8,7 +8,8 @@
 	"github.com/jackc/pgx/v5"
 )
 
-func TestPath(t *testing.T) {
+// A session that moves to another proxy with its token must read its own write there.
+func TestReadOwnWriteAcrossProxies(t *testing.T) {
 	c := qt.New(t)
 	ctx := context.Background()
 	b, err := Start(Options{Proxies: 2})
--- a/internal/tool/cwdemo/scenario.go
+++ b/internal/tool/cwdemo/scenario.go
@@ -9,28 +9,32 @@
 	"cicadawalk.example/cicadawalk/internal/tool/cwload"
 )
 
-// Times of the demo.
+// Parameters of the scenario.
 const (
-	onceDuration = 5 * time.Second
-	killAfter    = 1500 * time.Millisecond
-	onceSessions = 12
+	// scenarioDuration is how long the sessions run.
+	scenarioDuration = 5 * time.Second
+	// primaryStopDelay is when the primary is stopped, after the start.
+	primaryStopDelay = 1500 * time.Millisecond
+	// scenarioSessions is the number of concurrent sessions.
+	scenarioSessions = 12
 )
 
-// Once runs writes and reads in sessions that roam, kills the primary in the
-// middle, checks the ledger and prints one key=value line for each figure. It
-// fails if a promise was broken.
+// Once runs the failover scenario: sessions write, read and move between two proxies, and
+// the primary is stopped meanwhile. It prints one key=value line for each result to w, and
+// the log lines of the proxies to logs. It returns an error if a consistency guarantee was
+// violated.
 func Once(ctx context.Context, w, logs io.Writer) error {
 	b, err := Start(Options{Proxies: 2, ListLag: 100 * time.Millisecond, Log: logs})
 	if err != nil {
 		return err
 	}
 	defer b.Stop()
-	timer := time.AfterFunc(killAfter, func() { b.Databases[b.Primary()].Stop() })
+	timer := time.AfterFunc(primaryStopDelay, func() { b.Databases[b.Primary()].Stop() })
 	defer timer.Stop()
 	rep, err := cwload.Run(ctx, cwload.Plan{
 		URLs:       []string{b.URL(0), b.URL(1)},
-		Sessions:   onceSessions,
-		Duration:   onceDuration,
+		Sessions:   scenarioSessions,
+		Duration:   scenarioDuration,
 		WriteShare: 0.2,
 		Rate:       1200,
 		RoamEvery:  40,
@@ -76,13 +80,14 @@
 		fmt.Fprintf(w, "firstError=%q\n", rep.FirstError)
 	}
 	if !rep.OK() {
-		return Error.New("a promise was broken: lost %d, doubled %d, stale own reads %d, false not run %d",
+		return Error.New("a consistency guarantee was violated: %d records lost, %d duplicated, %d stale reads of own writes, %d wrong \"not run\" answers",
 			rep.Lost, rep.Doubled, rep.StaleOwnReads, rep.FalseNotRun)
 	}
 	return nil
 }
 
-// Serve runs until ctx ends, after printing a connection string for each proxy.
+// Serve starts a deployment with at least two proxies, prints the connection string of
+// each to w, and runs until ctx ends.
 func Serve(ctx context.Context, w, logs io.Writer, listen []string) error {
 	b, err := Start(Options{Proxies: max(2, len(listen)), Listen: listen, ListLag: 100 * time.Millisecond, Log: logs})
 	if err != nil {
