--- a/internal/tool/cwbound/bound.go
+++ b/internal/tool/cwbound/bound.go
@@ -1,6 +1,8 @@
-// Package cwbound holds the regression bounds of benchmarks: counts,
-// allocations and virtual time, never the wall clock. The bounds stand in
-// bounds.json; a change that needs a higher one says why in its commit.
+// Package cwbound checks the results of benchmarks against regression bounds.
+//
+// The results are counts, allocations and virtual time, never wall-clock time, so that
+// they do not depend on the machine. The bounds are in bounds.json, by the name of the
+// result. A commit that loosens a bound has to explain why.
 package cwbound
 
 import (
@@ -10,32 +12,34 @@
 )
 
 //go:embed bounds.json
-var text []byte
+var boundsJSON []byte
 
-// T is the part of a test that Check needs.
+// T is the part of testing.TB that Check uses.
 type T interface {
 	Helper()
 	Logf(format string, args ...any)
 	Errorf(format string, args ...any)
 }
 
-// bound is the range that a figure must stay in. Figures without a limit on one
-// side leave it out.
+// bound is the inclusive range that a value must stay in. A nil limit means that the
+// range is open on that side.
 type bound struct {
 	Min *float64 `json:"min"`
 	Max *float64 `json:"max"`
 }
 
-var bounds = sync.OnceValues(func() (map[string]bound, error) {
+// loadBounds parses bounds.json once and returns the bounds by name.
+var loadBounds = sync.OnceValues(func() (map[string]bound, error) {
 	var m map[string]bound
-	err := json.Unmarshal(text, &m)
+	err := json.Unmarshal(boundsJSON, &m)
 	return m, err
 })
 
-// Check fails the test if the figure is out of its bound, or has none.
+// Check logs a value, and fails the test if the value is outside of the bound with that
+// name, or if there is no such bound.
 func Check(t T, name string, value float64) {
 	t.Helper()
-	m, err := bounds()
+	m, err := loadBounds()
 	if err != nil {
 		t.Errorf("bounds.json: %v", err)
 		return
@@ -46,8 +50,8 @@
 	case !ok:
 		t.Errorf("%s has no bound in bounds.json", name)
 	case b.Max != nil && value > *b.Max:
-		t.Errorf("%s = %.3f, bound %.3f", name, value, *b.Max)
+		t.Errorf("%s = %.3f, must be at most %.3f", name, value, *b.Max)
 	case b.Min != nil && value < *b.Min:
-		t.Errorf("%s = %.3f, at least %.3f", name, value, *b.Min)
+		t.Errorf("%s = %.3f, must be at least %.3f", name, value, *b.Min)
 	}
 }
