--- a/cmd/cicadaload/main.go
+++ b/cmd/cicadaload/main.go
@@ -1,4 +1,5 @@
-// Command cicadaload drives callers against proxies and checks the ledger.
+// Command cicadaload generates load on proxies and checks what callers were told against
+// the records in the database.
 package main
 
 import (
--- a/cmd/cicadasoak/main.go
+++ b/cmd/cicadasoak/main.go
@@ -1,4 +1,5 @@
-// Command cicadasoak runs the real proxies under random faults.
+// Command cicadasoak runs proxies as processes, injects random faults, and checks what
+// callers see.
 package main
 
 import (
--- a/cmd/cicadasoak/soak_test.go
+++ b/cmd/cicadasoak/soak_test.go
@@ -12,36 +12,39 @@
 	"cicadawalk.example/cicadawalk/internal/tool/cwcommand"
 )
 
-// seeds are those that CI plays. A seed that ever failed stays here, with a line
-// on the cause.
+// seeds are the seeds that CI runs. Each seed that has ever failed stays here, with the
+// faults or the cause of the failure.
 var seeds = []struct {
 	seed string
 	args []string
 }{
-	// A planned stop with a reload, a store that loses answers and is slow, paths
-	// cut both ways and one way, a dark primary.
-	{"103", short},
-	// A planned stop with a reload between a cut path and a dark primary.
-	{"1", short},
-	// Statements that crossed the end of a resting session counted as cut off.
-	{"1001", short},
-	// A store that came back from an older copy: all that it told looked older than
-	// what was known, and no instance had the newest desired state.
-	{"6", short},
-	// The entry of a primary that lived lapsed, and reads ran by the word of one of
-	// the two members that were left.
-	{"33006", lapsing},
-	// The same right after the primary had been promoted, for seconds.
-	{"33024", lapsing},
+	// A planned stop with a reload, a store that loses answers and is slow, paths that
+	// are cut in both directions and in one, a primary that does not answer.
+	{"103", shortArgs},
+	// A planned stop with a reload, between a cut path and a primary that does not
+	// answer.
+	{"1", shortArgs},
+	// Statements that crossed the end of an idle session on the network counted as
+	// interrupted.
+	{"1001", shortArgs},
+	// The store was restored from an older snapshot: all its answers looked older than
+	// the data that instances had, and no instance got the newest desired state.
+	{"6", shortArgs},
+	// The entry of a running primary lapsed, and reads ran after an answer from only
+	// one of the two remaining members.
+	{"33006", lapseArgs},
+	// The same, for several seconds right after the promotion of the primary.
+	{"33024", lapseArgs},
 }
 
 var (
-	short = []string{"--duration", "5s"}
-	// A target counts as gone some seconds after its entry, so this takes longer.
-	lapsing = []string{"--duration", "20s", "--keyless"}
+	shortArgs = []string{"--duration", "5s"}
+	// A target counts as gone only some seconds after its entry lapsed, so these seeds
+	// run longer.
+	lapseArgs = []string{"--duration", "20s", "--keyless"}
 )
 
-// Some seconds of each seed, with the proxy as it is built from here.
+// TestSoak builds the proxy and runs the soak for a few seconds with each seed.
 func TestSoak(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "cicadawalk")
 	out, err := exec.Command("go", "build", "-o", program, "../cicadawalk").CombinedOutput()
@@ -59,6 +62,7 @@
 	}
 }
 
+// Invalid flags must end the command with an exit code before anything is started.
 func TestBadFlags(t *testing.T) {
 	root := cwcommand.SoakRoot()
 	root.SetArgs([]string{"--seeds", "0"})
--- a/cmd/cicadastandin/main.go
+++ b/cmd/cicadastandin/main.go
@@ -1,4 +1,5 @@
-// Command cicadastandin runs stand-ins for the systems around cicadawalk.
+// Command cicadastandin runs stand-ins for the systems that cicadawalk works with:
+// databases and the platform.
 package main
 
 import (
--- a/cmd/cicadawalk/main.go
+++ b/cmd/cicadawalk/main.go
@@ -1,5 +1,5 @@
-// Command cicadawalk is a database proxy with session consistency, and the
-// tools of its operators.
+// Command cicadawalk runs a database proxy with session consistency, and has the commands
+// to operate it.
 package main
 
 import (
--- a/cmd/cicadawalk/serve_test.go
+++ b/cmd/cicadawalk/serve_test.go
@@ -14,8 +14,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Callers are cut off in the middle of a planned stop: SIGHUP came shortly after
-// SIGTERM, nobody listened for it any more, and the process ended at once.
+// A SIGHUP that arrives shortly after SIGTERM must not end the process. It did when the
+// handler of SIGHUP was removed at the start of a shutdown, and sessions were interrupted.
 func TestReloadDuringAShutdownCutsNothing(t *testing.T) {
 	c := qt.New(t)
 	text, err := os.ReadFile("../../platform/testdata/node.json")
@@ -29,10 +29,10 @@
 	settings = strings.ReplaceAll(settings, "PORT5", port)
 	path := filepath.Join(c.TempDir(), "node.json")
 	c.Assert(os.WriteFile(path, []byte(settings), 0o600), qt.IsNil)
-	cmd := exec.Command(filepath.Join(bin, "cicadawalk"), "serve", "--settings", path)
+	cmd := exec.Command(filepath.Join(programDir, "cicadawalk"), "serve", "--settings", path)
 	c.Assert(cmd.Start(), qt.IsNil)
 	c.Cleanup(func() { _ = cmd.Process.Kill() })
-	// Long enough for the process to take signals.
+	// The process needs some time until it handles signals.
 	time.Sleep(time.Second)
 	c.Assert(cmd.Process.Signal(syscall.SIGHUP), qt.IsNil)
 	time.Sleep(100 * time.Millisecond)
