--- a/cicadawalk.go
+++ b/cicadawalk.go
@@ -1,23 +1,24 @@
-// Package cicadawalk offers the coordination parts of the proxy to programs
-// that embed them.
+// Package cicadawalk exports the decision logic of the proxy for programs that embed it.
 //
-// The parts decide and do no I/O. They take immutable views of a group of
-// replicated databases, events and the present time, and return typed
-// decisions; the program around them owns sockets, goroutines and the clock.
+// The types of this package make decisions and do no I/O. They take immutable views of a
+// group of replicated databases, events and the current time, and return typed decisions.
+// The embedding program owns sockets, goroutines and the clock.
 //
-// A group has members, one of which leads a Term. A Mark is a place in its log.
-// What a program knows about a group is a View, made of a Report for each
-// member:
+// A group has members, one of which is the primary of the current Term. A Mark is a
+// position in the replicated log: a term and a number of records. A View is what a program
+// knows about a group; it consists of one Report for each member.
 //
-//   - A Tracker decides when a write may be acknowledged: once a majority holds
-//     its record at the primary's own term.
-//   - A Token carries what a session has seen, and a Router places a read at a
-//     member that has it.
-//   - A Supervisor decides when a primary is replaced and returns the orders
-//     that do it, one step at a time.
-//   - Shares, Gate and Budget keep connections scarce and overload short.
+//   - A Tracker decides when a write may be acknowledged: once a majority of the members
+//     has its record at the primary's own term.
+//   - A Token carries the log positions that a session has seen, and a Router selects a
+//     member for a read that has them.
+//   - A Supervisor decides when a primary is replaced, and returns the orders that carry
+//     out the change, one step at a time.
+//   - Shares divides the connections of a target between proxies, Gate limits and queues
+//     the statements in progress at a target, and Budget limits retries, so that an
+//     overload does not grow by them.
 //
-// The example shows them together on a group of three.
+// The example uses them together on a group of three members.
 package cicadawalk
 
 import (
@@ -30,115 +31,134 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwsession"
 )
 
-// What a group of databases is, and what is known of it.
+// Groups of databases, and what is known about them.
 type (
-	// Term counts the changes of primary of a group.
+	// Term is the number of a primary's term. Each change of the primary begins a
+	// higher term.
 	Term = cwgroup.Term
-	// Position counts the records of a log.
+	// Position is a number of records in a log.
 	Position = cwgroup.Position
-	// Mark is a place in a group's log.
+	// Mark is a position in a group's log, with the term of its last record.
 	Mark = cwgroup.Mark
-	// MemberID names a database.
+	// MemberID is the id of a database.
 	MemberID = cwgroup.MemberID
-	// Role is what a member does in its group.
+	// Role is the role of a member in its group.
 	Role = cwgroup.Role
-	// Status is what a member reports about itself.
+	// Status is the state that a member reports.
 	Status = cwgroup.Status
-	// Report is a status with the time at which it was received.
+	// Report is a Status with the time at which it was received.
 	Report = cwgroup.Report
-	// View is what a program knows about a group. It is immutable.
+	// View is the state of a group as a program knows it. It is immutable.
 	View = cwgroup.View
 )
 
-// The roles of a member.
+// Roles of a member.
 const (
+	// Replica is a member that receives the primary's log.
 	Replica = cwgroup.RoleReplica
+	// Primary is the member that accepts writes.
 	Primary = cwgroup.RolePrimary
-	Fenced  = cwgroup.RoleFenced
+	// Fenced is a member that has adopted a new term and waits until it is told
+	// which primary to follow.
+	Fenced = cwgroup.RoleFenced
 )
 
-// NewView returns a view of a group whose members are not heard of yet.
+// NewView returns a view of a group without reports of its members.
 func NewView(group string, members []MemberID) View { return cwgroup.NewView(group, members) }
 
 // Acknowledgement of writes.
 type (
-	// Tracker holds the writes that wait for a majority.
+	// Tracker holds the writes that wait until a majority has their record.
 	Tracker = cwack.Tracker
-	// Wait is one write that waits.
+	// Wait is one write that waits for its acknowledgement.
 	Wait = cwack.Wait
-	// Outcome is how a wait ended.
+	// Outcome is the result of a Wait.
 	Outcome = cwack.Outcome
 )
 
-// The outcomes of a wait.
+// Outcomes of a Wait.
 const (
-	Pending      = cwack.Pending
+	// Pending means that the write still waits.
+	Pending = cwack.Pending
+	// Acknowledged means that a majority has the record.
 	Acknowledged = cwack.Acknowledged
-	Superseded   = cwack.Superseded
-	TimedOut     = cwack.TimedOut
+	// Superseded means that the primary was replaced before. The record may have been
+	// lost or not.
+	Superseded = cwack.Superseded
+	// TimedOut means that the deadline passed before. The record may survive.
+	TimedOut = cwack.TimedOut
 )
 
-// Sessions and the placing of reads.
+// Sessions and the routing of reads.
 type (
-	// Token is what a session has seen. It is immutable.
+	// Token has the log positions that a session has seen. It is immutable.
 	Token = cwsession.Token
-	// Floor is the lowest mark that may serve a session's reads.
+	// Floor is the lowest log position that a member must have applied to serve a
+	// session's reads.
 	Floor = cwsession.Floor
-	// Read is one read to be placed.
+	// Read is a read to be routed, with its requirements.
 	Read = cwroute.Read
-	// Candidate describes one member to the router.
+	// Candidate is a member that a Router may select.
 	Candidate = cwroute.Candidate
-	// Decision is what to do with a read.
+	// Decision is the member that a read is sent to, the time that it waits, or its
+	// refusal.
 	Decision = cwroute.Decision
-	// ToPrimary sends a read that no replica can serve to the primary.
+	// ToPrimary is the policy that sends a read which no replica can serve yet to the
+	// primary.
 	ToPrimary = cwroute.ToPrimary
-	// WaitUpTo lets such a read wait for a replica.
+	// WaitUpTo is the policy that lets such a read wait for a replica, up to a
+	// duration.
 	WaitUpTo = cwroute.WaitUpTo
-	// Router places reads by a policy.
+	// Router selects members for reads, with a policy for reads that no replica can
+	// serve yet.
 	Router[P cwroute.Policy] = cwroute.Router[P]
 )
 
-// ParseToken reads a token that came from outside.
+// ParseToken parses a token from an untrusted source.
 func ParseToken(text string) (Token, error) { return cwsession.ParseToken(text) }
 
-// FloorOf returns the floor that a token gives in a group.
+// FloorOf returns the floor of a token in a group.
 func FloorOf(t Token, group string) Floor { return cwsession.FloorOf(t, group) }
 
-// WritePrimary returns the member that takes writes, or false if a write could
-// not be acknowledged now.
+// WritePrimary returns the member that accepts writes, or false if a write could not be
+// acknowledged at present.
 var WritePrimary = cwroute.WritePrimary
 
 // Failover.
 type (
-	// Supervisor decides when a primary is replaced.
+	// Supervisor decides when a primary is replaced, and controls the change.
 	Supervisor = cwfailover.Supervisor
-	// Conditions are what a supervisor needs to know of the world.
+	// Conditions are the facts from outside of the group that a Supervisor needs for
+	// a decision.
 	Conditions = cwfailover.Conditions
-	// Order is something to be sent for a supervisor.
+	// Order is a request that the program has to send on behalf of a Supervisor.
 	Order = cwfailover.Order
-	// Event is the answer to an order.
+	// Event is the answer to an Order.
 	Event = cwfailover.Event
-	// Vote is what one watcher says about a primary.
+	// Vote is the opinion of one proxy about the state of a primary.
 	Vote = cwfailover.Vote
-	// Result is how a change of primary ended.
+	// Result is the result of a change of the primary.
 	Result = cwfailover.Result
 )
 
-// NewSupervisor returns a supervisor of a group that nothing is known of yet.
+// NewSupervisor returns a supervisor of a group without reports of its members.
 var NewSupervisor = cwfailover.NewSupervisor
 
-// Limits.
+// Limits of connections, statements and retries.
 type (
-	// Shares is what the limit of a target leaves each of its holders.
+	// Shares divides the connection limit of a target between the proxies that hold
+	// connections to it.
 	Shares = cwlimit.Shares
-	// Held is the share of one target that a proxy acts on.
+	// Held is the share of a target's connections that a proxy uses. It falls at once
+	// and rises with a delay, since the list of proxies lags.
 	Held = cwlimit.Held
-	// Gate admits statements to one target.
+	// Gate limits the statements in progress at one target, and queues others by
+	// priority.
 	Gate = cwlimit.Gate
-	// Ticket is one statement's place at a gate.
+	// Ticket is one statement in a Gate.
 	Ticket = cwlimit.Ticket
-	// Budget bounds retries.
+	// Budget limits retries to a fraction of the requests.
 	Budget = cwlimit.Budget
-	// Refusal is the final answer to a request that was given up on.
+	// Refusal is the final answer to a request that the proxy does not serve.
 	Refusal = cwrefusal.Refusal
 )
--- a/example_test.go
+++ b/example_test.go
@@ -7,9 +7,9 @@
 	"cicadawalk.example/cicadawalk"
 )
 
-// A group of three loses its primary. The example acknowledges a write, places
-// a read of the session that wrote, and lets a supervisor replace the primary;
-// a real program would send the orders and bring the answers back.
+// A group of three members loses its primary. The example acknowledges a write, routes a
+// read of the session that wrote, and lets a Supervisor start to replace the primary. A
+// program would send the orders and pass the answers back.
 func Example() {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	members := []cicadawalk.MemberID{"a", "b", "c"}
