--- a/cmd/cicadawalk/process_test.go
+++ b/cmd/cicadawalk/process_test.go
@@ -160,7 +160,7 @@
 	return "postgres://casero@" + d.callerAddrs[i] + "/libro-rondas?sslmode=disable"
 }
 
-// waitFor waits up to 15 s until ok returns true.
+// waitFor calls ok every 50 ms until it returns true. It fails after 300 calls.
 func waitFor(c *qt.C, what string, ok func() bool) {
 	c.Helper()
 	for range 300 {
--- a/internal/tool/cwdemo/cluster.go
+++ b/internal/tool/cwdemo/cluster.go
@@ -88,13 +88,13 @@
 type Proxy struct {
 	*cwnode.Node
 	cancel context.CancelFunc
-	group  errgroup.Group
+	eg     errgroup.Group
 }
 
 // Stop drains the proxy, as SIGTERM does.
 func (p *Proxy) Stop() error {
 	p.cancel()
-	return p.group.Wait()
+	return p.eg.Wait()
 }
 
 // Start starts the databases, the platform and the proxies, and waits up to 10 s until the
@@ -231,7 +231,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &Proxy{Node: node, cancel: cancel}
-	p.group.Go(func() error { return node.Run(ctx) })
+	p.eg.Go(func() error { return node.Run(ctx) })
 	b.Proxies = append(b.Proxies, p)
 	b.TellPlatform()
 	return p, nil
--- a/internal/tool/cwload/session.go
+++ b/internal/tool/cwload/session.go
@@ -108,7 +108,7 @@
 func (s *session) runOperation(intended time.Time) {
 	s.operationCount++
 	if r := s.load.plan.RoamEvery; r > 0 && s.operationCount%r == 0 {
-		s.roam()
+		s.switchProxy()
 	}
 	if s.rng.Float64() < s.load.plan.WriteShare {
 		s.write(intended)
@@ -117,8 +117,8 @@
 	s.read(intended)
 }
 
-// roam moves the session to the next proxy.
-func (s *session) roam() {
+// switchProxy closes the connection; the next one goes to the next proxy.
+func (s *session) switchProxy() {
 	s.close()
 	s.proxy = (s.proxy + 1) % len(s.load.plan.URLs)
 }
--- a/internal/tool/cwsoak/ledger.go
+++ b/internal/tool/cwsoak/ledger.go
@@ -80,7 +80,8 @@
 
 // ledger records what callers were told, and the violations that were found.
 type ledger struct {
-	mu         sync.Mutex
+	mu sync.Mutex
+	// items are by name, itemNames has the names of the items of each group.
 	items      map[string]*item
 	itemNames  map[string][]string
 	violations []Violation
--- a/internal/tool/cwsoak/process.go
+++ b/internal/tool/cwsoak/process.go
@@ -28,7 +28,8 @@
 	stopping bool
 	// closed is true once stop was called; the process is not restarted then.
 	closed bool
-	done   chan struct{}
+	// done is closed when the current process has ended.
+	done chan struct{}
 }
 
 func (p *process) start() error {
--- a/internal/tool/cwsoak/soak.go
+++ b/internal/tool/cwsoak/soak.go
@@ -99,12 +99,13 @@
 	Seed uint64
 	// Faults is the number of injected faults.
 	Faults int
-	// Acked, Refused and Unresolved are the numbers of writes that were acknowledged,
-	// that were reported as not run, and whose outcome is unknown.
+	// Acked, Refused and Unresolved are the numbers of writes and transactions that
+	// were acknowledged, that had no effect because they were refused, rolled back or
+	// interrupted before their COMMIT, and whose outcome is unknown.
 	Acked      int
 	Refused    int
 	Unresolved int
-	// Reads is the number of reads that were sent.
+	// Reads is the number of reads outside of transactions.
 	Reads      int
 	Violations []Violation
 }
