--- a/internal/tool/cwload/load.go
+++ b/internal/tool/cwload/load.go
@@ -170,7 +170,7 @@
 const prepareTimeout = 10 * time.Second
 
 // prepareTable creates the table. Like the sessions, it retries statements that were
-// refused as not run, after the delay that the answer tells: proxies that have just
+// refused as not run, after the delay that the answer specifies: proxies that have just
 // started refuse statements until they know their groups.
 func (l *Load) prepareTable(ctx context.Context) error {
 	end := time.Now().Add(prepareTimeout)
--- a/internal/tool/cwload/session.go
+++ b/internal/tool/cwload/session.go
@@ -57,7 +57,7 @@
 	operationTimeout = 15 * time.Second
 	// connectRetryDelay is the delay after a failure to connect.
 	connectRetryDelay = 50 * time.Millisecond
-	// defaultRetryDelay is the delay before a retry if the answer tells none.
+	// defaultRetryDelay is the delay before a retry if the answer specifies none.
 	defaultRetryDelay = 50 * time.Millisecond
 	// maxAttempts bounds the attempts at one operation.
 	maxAttempts = 40
