--- a/internal/core/cwfailover/attempt.go
+++ b/internal/core/cwfailover/attempt.go
@@ -27,7 +27,7 @@
 // Phase is the progress of an attempt.
 type Phase uint8
 
-// The phases of an attempt, in order. Done and Abandoned are final.
+// The phases of an attempt, in order. PhaseDone and PhaseAbandoned are final.
 const (
 	// PhaseClaiming waits for the table to confirm the claim.
 	PhaseClaiming Phase = iota
@@ -35,12 +35,12 @@
 	PhaseFencing
 	// PhasePromoting waits for the selected member to become the primary.
 	PhasePromoting
-	// PhaseFinishing waits for the other members to follow the new primary and for the
-	// table to record it.
+	// PhaseFinishing waits for the other members to follow the new primary and for
+	// the table to record it.
 	PhaseFinishing
 	// PhaseDone means that the group has a new primary.
 	PhaseDone
-	// PhaseAbandoned means that the attempt was given up for its Reason.
+	// PhaseAbandoned means that the attempt was given up; see Attempt.Reason.
 	PhaseAbandoned
 )
 
@@ -67,8 +67,8 @@
 // NextTerm returns the term that the next change of primary would move to.
 func NextTerm(v cwgroup.View) cwgroup.Term { return v.HighestTerm() + 1 }
 
-// Attempt carries out one attempt to change the primary, according to a Plan. Create
-// one with NewAttempt. It is not safe for concurrent use.
+// Attempt carries out one attempt to change the primary, according to a Plan. It is
+// created by NewAttempt. It is not safe for concurrent use.
 type Attempt struct {
 	plan   Plan
 	phase  Phase
@@ -89,19 +89,21 @@
 	// claimConfirmed is true once the table has confirmed the claim.
 	claimConfirmed bool
 	// heldCommands holds commands to send once the claim has been read back or the
-	// replaced term has been recorded; announcePending is true for the latter.
-	heldCommands    []Command
-	announcePending bool
-	// deferredAdopts holds the Adopt commands that wait for the leaving primary's
-	// response.
+	// replaced term has been recorded; replacedTermPending is true in the latter
+	// case.
+	heldCommands        []Command
+	replacedTermPending bool
+	// deferredAdopts holds the AdoptTerm commands that wait for the leaving
+	// primary's response.
 	deferredAdopts []Command
-	// recordAnswered is true once RecordPrimary was answered, with any outcome.
-	recordAnswered bool
+	// recordPrimaryAnswered is true once RecordPrimary was answered, with any
+	// outcome.
+	recordPrimaryAnswered bool
 	// pendingFollows is the number of Follow commands without a response.
 	pendingFollows int
 }
 
-// NewAttempt returns a Keeper that has not been started.
+// NewAttempt returns an Attempt that has not been started.
 func NewAttempt(p Plan) *Attempt {
 	return &Attempt{
 		plan:        p,
@@ -151,28 +153,28 @@
 }
 
 // Handle processes the response to a command and returns the next commands.
-func (k *Attempt) Handle(ev Response, now time.Time) []Command {
+func (k *Attempt) Handle(resp Response, now time.Time) []Command {
 	if k.endIfExpired(now) {
 		return nil
 	}
-	switch ev.Kind {
+	switch resp.Kind {
 	case WriteClaim:
-		return k.handleClaim(ev.RowOutcome)
+		return k.handleClaim(resp.RowOutcome)
 	case ReadClaim:
-		if k.announcePending {
+		if k.replacedTermPending {
 			return nil
 		}
-		return k.handleReadBack(ev.RowOutcome, now)
+		return k.handleReadBack(resp.RowOutcome, now)
 	case RecordReplacedTerm:
-		return k.handleAnnounce(ev.RowOutcome, now)
+		return k.handleRecordReplacedTerm(resp.RowOutcome, now)
 	case AdoptTerm:
-		return k.handleAdopt(ev, now)
+		return k.handleAdopt(resp, now)
 	case Promote:
-		return k.handlePromote(ev)
+		return k.handlePromote(resp)
 	case Follow:
 		return k.handleFollow()
 	case RecordPrimary:
-		k.recordAnswered = true
+		k.recordPrimaryAnswered = true
 		k.finishIfComplete()
 	}
 	return nil
@@ -222,7 +224,7 @@
 
 // canProceedWithoutTable reports whether the members alone make the claim unique.
 // Each member adopts a term for one claim only, so two claims for the same term
-// cannot both get a majority. Terms and positions are counted by the group's
+// cannot both get a majority. Terms and log positions are counted by the group's
 // databases and do not depend on the table.
 func (k *Attempt) canProceedWithoutTable() bool {
 	return k.plan.MembersCheckTerm && k.plan.WithoutTable
@@ -282,7 +284,7 @@
 	return out
 }
 
-// announceReplacedTerm records in the group's row which terms are being replaced
+// recordReplacedTerm records in the group's row which terms are being replaced
 // before it returns the commands that promote a member.
 //
 // It prevents two failures. First, a member that was fenced for the change restarts
@@ -293,16 +295,16 @@
 // trusts no primary of the recorded terms. The successful write also serves as the
 // last check that the claim is still valid. If the members check terms, neither the
 // record nor this check is needed.
-func (k *Attempt) announceReplacedTerm(commands []Command) []Command {
+func (k *Attempt) recordReplacedTerm(commands []Command) []Command {
 	if k.plan.MembersCheckTerm {
 		return commands
 	}
-	k.heldCommands, k.announcePending = commands, true
+	k.heldCommands, k.replacedTermPending = commands, true
 	return []Command{k.newCommand(RecordReplacedTerm, "")}
 }
 
-func (k *Attempt) handleAnnounce(o RowOutcome, now time.Time) []Command {
-	if !k.announcePending {
+func (k *Attempt) handleRecordReplacedTerm(o RowOutcome, now time.Time) []Command {
+	if !k.replacedTermPending {
 		return nil
 	}
 	if o == RowUnknown {
@@ -310,7 +312,7 @@
 		// holds this claim.
 		return []Command{k.newCommand(RecordReplacedTerm, "")}
 	}
-	k.announcePending = false
+	k.replacedTermPending = false
 	return k.handleReadBack(o, now)
 }
 
@@ -326,15 +328,15 @@
 	return []Command{k.newCommand(ReadClaim, "")}
 }
 
-func (k *Attempt) handlePromote(ev Response) []Command {
+func (k *Attempt) handlePromote(resp Response) []Command {
 	if k.phase != PhasePromoting {
 		return nil
 	}
-	if ev.Status.AdoptedTerm > k.plan.Term {
+	if resp.Status.AdoptedTerm > k.plan.Term {
 		k.abandon(ReasonHigherTerm)
 		return nil
 	}
-	if ev.Failed {
+	if resp.Failed {
 		// The member may have been promoted nevertheless. Abandoning is safe
 		// because the next term fences it.
 		k.abandon(ReasonPromotionFailed)
@@ -358,7 +360,7 @@
 }
 
 func (k *Attempt) finishIfComplete() {
-	if k.phase == PhaseFinishing && k.pendingFollows <= 0 && k.recordAnswered {
+	if k.phase == PhaseFinishing && k.pendingFollows <= 0 && k.recordPrimaryAnswered {
 		k.phase = PhaseDone
 	}
 }
--- a/internal/core/cwfailover/command.go
+++ b/internal/core/cwfailover/command.go
@@ -17,10 +17,11 @@
 	// ReadClaim reads the row back, after the response to a write was lost or before
 	// a command to a member that does not check terms.
 	ReadClaim
-	// RecordReplacedTerm records, in the row that holds this claim, which terms are being
-	// replaced.
+	// RecordReplacedTerm records, in the row that holds this claim, which terms are
+	// being replaced.
 	RecordReplacedTerm
-	// AdoptTerm asks a member to adopt the term for the claim and to return its status.
+	// AdoptTerm asks a member to adopt the term for the claim and to return its
+	// status.
 	AdoptTerm
 	// Promote makes a member the primary of the term.
 	Promote
@@ -35,7 +36,7 @@
 	return [...]string{"claimRow", "readRow", "announceRow", "adopt", "promote", "follow", "recordRow"}[k]
 }
 
-// Command is a command of a Keeper or Supervisor that the caller executes.
+// Command is a command of an Attempt or Supervisor that the caller executes.
 type Command struct {
 	Kind   CommandKind
 	Member cwgroup.MemberID
@@ -44,7 +45,8 @@
 	// Primary is the primary to replicate from for Follow and the one to record for
 	// RecordPrimary.
 	Primary cwgroup.MemberID
-	// ReplacedTerm is the newest replaced term, which RecordReplacedTerm and RecordPrimary record.
+	// ReplacedTerm is the newest replaced term, which RecordReplacedTerm and
+	// RecordPrimary record.
 	ReplacedTerm cwgroup.Term
 	// GroupSize is the number of members of the group, which the same two kinds
 	// record; zero if it is not known.
@@ -81,8 +83,8 @@
 	Kind   CommandKind
 	Member cwgroup.MemberID
 	Claim  cwgroup.ClaimID
-	// RowOutcome is the outcome of a command to the table. For ReadClaim, RowConfirmed means that
-	// the row holds this attempt's claim.
+	// RowOutcome is the outcome of a command to the table. For ReadClaim,
+	// RowConfirmed means that the row holds this attempt's claim.
 	RowOutcome RowOutcome
 	// Status is the member's status. Failed is true if the member did not answer or
 	// rejected the command.
@@ -111,15 +113,15 @@
 	// unless MembersCheckTerm is set, because otherwise only the table makes a claim
 	// unique.
 	WithoutTable bool
-	// LeavingPrimary is a member that is leaving. It is promoted only if it may be the only
-	// one that has every acknowledged record.
+	// LeavingPrimary is a member that is leaving. It is promoted only if it may be
+	// the only one that has every acknowledged record.
 	LeavingPrimary cwgroup.MemberID
 	// Preferred is promoted if several members are equally advanced.
 	Preferred cwgroup.MemberID
-	// ExcludedPrimary is a primary that no replica can replicate from. It is fenced but
-	// neither counted for the majority nor promoted: its log is the longest because
-	// of records that could not be acknowledged, so it would be promoted again and
-	// again. Any majority has every acknowledged record, so one of the other
-	// members can be promoted.
+	// ExcludedPrimary is a primary that no replica can replicate from. It is fenced
+	// but neither counted for the majority nor promoted: its log is the longest
+	// because of records that could not be acknowledged, so it would be promoted
+	// again and again. Any majority has every acknowledged record, so one of the
+	// other members can be promoted.
 	ExcludedPrimary cwgroup.MemberID
 }
--- a/internal/core/cwfailover/detector.go
+++ b/internal/core/cwfailover/detector.go
@@ -3,16 +3,17 @@
 //
 // A Detector evaluates evidence that the primary has failed: what this proxy
 // observed, what the other proxies that monitor the group report, and whether the
-// replicas still receive data from the primary. A Keeper is the state machine of
+// replicas still receive data from the primary. An Attempt is the state machine of
 // one attempt to move the group to a new primary in the next term: claim the
 // group's row in the platform's table, fence a majority of the members, promote the
 // most advanced of them, make the others follow it, and record the result. Any
-// proxy can run a Keeper, several can run at once, and each can crash or pause
+// proxy can run an Attempt, several can run at once, and each can crash or pause
 // after any step. A member adopts a term for one claim only, so at most one claim
 // per term gets a majority. A Supervisor combines both for one proxy and one group.
 //
-// The package does no I/O. A Keeper consumes events and returns commands (type
-// Order). The caller executes them and must not send a command after its NotAfter.
+// The package does no I/O. An Attempt consumes the responses to its commands and
+// returns the next commands. The caller executes them and must not send a command
+// after its NotAfter.
 package cwfailover
 
 import (
@@ -33,13 +34,13 @@
 	// replica counts as disconnected from it. Members send to their replicas every
 	// 100 ms.
 	UpstreamTimeout = 300 * time.Millisecond
-	// MinUnanimousSuspicion is how long all proxies must have suspected the primary before their
-	// votes override replicas that still receive data from it.
+	// MinUnanimousSuspicion is how long all proxies must have suspected the primary
+	// before their votes override replicas that still receive data from it.
 	MinUnanimousSuspicion = 2 * time.Second
-	// MinTimeWithoutPrimary is how long a group must have no primary, or a reachable primary
-	// without enough replicas, before the primary may be replaced. The same state
-	// occurs during a change of primary that is in progress and in a proxy that has
-	// just started.
+	// MinTimeWithoutPrimary is how long a group must have no primary, or a
+	// reachable primary without enough replicas, before the primary may be
+	// replaced. The same state occurs during a change of primary that is in
+	// progress and in a proxy that has just started.
 	MinTimeWithoutPrimary = time.Second
 	// ReportMaxAge is the maximum age of a report for its member to count as
 	// reachable.
@@ -52,8 +53,8 @@
 	// Term is the term of the primary that the vote is about.
 	Term    cwgroup.Term
 	Suspect bool
-	// SuspectedSince is when the current suspicion began, by the clock of the proxy that
-	// stores the vote.
+	// SuspectedSince is when the current suspicion began, by the clock of the proxy
+	// that stores the vote.
 	SuspectedSince time.Time
 	// ReceivedAt is when the vote was received, by the same clock.
 	ReceivedAt time.Time
@@ -66,16 +67,16 @@
 	FreshVotes int
 	// SuspectVotes is the number of them that suspect the primary.
 	SuspectVotes int
-	// ListedProxies is the number of live proxies that monitor the group according to the
-	// platform's instance list, which is updated with a delay.
+	// ListedProxies is the number of live proxies that monitor the group according
+	// to the platform's instance list, which is updated with a delay.
 	ListedProxies int
 	// GroupSize is the size of the group.
 	GroupSize int
-	// ReplicasDisconnected is the number of members, not counting the primary, that no
-	// longer receive data from the primary.
+	// ReplicasDisconnected is the number of members, not counting the primary, that
+	// no longer receive data from the primary.
 	ReplicasDisconnected int
-	// ReplicasConnected is the number of members, not counting the primary, that still
-	// do.
+	// ReplicasConnected is the number of members, not counting the primary, that
+	// still do.
 	ReplicasConnected int
 	// SuspectedFor is how long this proxy has suspected the primary.
 	SuspectedFor time.Duration
@@ -86,8 +87,9 @@
 	ShouldReplace(Evidence) bool
 }
 
-// ProxyMajorityPolicy replaces a primary once it is suspected by a majority of the monitoring
-// proxies. The majority is that of the larger of the two counts, Heard and Listed.
+// ProxyMajorityPolicy replaces a primary once it is suspected by a majority of the
+// monitoring proxies. The majority is that of the larger of FreshVotes and
+// ListedProxies.
 type ProxyMajorityPolicy struct{}
 
 // ShouldReplace implements FailurePolicy.
@@ -98,12 +100,13 @@
 // ProxiesAndReplicasPolicy also considers whether the replicas are connected to the
 // primary.
 //
-// It prevents two failures of ProxyMajorityPolicy. First, proxies that are partitioned from a
-// primary which its replicas still follow would replace it needlessly; here the
-// suspicion must then be unanimous and last for Persist. Second, if some proxies
-// fail together with the primary, the instance list still contains them, and the
-// remaining proxies can never form a majority of it; here a majority of
-// disconnected replicas replaces the missing votes.
+// It prevents two failures of ProxyMajorityPolicy. First, proxies that are
+// partitioned from a primary which its replicas still follow would replace it
+// needlessly; here the suspicion must then be unanimous and last for
+// MinUnanimousSuspicion. Second, if some proxies fail together with the primary,
+// the instance list still contains them, and the remaining proxies can never form a
+// majority of it; here a majority of disconnected replicas replaces the missing
+// votes.
 type ProxiesAndReplicasPolicy struct{}
 
 // ShouldReplace implements FailurePolicy.
@@ -157,8 +160,8 @@
 	d.votes[v.Instance] = v
 }
 
-// ShouldReplace reports whether the primary should be replaced now. listed is the value
-// for Evidence.ListedProxies.
+// ShouldReplace reports whether the primary should be replaced now. listed is the
+// value for Evidence.ListedProxies.
 func (d *Detector[P]) ShouldReplace(v cwgroup.View, listed int, now time.Time) bool {
 	if !d.own.Suspect || d.own.Term != v.Term() {
 		return false
--- a/internal/core/cwfailover/fence.go
+++ b/internal/core/cwfailover/fence.go
@@ -27,19 +27,19 @@
 	return k.afterReadBack([]Command{k.newCommand(AdoptTerm, k.plan.LeavingPrimary)})
 }
 
-func (k *Attempt) handleAdopt(ev Response, now time.Time) []Command {
-	if ev.Status.AdoptedTerm > k.plan.Term {
+func (k *Attempt) handleAdopt(resp Response, now time.Time) []Command {
+	if resp.Status.AdoptedTerm > k.plan.Term {
 		k.abandon(ReasonHigherTerm)
 		return nil
 	}
-	if k.phase != PhaseFencing || ev.Member == k.plan.ExcludedPrimary {
+	if k.phase != PhaseFencing || resp.Member == k.plan.ExcludedPrimary {
 		return nil
 	}
-	if ev.Failed || ev.Status.AdoptedTerm != k.plan.Term || ev.Status.Claim != k.plan.Claim {
-		k.fenceFailed[ev.Member] = true
+	if resp.Failed || resp.Status.AdoptedTerm != k.plan.Term || resp.Status.Claim != k.plan.Claim {
+		k.fenceFailed[resp.Member] = true
 	} else {
-		k.fenced[ev.Member] = ev.Status
-		k.highestPriorTerm = max(k.highestPriorTerm, ev.Status.PriorTerm)
+		k.fenced[resp.Member] = resp.Status
+		k.highestPriorTerm = max(k.highestPriorTerm, resp.Status.PriorTerm)
 	}
 	majority := k.majority()
 	if len(k.fenceFailed) > k.countedMembers()-majority {
@@ -49,7 +49,7 @@
 	if len(k.fenced) >= majority && k.majorityFencedAt.IsZero() {
 		k.majorityFencedAt = now
 	}
-	if ev.Member == k.plan.LeavingPrimary && len(k.deferredAdopts) > 0 {
+	if resp.Member == k.plan.LeavingPrimary && len(k.deferredAdopts) > 0 {
 		commands := k.deferredAdopts
 		k.deferredAdopts = nil
 		return k.afterReadBack(commands)
@@ -111,8 +111,8 @@
 }
 
 // startPromotion selects the most advanced of the fenced members. It compares the
-// term of the last record first, then the position: a member that adopted later
-// terms while it was partitioned may still have fewer acknowledged records.
+// term of the last record first, then its index: a member that adopted later terms
+// while it was partitioned may still have fewer acknowledged records.
 func (k *Attempt) startPromotion() []Command {
 	k.phase = PhasePromoting
 	var best cwgroup.Status
@@ -126,7 +126,7 @@
 		}
 	}
 	k.newPrimary = best.Member
-	return k.announceReplacedTerm([]Command{k.newCommand(Promote, k.newPrimary)})
+	return k.recordReplacedTerm([]Command{k.newCommand(Promote, k.newPrimary)})
 }
 
 // allOthersFenced reports whether every member except the leaving one was fenced.
--- a/internal/core/cwfailover/keeper_test.go
+++ b/internal/core/cwfailover/keeper_test.go
@@ -17,7 +17,7 @@
 	return Plan{Group: "g", Members: members, Term: 4, Claim: "k", MembersCheckTerm: true, WithoutTable: true}
 }
 
-func mark(t cwgroup.Term, p cwgroup.LogIndex) cwgroup.LogPosition {
+func logPosition(t cwgroup.Term, p cwgroup.LogIndex) cwgroup.LogPosition {
 	return cwgroup.LogPosition{Term: t, Index: p}
 }
 
@@ -28,8 +28,8 @@
 // describeCommands returns the kind and the member of each command.
 func describeCommands(commands []Command) []string {
 	out := []string{}
-	for _, o := range commands {
-		out = append(out, o.Kind.String()+" "+string(o.Member))
+	for _, c := range commands {
+		out = append(out, c.Kind.String()+" "+string(c.Member))
 	}
 	return out
 }
@@ -39,7 +39,7 @@
 	qt.Assert(t, describeCommands(got), qt.DeepEquals, append([]string{}, want...))
 }
 
-func fencingKeeper(t *testing.T, p Plan) *Attempt {
+func fencingAttempt(t *testing.T, p Plan) *Attempt {
 	k := NewAttempt(p)
 	assertCommands(t, k.Start(start), "claimRow ")
 	assertCommands(t, k.Handle(Response{Kind: WriteClaim, RowOutcome: RowConfirmed}, start), "adopt a", "adopt b", "adopt c")
@@ -47,9 +47,9 @@
 }
 
 func TestSuccessfulChange(t *testing.T) {
-	k := fencingKeeper(t, testPlan())
-	assertCommands(t, k.Handle(adoptResponse("b", mark(3, 7)), start))
-	assertCommands(t, k.Handle(adoptResponse("c", mark(3, 9)), start))
+	k := fencingAttempt(t, testPlan())
+	assertCommands(t, k.Handle(adoptResponse("b", logPosition(3, 7)), start))
+	assertCommands(t, k.Handle(adoptResponse("c", logPosition(3, 9)), start))
 	assertCommands(t, k.Tick(start.Add(FenceGracePeriod)), "promote c")
 	assertCommands(t, k.Handle(Response{Kind: Promote, Member: "c"}, start), "follow a", "follow b", "recordRow ")
 	k.Handle(Response{Kind: Follow, Member: "a", Failed: true}, start)
@@ -63,9 +63,9 @@
 // term 3. The most advanced member is the one whose last record has the latest
 // term, not the one with the longest log.
 func TestMostAdvancedComparesTermFirst(t *testing.T) {
-	k := fencingKeeper(t, testPlan())
-	k.Handle(adoptResponse("a", mark(2, 500)), start)
-	k.Handle(adoptResponse("b", mark(3, 100)), start)
+	k := fencingAttempt(t, testPlan())
+	k.Handle(adoptResponse("a", logPosition(2, 500)), start)
+	k.Handle(adoptResponse("b", logPosition(3, 100)), start)
 	assertCommands(t, k.Handle(Response{Kind: AdoptTerm, Member: "c", Failed: true}, start), "promote b")
 }
 
@@ -73,10 +73,10 @@
 // another proxy changes the primary, and the first one resumes. It must send
 // nothing.
 func TestExpiredAttemptSendsNothing(t *testing.T) {
-	k := fencingKeeper(t, testPlan())
-	k.Handle(adoptResponse("a", mark(3, 5)), start)
+	k := fencingAttempt(t, testPlan())
+	k.Handle(adoptResponse("a", logPosition(3, 5)), start)
 	resumed := start.Add(ClaimTTL)
-	assertCommands(t, k.Handle(adoptResponse("b", mark(3, 5)), resumed))
+	assertCommands(t, k.Handle(adoptResponse("b", logPosition(3, 5)), resumed))
 	qt.Assert(t, k.Phase(), qt.Equals, PhaseAbandoned)
 	qt.Assert(t, k.Reason(), qt.Equals, ReasonClaimExpired)
 }
@@ -121,11 +121,11 @@
 	k.Handle(Response{Kind: WriteClaim, RowOutcome: RowConflict}, start)
 	qt.Assert(t, k.Reason(), qt.Equals, ReasonClaimConflict)
 
-	k = fencingKeeper(t, testPlan())
+	k = fencingAttempt(t, testPlan())
 	k.Handle(Response{Kind: AdoptTerm, Member: "a", Failed: true, Status: cwgroup.Status{Member: "a", AdoptedTerm: 5}}, start)
 	qt.Assert(t, k.Reason(), qt.Equals, ReasonHigherTerm)
 
-	k = fencingKeeper(t, testPlan())
+	k = fencingAttempt(t, testPlan())
 	k.Handle(Response{Kind: AdoptTerm, Member: "a", Failed: true}, start)
 	k.Handle(Response{Kind: AdoptTerm, Member: "b", Failed: true}, start)
 	qt.Assert(t, k.Reason(), qt.Equals, ReasonNoMajority)
@@ -143,9 +143,9 @@
 	commands := k.Handle(Response{Kind: ReadClaim, RowOutcome: RowConfirmed}, start)
 	assertCommands(t, commands, "adopt a", "adopt b", "adopt c")
 	qt.Assert(t, commands[0].NotAfter, qt.Equals, start.Add(ReadBackTTL))
-	k.Handle(adoptResponse("a", mark(3, 5)), start)
-	assertCommands(t, k.Handle(adoptResponse("b", mark(3, 5)), start))
-	assertCommands(t, k.Handle(adoptResponse("c", mark(3, 5)), start), "announceRow ")
+	k.Handle(adoptResponse("a", logPosition(3, 5)), start)
+	assertCommands(t, k.Handle(adoptResponse("b", logPosition(3, 5)), start))
+	assertCommands(t, k.Handle(adoptResponse("c", logPosition(3, 5)), start), "announceRow ")
 	assertCommands(t, k.Handle(Response{Kind: RecordReplacedTerm, RowOutcome: RowConflict}, start))
 	qt.Assert(t, k.Reason(), qt.Equals, ReasonClaimConflict)
 }
@@ -153,7 +153,7 @@
 // Guards against a promotion whose replaced term is not recorded in the group's row
 // beforehand.
 func TestReplacedTermIsRecordedBeforePromotion(t *testing.T) {
-	announcingKeeper := func(t *testing.T) (*Attempt, []Command) {
+	recordingAttempt := func(t *testing.T) (*Attempt, []Command) {
 		p := testPlan()
 		p.MembersCheckTerm, p.WithoutTable, p.ReplacedTerm = false, false, 2
 		k := NewAttempt(p)
@@ -161,9 +161,9 @@
 		k.Handle(Response{Kind: WriteClaim, RowOutcome: RowConfirmed}, start)
 		k.Handle(Response{Kind: ReadClaim, RowOutcome: RowConfirmed}, start)
 		for _, id := range members {
-			ev := adoptResponse(id, mark(3, 5))
-			ev.Status.PriorTerm = 3
-			if commands := k.Handle(ev, start); len(commands) > 0 {
+			resp := adoptResponse(id, logPosition(3, 5))
+			resp.Status.PriorTerm = 3
+			if commands := k.Handle(resp, start); len(commands) > 0 {
 				return k, commands
 			}
 		}
@@ -171,7 +171,7 @@
 		return nil, nil
 	}
 	t.Run("records the replaced term", func(t *testing.T) {
-		k, commands := announcingKeeper(t)
+		k, commands := recordingAttempt(t)
 		assertCommands(t, commands, "announceRow ")
 		qt.Assert(t, commands[0].ReplacedTerm, qt.Equals, cwgroup.Term(3))
 		commands = k.Handle(Response{Kind: RecordReplacedTerm, RowOutcome: RowConfirmed}, start)
@@ -179,17 +179,17 @@
 		qt.Assert(t, commands[0].NotAfter, qt.Equals, start.Add(ReadBackTTL))
 	})
 	t.Run("response lost", func(t *testing.T) {
-		k, _ := announcingKeeper(t)
+		k, _ := recordingAttempt(t)
 		assertCommands(t, k.Handle(Response{Kind: RecordReplacedTerm, RowOutcome: RowUnknown}, start), "announceRow ")
 		assertCommands(t, k.Handle(Response{Kind: RecordReplacedTerm, RowOutcome: RowConfirmed}, start), "promote a")
 	})
 	t.Run("late response to an earlier read", func(t *testing.T) {
-		k, _ := announcingKeeper(t)
+		k, _ := recordingAttempt(t)
 		assertCommands(t, k.Handle(Response{Kind: ReadClaim, RowOutcome: RowConfirmed}, start))
 		assertCommands(t, k.Handle(Response{Kind: RecordReplacedTerm, RowOutcome: RowConfirmed}, start), "promote a")
 	})
 	t.Run("table unavailable", func(t *testing.T) {
-		k, _ := announcingKeeper(t)
+		k, _ := recordingAttempt(t)
 		assertCommands(t, k.Handle(Response{Kind: RecordReplacedTerm, RowOutcome: RowUnavailable}, start))
 		qt.Assert(t, k.Reason(), qt.Equals, ReasonTableUnavailable)
 	})
@@ -202,7 +202,7 @@
 func TestPlannedStopAvoidsTheLeavingMember(t *testing.T) {
 	p := testPlan()
 	p.LeavingPrimary = "a"
-	keeperWithLeavingPrimary := func(t *testing.T, last cwgroup.LogPosition) *Attempt {
+	attemptWithLeavingPrimary := func(t *testing.T, last cwgroup.LogPosition) *Attempt {
 		k := NewAttempt(p)
 		assertCommands(t, k.Start(start), "claimRow ")
 		assertCommands(t, k.Handle(Response{Kind: WriteClaim, RowOutcome: RowConfirmed}, start), "adopt a")
@@ -210,18 +210,18 @@
 		return k
 	}
 	t.Run("another member is equally advanced", func(t *testing.T) {
-		k := keeperWithLeavingPrimary(t, mark(3, 5))
-		k.Handle(adoptResponse("b", mark(3, 5)), start)
-		assertCommands(t, k.Handle(adoptResponse("c", mark(3, 4)), start), "promote b")
+		k := attemptWithLeavingPrimary(t, logPosition(3, 5))
+		k.Handle(adoptResponse("b", logPosition(3, 5)), start)
+		assertCommands(t, k.Handle(adoptResponse("c", logPosition(3, 4)), start), "promote b")
 	})
 	t.Run("leaving member has the longest log, all others are fenced", func(t *testing.T) {
-		k := keeperWithLeavingPrimary(t, mark(3, 6))
-		k.Handle(adoptResponse("b", mark(3, 5)), start)
-		assertCommands(t, k.Handle(adoptResponse("c", mark(3, 4)), start), "promote b")
+		k := attemptWithLeavingPrimary(t, logPosition(3, 6))
+		k.Handle(adoptResponse("b", logPosition(3, 5)), start)
+		assertCommands(t, k.Handle(adoptResponse("c", logPosition(3, 4)), start), "promote b")
 	})
 	t.Run("leaving member has the longest log, another member is missing", func(t *testing.T) {
-		k := keeperWithLeavingPrimary(t, mark(3, 6))
-		k.Handle(adoptResponse("b", mark(3, 5)), start)
+		k := attemptWithLeavingPrimary(t, logPosition(3, 6))
+		k.Handle(adoptResponse("b", logPosition(3, 5)), start)
 		assertCommands(t, k.Handle(Response{Kind: AdoptTerm, Member: "c", Claim: "k", Failed: true}, start), "promote a")
 	})
 	t.Run("leaving member does not answer", func(t *testing.T) {
@@ -230,8 +230,8 @@
 		k.Handle(Response{Kind: WriteClaim, RowOutcome: RowConfirmed}, start)
 		failed := Response{Kind: AdoptTerm, Member: "a", Claim: "k", Failed: true}
 		assertCommands(t, k.Handle(failed, start), "adopt b", "adopt c")
-		k.Handle(adoptResponse("b", mark(3, 5)), start)
-		assertCommands(t, k.Handle(adoptResponse("c", mark(3, 4)), start), "promote b")
+		k.Handle(adoptResponse("b", logPosition(3, 5)), start)
+		assertCommands(t, k.Handle(adoptResponse("c", logPosition(3, 4)), start), "promote b")
 	})
 }
 
@@ -272,7 +272,7 @@
 	s := NewSupervisor("p", "s", "g", members)
 	report := func(id cwgroup.MemberID, r cwgroup.Role, at time.Time) {
 		s.AddReport(cwgroup.Report{Status: cwgroup.Status{
-			Member: id, Role: r, AdoptedTerm: 1, Durable: mark(1, 5), Applied: mark(1, 5), UpstreamAge: time.Second,
+			Member: id, Role: r, AdoptedTerm: 1, Durable: logPosition(1, 5), Applied: logPosition(1, 5), UpstreamAge: time.Second,
 		}, At: at, Reachable: true}, "a", at)
 	}
 	report("a", cwgroup.RolePrimary, start)
@@ -281,11 +281,11 @@
 	suspectedAt := start.Add(600 * time.Millisecond)
 	s.SetUnreachable("a", suspectedAt)
 	report("b", cwgroup.RoleReplica, suspectedAt.Add(50*time.Millisecond))
-	conditions := TickInputs{ListedProxies: 1, MembersCheckTerm: true, WithoutTable: true}
-	s.Tick(suspectedAt.Add(60*time.Millisecond), conditions)
+	inputs := TickInputs{ListedProxies: 1, MembersCheckTerm: true, WithoutTable: true}
+	s.Tick(suspectedAt.Add(60*time.Millisecond), inputs)
 	qt.Assert(t, s.ChangingPrimary(), qt.IsFalse)
 	report("c", cwgroup.RoleReplica, suspectedAt.Add(70*time.Millisecond))
-	s.Tick(suspectedAt.Add(80*time.Millisecond), conditions)
+	s.Tick(suspectedAt.Add(80*time.Millisecond), inputs)
 	qt.Assert(t, s.ChangingPrimary(), qt.IsTrue)
 }
 
@@ -294,17 +294,17 @@
 // possibly some of its records.
 func TestRestartedMemberLosesItsFence(t *testing.T) {
 	t.Run("while waiting for other members", func(t *testing.T) {
-		k := fencingKeeper(t, testPlan())
-		k.Handle(adoptResponse("b", mark(3, 7)), start)
-		k.Handle(adoptResponse("c", mark(3, 9)), start)
+		k := fencingAttempt(t, testPlan())
+		k.Handle(adoptResponse("b", logPosition(3, 7)), start)
+		k.Handle(adoptResponse("c", logPosition(3, 9)), start)
 		k.MemberRestarted("c")
 		assertCommands(t, k.Tick(start.Add(FenceGracePeriod)))
-		assertCommands(t, k.Handle(adoptResponse("a", mark(3, 8)), start), "promote a")
+		assertCommands(t, k.Handle(adoptResponse("a", logPosition(3, 8)), start), "promote a")
 	})
 	t.Run("with no other member left", func(t *testing.T) {
-		k := fencingKeeper(t, testPlan())
+		k := fencingAttempt(t, testPlan())
 		k.Handle(Response{Kind: AdoptTerm, Member: "a", Failed: true}, start)
-		k.Handle(adoptResponse("b", mark(3, 7)), start)
+		k.Handle(adoptResponse("b", logPosition(3, 7)), start)
 		k.MemberRestarted("b")
 		qt.Assert(t, k.Reason(), qt.Equals, ReasonMemberRestarted)
 	})
@@ -315,9 +315,9 @@
 		k.Start(start)
 		k.Handle(Response{Kind: WriteClaim, RowOutcome: RowConfirmed}, start)
 		k.Handle(Response{Kind: ReadClaim, RowOutcome: RowConfirmed}, start)
-		k.Handle(adoptResponse("a", mark(3, 7)), start)
-		k.Handle(adoptResponse("b", mark(3, 7)), start)
-		assertCommands(t, k.Handle(adoptResponse("c", mark(3, 7)), start), "announceRow ")
+		k.Handle(adoptResponse("a", logPosition(3, 7)), start)
+		k.Handle(adoptResponse("b", logPosition(3, 7)), start)
+		assertCommands(t, k.Handle(adoptResponse("c", logPosition(3, 7)), start), "announceRow ")
 		k.MemberRestarted("c")
 		qt.Assert(t, k.Reason(), qt.Equals, ReasonMemberRestarted)
 		assertCommands(t, k.Handle(Response{Kind: RecordReplacedTerm, RowOutcome: RowConfirmed}, start))
--- a/internal/core/cwfailover/repair.go
+++ b/internal/core/cwfailover/repair.go
@@ -6,10 +6,10 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwgroup"
 )
 
-// RepairCommands returns the commands that make members follow the current primary again,
-// such as a replaced primary that has come back or a member that was fenced by an
-// abandoned attempt. Before it follows, the member truncates its log to the part
-// that it has in common with the primary's.
+// RepairCommands returns the commands that make members follow the current primary
+// again, such as a replaced primary that has come back or a member that was fenced
+// by an abandoned attempt. Before it follows, the member truncates its log to the
+// part that it has in common with the primary's.
 func RepairCommands(v cwgroup.View, following map[cwgroup.MemberID]cwgroup.MemberID, now time.Time) []Command {
 	p, ok := v.Primary()
 	if !ok || !p.Reachable || now.Sub(p.At) > ReportMaxAge {
@@ -33,9 +33,9 @@
 	return commands
 }
 
-// HasStrandedMember reports whether a member cannot follow the primary in the primary's
-// term, because it adopted a later term for an attempt that failed or the same term
-// for another claim. Such a member can follow again only in a later term.
+// HasStrandedMember reports whether a member cannot follow the primary in the
+// primary's term, because it adopted a later term for an attempt that failed or the
+// same term for another claim. Such a member can follow again only in a later term.
 func HasStrandedMember(v cwgroup.View, now time.Time) bool {
 	p, ok := v.Primary()
 	if !ok {
--- a/internal/core/cwfailover/supervisor.go
+++ b/internal/core/cwfailover/supervisor.go
@@ -20,8 +20,8 @@
 	// StrandedTimeout is how long a member may be stranded in a term that it cannot
 	// follow the primary in, before the group moves to a new term for its sake.
 	StrandedTimeout = 3 * time.Second
-	// StopPropagationTime is how long after this proxy learnt of a planned stop all other
-	// proxies are assumed to know of it. Until then they may still begin
+	// StopPropagationTime is how long after this proxy learnt of a planned stop all
+	// other proxies are assumed to know of it. Until then they may still begin
 	// transactions at the stopping member.
 	StopPropagationTime = 2 * time.Second
 	// drainReportMaxAge is the maximum age of the reports that show that a stopping
@@ -32,19 +32,20 @@
 // TickInputs are the inputs of Supervisor.Tick that do not come from the group's
 // members.
 type TickInputs struct {
-	// ListedProxies is the number of live proxies that monitor the group according to the
-	// platform's instance list. Rank is this proxy's rank among them for the group,
-	// starting at 0; see RankDelay.
+	// ListedProxies is the number of live proxies that monitor the group according
+	// to the platform's instance list. Rank is this proxy's rank among them for the
+	// group, starting at 0; see RankDelay.
 	ListedProxies, Rank int
-	// MembersCheckTerm and WithoutTable come from the group's configuration; see Plan.
+	// MembersCheckTerm and WithoutTable come from the group's configuration; see
+	// Plan.
 	MembersCheckTerm, WithoutTable bool
 	// OpenWrites is the number of write transactions in progress at this proxy.
 	OpenWrites int
 	// RowTerm is the term of the group's row as last known to this proxy. A claim
 	// must be for a later term.
 	RowTerm cwgroup.Term
-	// OtherChangePending is true while another proxy's change of primary is known from the
-	// table but its result has not been observed yet.
+	// OtherChangePending is true while another proxy's change of primary is known
+	// from the table but its result has not been observed yet.
 	OtherChangePending bool
 }
 
@@ -57,8 +58,8 @@
 	Owner InstanceID
 	// Primary is the member promoted by the last change that was finished.
 	Primary cwgroup.MemberID
-	// ReplacedTerm is the newest term whose primary has been replaced or may have been:
-	// a majority of the members was fenced, and another member may have been
+	// ReplacedTerm is the newest term whose primary has been replaced or may have
+	// been: a majority of the members was fenced, and another member may have been
 	// promoted. It never decreases.
 	ReplacedTerm cwgroup.Term
 	// GroupSize is the number of members of the group when the row was written; zero
@@ -87,7 +88,7 @@
 func (r Result) Changed() bool { return r.Reason == ReasonNone }
 
 // Supervisor decides, for one proxy and one group, when to change the primary and
-// which members to repair, and runs the Keeper of a change. It consumes reports,
+// which members to repair, and runs the Attempt of a change. It consumes reports,
 // votes and command responses, and returns commands. It is not safe for concurrent
 // use; the caller must hold a lock.
 type Supervisor struct {
@@ -144,17 +145,17 @@
 // ChangingPrimary reports whether this proxy is currently changing the primary.
 func (s *Supervisor) ChangingPrimary() bool { return s.attempt != nil }
 
-// AddReport records a member's report and the primary that it follows. It returns true
-// if this proxy's vote changed, in which case the other proxies should be notified
-// immediately.
+// AddReport records a member's report and the primary that it follows. It returns
+// true if this proxy's vote changed, in which case the other proxies should be
+// notified immediately.
 func (s *Supervisor) AddReport(r cwgroup.Report, following cwgroup.MemberID, now time.Time) bool {
 	s.view = s.view.WithReport(r)
 	s.following[r.Member] = following
 	return s.updateVote(now)
 }
 
-// AddLatestReport records a report like Report, for members that can forget an adopted
-// term; see cwgroup.View.WithLatestReport.
+// AddLatestReport records a report like AddReport, for members that can forget an
+// adopted term; see cwgroup.View.WithLatestReport.
 func (s *Supervisor) AddLatestReport(r cwgroup.Report, now time.Time) {
 	s.view = s.view.WithLatestReport(r)
 	if p, ok := s.view.Primary(); ok && r.Role == cwgroup.RoleReplica {
@@ -239,11 +240,11 @@
 }
 
 // Tick advances the time to now and returns the commands to execute.
-func (s *Supervisor) Tick(now time.Time, c TickInputs) []Command {
+func (s *Supervisor) Tick(now time.Time, in TickInputs) []Command {
 	if s.attempt != nil {
 		return s.attempt.Tick(now)
 	}
-	if s.startIfNeeded(now, c) {
+	if s.startIfNeeded(now, in) {
 		return s.attempt.Start(now)
 	}
 	if now.Before(s.repairAt) || now.Before(s.retryAt) {
@@ -255,27 +256,27 @@
 
 // startIfNeeded decides whether this proxy starts to change the primary and, if so,
 // creates the attempt and returns true.
-func (s *Supervisor) startIfNeeded(now time.Time, c TickInputs) bool {
-	if now.Before(s.retryAt) || c.OtherChangePending {
+func (s *Supervisor) startIfNeeded(now time.Time, in TickInputs) bool {
+	if now.Before(s.retryAt) || in.OtherChangePending {
 		return false
 	}
-	if s.detector.ShouldReplace(s.view, c.ListedProxies, now) {
-		if !s.rankDelayPassed(now, c) {
+	if s.detector.ShouldReplace(s.view, in.ListedProxies, now) {
+		if !s.rankDelayPassed(now, in) {
 			return false
 		}
-		s.start(now, c, false)
+		s.start(now, in, false)
 		return true
 	}
-	if s.readyForPlannedChange(now, c) {
-		if !s.rankDelayPassed(now, c) {
+	if s.readyForPlannedChange(now, in) {
+		if !s.rankDelayPassed(now, in) {
 			return false
 		}
-		s.start(now, c, true)
+		s.start(now, in, true)
 		return true
 	}
 	s.mayStartAt = time.Time{}
-	if s.strandedTooLong(now, c) {
-		s.start(now, c, false)
+	if s.strandedTooLong(now, in) {
+		s.start(now, in, false)
 		return true
 	}
 	return false
@@ -283,14 +284,14 @@
 
 // rankDelayPassed reports whether the proxies with smaller ranks have had enough
 // time to start first.
-func (s *Supervisor) rankDelayPassed(now time.Time, c TickInputs) bool {
+func (s *Supervisor) rankDelayPassed(now time.Time, in TickInputs) bool {
 	if s.mayStartAt.IsZero() {
-		s.mayStartAt = now.Add(time.Duration(c.Rank) * RankDelay)
+		s.mayStartAt = now.Add(time.Duration(in.Rank) * RankDelay)
 	}
 	return !now.Before(s.mayStartAt)
 }
 
-func (s *Supervisor) start(now time.Time, c TickInputs, planned bool) {
+func (s *Supervisor) start(now time.Time, in TickInputs, planned bool) {
 	s.claimCount++
 	s.attemptStartedAt, s.planned = now, planned
 	s.oldPrimary, _ = s.view.Primary()
@@ -300,10 +301,10 @@
 		Size:             s.view.Size(),
 		StableSize:       s.view.StableSize(),
 		ReplacedTerm:     max(s.view.Term(), s.view.ReplacedTerm()),
-		Term:             max(NextTerm(s.view), c.RowTerm+1),
+		Term:             max(NextTerm(s.view), in.RowTerm+1),
 		Claim:            cwgroup.ClaimID(fmt.Sprintf("%s-%s-%d", s.Self, s.ClaimSeed, s.claimCount)),
-		MembersCheckTerm: c.MembersCheckTerm,
-		WithoutTable:     c.WithoutTable,
+		MembersCheckTerm: in.MembersCheckTerm,
+		WithoutTable:     in.WithoutTable,
 		Preferred:        s.oldPrimary.Member,
 	}
 	if planned {
@@ -318,10 +319,10 @@
 // interrupting any transaction: every proxy has known of the stop long enough not
 // to begin new transactions there, no write transaction is open, and a member that
 // is not stopping has the complete log.
-func (s *Supervisor) readyForPlannedChange(now time.Time, c TickInputs) bool {
+func (s *Supervisor) readyForPlannedChange(now time.Time, in TickInputs) bool {
 	p, ok := s.view.Primary()
 	knownSince, isStopping := s.stoppingSince[p.Member]
-	if !ok || !isStopping || now.Sub(knownSince) < StopPropagationTime || c.OpenWrites > 0 {
+	if !ok || !isStopping || now.Sub(knownSince) < StopPropagationTime || in.OpenWrites > 0 {
 		return false
 	}
 	if p.OpenWrites > 0 || !p.Reachable || now.Sub(p.At) > drainReportMaxAge {
@@ -336,10 +337,11 @@
 	return false
 }
 
-// strandedTooLong reports whether a member has been stranded for StrandedTimeout, while
-// a majority of the members was reachable. Only the proxy of rank 0 reports it.
-func (s *Supervisor) strandedTooLong(now time.Time, c TickInputs) bool {
-	if c.Rank != 0 || !HasStrandedMember(s.view, now) || !majorityReachable(s.view, now.Add(-drainReportMaxAge), now) {
+// strandedTooLong reports whether a member has been stranded for StrandedTimeout,
+// while a majority of the members was reachable. Only the proxy of rank 0 reports
+// it.
+func (s *Supervisor) strandedTooLong(now time.Time, in TickInputs) bool {
+	if in.Rank != 0 || !HasStrandedMember(s.view, now) || !majorityReachable(s.view, now.Add(-drainReportMaxAge), now) {
 		s.strandedSince = time.Time{}
 		return false
 	}
@@ -351,23 +353,23 @@
 
 // Handle processes the response to a command and returns the next commands.
 // Responses to commands of an earlier attempt are ignored.
-func (s *Supervisor) Handle(ev Response, now time.Time) []Command {
-	if s.attempt == nil || ev.Claim != s.attempt.plan.Claim {
+func (s *Supervisor) Handle(resp Response, now time.Time) []Command {
+	if s.attempt == nil || resp.Claim != s.attempt.plan.Claim {
 		return nil
 	}
-	return s.attempt.Handle(ev, now)
+	return s.attempt.Handle(resp, now)
 }
 
-// TakeResult returns the result of the current attempt once it has ended, and clears the
-// attempt.
-func (s *Supervisor) TakeResult(now time.Time, c TickInputs) (Result, bool) {
+// TakeResult returns the result of the current attempt once it has ended, and
+// clears the attempt.
+func (s *Supervisor) TakeResult(now time.Time, in TickInputs) (Result, bool) {
 	k := s.attempt
 	if k == nil || !k.Ended() {
 		return Result{}, false
 	}
 	s.attempt = nil
 	s.mayStartAt, s.strandedSince = time.Time{}, time.Time{}
-	s.retryAt = now.Add(RetryDelay + time.Duration(c.Rank)*RankDelay)
+	s.retryAt = now.Add(RetryDelay + time.Duration(in.Rank)*RankDelay)
 	return Result{
 		Plan: k.plan, OldPrimary: s.oldPrimary, NewPrimary: k.newPrimary, Reason: k.reason, Planned: s.planned, Duration: now.Sub(s.attemptStartedAt),
 	}, true
