--- a/internal/core/cwgroup/group.go
+++ b/internal/core/cwgroup/group.go
@@ -5,10 +5,11 @@
 // appends records to its log; the others, the replicas, copy them asynchronously.
 // The databases number the primaries of a group by terms: each change of primary
 // begins a new term, and a member that has adopted a term accepts nothing from an
-// earlier one. A position in the log of a group is a Mark, the term of a record and
-// its position. Marks are compared by term first: the log of a later term contains
-// every record that was acknowledged before, whereas a replaced primary can report
-// a higher position on a diverged branch of the log that no other member has.
+// earlier one. A LogPosition identifies a record in the log of a group by the term
+// and the index of the record. Log positions are compared by term first: the log of
+// a later term contains every record that was acknowledged before, whereas a
+// replaced primary can report a higher index on a diverged branch of the log that
+// no other member has.
 //
 // A View is what one proxy knows about a group: an immutable value with the last
 // Status received from each member and the time at which it was received.
@@ -26,7 +27,7 @@
 // Term numbers the primaries of a group. The first term is 1.
 type Term uint64
 
-// LogIndex is the number of a record in a log. The first record has position 1.
+// LogIndex is the number of a record in a log. The first record has index 1.
 type LogIndex uint64
 
 // MemberID identifies a member, that is a target. It is unique in the whole
@@ -42,8 +43,8 @@
 	Index LogIndex
 }
 
-// Compare compares marks by term, then by position. It returns -1, 0 or +1 like
-// cmp.Compare.
+// Compare compares log positions by term, then by index. It returns -1, 0 or +1
+// like cmp.Compare.
 func (m LogPosition) Compare(o LogPosition) int {
 	if c := cmp.Compare(m.Term, o.Term); c != 0 {
 		return c
@@ -55,12 +56,13 @@
 // up to o.
 func (m LogPosition) AtLeast(o LogPosition) bool { return m.Compare(o) >= 0 }
 
-// String formats the mark as term/position.
+// String formats the position as term/index.
 func (m LogPosition) String() string {
 	return strconv.FormatUint(uint64(m.Term), 10) + "/" + strconv.FormatUint(uint64(m.Index), 10)
 }
 
-// ParseLogPosition parses the format written by String. The error is a *LogPositionError.
+// ParseLogPosition parses the format written by String. The error is a
+// *LogPositionError.
 func ParseLogPosition(s string) (LogPosition, error) {
 	t, p, ok := strings.Cut(s, "/")
 	if !ok {
@@ -70,14 +72,14 @@
 	if err != nil {
 		return LogPosition{}, &LogPositionError{Text: s}
 	}
-	pos, err := strconv.ParseUint(p, 10, 63)
+	index, err := strconv.ParseUint(p, 10, 63)
 	if err != nil {
 		return LogPosition{}, &LogPositionError{Text: s}
 	}
-	return LogPosition{Term: Term(term), Index: LogIndex(pos)}, nil
+	return LogPosition{Term: Term(term), Index: LogIndex(index)}, nil
 }
 
-// LogPositionError reports a text that is not a valid mark.
+// LogPositionError reports a text that is not a valid log position.
 type LogPositionError struct{ Text string }
 
 func (e *LogPositionError) Error() string { return fmt.Sprintf("%q is not term/position", e.Text) }
@@ -111,17 +113,19 @@
 type Status struct {
 	Member MemberID
 	Role   Role
-	// AdoptedTerm is the highest term that the member has adopted. It never decreases.
+	// AdoptedTerm is the highest term that the member has adopted. It never
+	// decreases.
 	AdoptedTerm Term
-	// PriorTerm is the term that the member was in when it adopted the term Adopted;
+	// PriorTerm is the term that the member was in when it adopted AdoptedTerm;
 	// zero if it was not read.
 	PriorTerm Term
-	// Claim is the claim for which the term Adopted was adopted.
+	// Claim is the claim for which AdoptedTerm was adopted.
 	Claim ClaimID
-	// Durable is the mark of the last record stored durably in the member's log.
-	// Acknowledgement and promotion are based on it.
+	// Durable is the position of the last record stored durably in the member's
+	// log. Acknowledgement and promotion are based on it.
 	Durable LogPosition
-	// Applied is the mark up to which reads see the data. It is never beyond Last.
+	// Applied is the log position up to which reads see the data. It is never
+	// beyond Durable.
 	Applied LogPosition
 	// UpstreamAge is the time since a replica last received a message from its
 	// primary, by the replica's monotonic clock.
@@ -192,10 +196,10 @@
 	return v
 }
 
-// WithLatestReport returns a view in which r replaces the member's last report, unless
-// the At of that report is later than r.At. It is for members that can forget an
-// adopted term, for example in a restart: their reports are ordered by the time of
-// the request, not by term.
+// WithLatestReport returns a view in which r replaces the member's last report,
+// unless the At of that report is later than r.At. It is for members that can
+// forget an adopted term, for example in a restart: their reports are ordered by
+// the time of the request, not by term.
 func (v View) WithLatestReport(r Report) View {
 	i := slices.Index(v.members, r.Member)
 	if i < 0 || r.At.Before(v.reports[i].At) {
@@ -254,8 +258,8 @@
 // Size returns the number of members of the group, listed or not.
 func (v View) Size() int { return max(v.minSize, len(v.members)) }
 
-// StableSize returns the size set by WithSize, regardless of which members are listed;
-// zero if it was not set.
+// StableSize returns the size set by WithSize, regardless of which members are
+// listed; zero if it was not set.
 func (v View) StableSize() int { return v.minSize }
 
 // WithReplacedTerm returns a view in which the primaries of term t and of all earlier
@@ -354,8 +358,9 @@
 	return n >= Majority(v.Size())
 }
 
-// ConfirmedPosition reports whether a majority of n members is in the primary's term
-// according to their answers to one request, and returns the primary's mark.
+// ConfirmedPosition reports whether a majority of n members is in the primary's
+// term according to their answers to one request, and returns the end of the
+// primary's log.
 //
 // A primary may have been replaced without knowing it. A majority that had not
 // adopted a later term when it was asked proves that nothing had been acknowledged
--- a/internal/core/cwgroup/group_test.go
+++ b/internal/core/cwgroup/group_test.go
@@ -8,26 +8,26 @@
 )
 
 func TestLogPositionsCompareByTermFirst(t *testing.T) {
-	// A replaced primary reports position 150 on a branch that no other member has;
-	// a session that wrote at position 120 of the next term must not read there.
+	// A replaced primary reports index 150 on a branch that no other member has; a
+	// session that wrote at index 120 of the next term must not read there.
 	qt.Assert(t, LogPosition{Term: 1, Index: 150}.AtLeast(LogPosition{Term: 2, Index: 120}), qt.IsFalse)
 	qt.Assert(t, LogPosition{Term: 2, Index: 120}.AtLeast(LogPosition{Term: 1, Index: 150}), qt.IsTrue)
 	qt.Assert(t, LogPosition{Term: 2, Index: 120}.AtLeast(LogPosition{Term: 2, Index: 120}), qt.IsTrue)
 }
 
-func TestParseMark(t *testing.T) {
+func TestParseLogPosition(t *testing.T) {
 	m, err := ParseLogPosition("3/17")
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, m, qt.Equals, LogPosition{Term: 3, Index: 17})
 	for _, bad := range []string{"", "3", "3/", "/3", "a/b", "-1/2", "1/99999999999999999999"} {
 		_, err := ParseLogPosition(bad)
-		var me *LogPositionError
-		qt.Assert(t, err, qt.ErrorAs, &me, qt.Commentf("%q", bad))
+		var pe *LogPositionError
+		qt.Assert(t, err, qt.ErrorAs, &pe, qt.Commentf("%q", bad))
 	}
 }
 
 // Guards against losing an acknowledged write: a replica that already follows the
-// next term has a record at the same position of another branch and was counted for
+// next term has a record at the same index of another branch and was counted for
 // the old primary.
 func TestOnlyMembersOfTheTermHaveARecord(t *testing.T) {
 	m := LogPosition{Term: 1, Index: 10}
--- a/internal/core/cwgroup/membership.go
+++ b/internal/core/cwgroup/membership.go
@@ -11,9 +11,9 @@
 	// group counts as larger. It is longer than a failed member stays listed, so
 	// that its replacement does not count as growth.
 	GrowthDelay = 20 * time.Second
-	// FormationPeriod is the period after the first list during which every new member
-	// counts immediately, for a group that nothing was known of before. Its members
-	// start together and are listed one after the other.
+	// FormationPeriod is the period after the first list during which every new
+	// member counts immediately, for a group that nothing was known of before. Its
+	// members start together and are listed one after the other.
 	FormationPeriod = 5 * time.Second
 )
 
@@ -119,8 +119,8 @@
 	return 2*max(m.stableSize, len(m.listed)) + 1
 }
 
-// ChangesWithTime reports whether the size may change as time passes, without any change to
-// the listed members.
+// ChangesWithTime reports whether the size may change as time passes, without any
+// change to the listed members.
 func (m Membership) ChangesWithTime() bool {
 	return !m.sizeUnknownUntil.IsZero() || !m.growingSince.IsZero()
 }
