--- a/internal/core/cwack/ack.go
+++ b/internal/core/cwack/ack.go
@@ -41,7 +41,8 @@
 	return [...]string{"pending", "acknowledged", "superseded", "timedOut"}[o]
 }
 
-// OutcomeOf returns the outcome of a write at mark m, as seen in v at time now.
+// OutcomeOf returns the outcome of a write at log position m, as seen in v at time
+// now.
 func OutcomeOf(v cwgroup.View, m cwgroup.LogPosition, deadline, now time.Time) Outcome {
 	// The write of a replaced primary is not acknowledged even if a majority is
 	// reported to have it: the report may be older than the replacement.
@@ -79,7 +80,7 @@
 func (t *Tracker) Len() int { return len(t.waits) }
 
 // Update ends the waits whose outcome is determined by v and now, and calls their
-// Done.
+// Notify.
 func (t *Tracker) Update(v cwgroup.View, now time.Time) {
 	remaining := t.waits[:0]
 	for _, w := range t.waits {
