--- a/internal/core/cwrequest/request.go
+++ b/internal/core/cwrequest/request.go
@@ -56,18 +56,18 @@
 	// CreateTable creates the table if it does not exist.
 	CreateTable = `CREATE TABLE IF NOT EXISTS cicadawalk_requests (` +
 		`key text PRIMARY KEY, digest text NOT NULL, state text NOT NULL, answer text NOT NULL)`
-	// InsertKey takes the key, the digest and a state that applies until Finish, which
-	// runs in the same transaction.
+	// InsertKey takes the key, the digest and a state that applies until
+	// RecordAnswer, which runs in the same transaction.
 	InsertKey = `INSERT INTO cicadawalk_requests (key, digest, state, answer) VALUES ($1, $2, $3, '')`
 	// RecordAnswer takes the key and the encoded response.
 	RecordAnswer = `UPDATE cicadawalk_requests SET state = 'done', answer = $2 WHERE key = $1`
 	// SelectKey takes the key.
 	SelectKey = `SELECT digest, state, answer FROM cicadawalk_requests WHERE key = $1`
-	// InsertTombstone inserts a tombstone. It takes the key, the digest and the state from
-	// Tombstone.
+	// InsertTombstone inserts a tombstone. It takes the key, the digest and the
+	// state from TombstoneState.
 	InsertTombstone = `INSERT INTO cicadawalk_requests (key, digest, state, answer) VALUES ($1, $2, $3, '')`
-	// DeleteTombstone deletes a tombstone. It takes the key and the tombstone's state. A
-	// repeated request runs it first in its own transaction.
+	// DeleteTombstone deletes a tombstone. It takes the key and the tombstone's
+	// state. A repeated request runs it first in its own transaction.
 	DeleteTombstone = `DELETE FROM cicadawalk_requests WHERE key = $1 AND state = $2`
 )
 
@@ -92,7 +92,7 @@
 	return hex.EncodeToString(h.Sum(nil)[:16])
 }
 
-// Row is the result of Lookup.
+// Row is the result of SelectKey.
 type Row struct {
 	Found  bool
 	Digest string
@@ -103,7 +103,7 @@
 // RowMeaning is the meaning of a row for a request.
 type RowMeaning uint8
 
-// The possible verdicts.
+// The possible meanings of a row.
 const (
 	// Absent means that there is no row for the key.
 	Absent RowMeaning = iota
@@ -116,7 +116,7 @@
 	Mismatch
 )
 
-// Classify returns the verdict on a row for the request with the given digest.
+// Classify returns the meaning of a row for the request with the given digest.
 func Classify(r Row, digest string) RowMeaning {
 	switch {
 	case !r.Found:
--- a/internal/core/cwrequest/request_test.go
+++ b/internal/core/cwrequest/request_test.go
@@ -7,7 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestJudge(t *testing.T) {
+func TestClassify(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		row  Row
