--- a/internal/proxy/cwclaim/claim.go
+++ b/internal/proxy/cwclaim/claim.go
@@ -23,7 +23,7 @@
 // follows.
 const KeyPrefix = "group/"
 
-// rowBody is the JSON encoding of a group's row; see cwfailover.RowOutcome.
+// rowBody is the JSON encoding of a group's row; see cwfailover.Row.
 type rowBody struct {
 	Term    uint64 `json:"term"`
 	Claim   string `json:"claim"`
@@ -35,8 +35,8 @@
 	Done     bool   `json:"done"`
 }
 
-// GroupOfKey returns the name of the group whose row has the key. The second result is
-// false for keys of other rows.
+// GroupOfKey returns the name of the group whose row has the key. The second result
+// is false for keys of other rows.
 func GroupOfKey(key string) (string, bool) { return strings.CutPrefix(key, KeyPrefix) }
 
 // Decode decodes the value of a group's row, which is JSON.
@@ -68,7 +68,7 @@
 	})
 }
 
-// Store executes the table commands of a cwfailover.Owner for one group.
+// Store executes the table commands of a cwfailover.Attempt for one group.
 type Store struct {
 	Table cwplatform.Table
 	// Group is the group's name.
@@ -88,27 +88,27 @@
 
 // Execute executes one command. It reads the row first; the outcome is RowUnavailable
 // if that fails.
-func (c Store) Execute(ctx context.Context, o cwfailover.Command) Result {
+func (c Store) Execute(ctx context.Context, cmd cwfailover.Command) Result {
 	row, tag, err := c.Read(ctx)
 	if err != nil {
 		return Result{Outcome: cwfailover.RowUnavailable}
 	}
-	isOwnClaim := row.Claim == o.Claim
+	isOwnClaim := row.Claim == cmd.Claim
 	switch {
-	case o.Kind == cwfailover.ReadClaim && isOwnClaim:
+	case cmd.Kind == cwfailover.ReadClaim && isOwnClaim:
 		return Result{Outcome: cwfailover.RowConfirmed, ETag: tag}
-	case o.Kind == cwfailover.ReadClaim,
-		o.Kind == cwfailover.RecordReplacedTerm && !isOwnClaim,
-		o.Kind == cwfailover.WriteClaim && !isOwnClaim && !c.MayClaim(row, o.Term),
-		o.Kind == cwfailover.RecordPrimary && row.Term > o.Term:
+	case cmd.Kind == cwfailover.ReadClaim,
+		cmd.Kind == cwfailover.RecordReplacedTerm && !isOwnClaim,
+		cmd.Kind == cwfailover.WriteClaim && !isOwnClaim && !c.MayClaim(row, cmd.Term),
+		cmd.Kind == cwfailover.RecordPrimary && row.Term > cmd.Term:
 		return Result{Outcome: cwfailover.RowConflict, ETag: tag}
 	}
-	next := cwfailover.Row{Term: o.Term, Claim: o.Claim, Owner: c.Self, Primary: row.Primary, ReplacedTerm: row.ReplacedTerm, GroupSize: row.GroupSize}
-	if o.Kind != cwfailover.WriteClaim {
-		next.ReplacedTerm, next.GroupSize = max(row.ReplacedTerm, o.ReplacedTerm), o.GroupSize
+	next := cwfailover.Row{Term: cmd.Term, Claim: cmd.Claim, Owner: c.Self, Primary: row.Primary, ReplacedTerm: row.ReplacedTerm, GroupSize: row.GroupSize}
+	if cmd.Kind != cwfailover.WriteClaim {
+		next.ReplacedTerm, next.GroupSize = max(row.ReplacedTerm, cmd.ReplacedTerm), cmd.GroupSize
 	}
-	if o.Kind == cwfailover.RecordPrimary {
-		next.Primary, next.Done = o.Primary, true
+	if cmd.Kind == cwfailover.RecordPrimary {
+		next.Primary, next.Done = cmd.Primary, true
 	}
 	return Result{Outcome: c.writeRow(ctx, next, tag), ETag: tag}
 }
