--- a/internal/core/cwroute/balance.go
+++ b/internal/core/cwroute/balance.go
@@ -8,19 +8,19 @@
 
 // Parameters of read balancing.
 const (
-	// RemotePenaltyPercent is the penalty for a member in another data centre, in percent of
-	// the member's statement latency: traffic between data centres costs money,
-	// and a path within a data centre fails less often. With 75, two data centres
-	// share the load once one of them takes nearly twice as long as the other.
-	// Compared with a flat penalty of 8 ms, statements of 25 ms sent a quarter
-	// fewer bytes between data centres (3 MB instead of 4 MB in 34 s) with the
-	// same response times.
+	// RemotePenaltyPercent is the penalty for a member in another data centre, in
+	// percent of the member's statement latency: traffic between data centres costs
+	// money, and a path within a data centre fails less often. With 75, two data
+	// centres share the load once one of them takes nearly twice as long as the
+	// other. Compared with a flat penalty of 8 ms, statements of 25 ms sent a
+	// quarter fewer bytes between data centres (3 MB instead of 4 MB in 34 s) with
+	// the same response times.
 	RemotePenaltyPercent = 75
-	// PrimaryPenaltyPercent is the penalty for the primary, in percent of its statement
-	// latency: only the primary runs writes, and reads that replicas could serve
-	// delay them. At two thirds of the members' capacity, 9% of the writes were
-	// late with 150 and 13% with 0, about a third fewer; reads were served as
-	// soon.
+	// PrimaryPenaltyPercent is the penalty for the primary, in percent of its
+	// statement latency: only the primary runs writes, and reads that replicas
+	// could serve delay them. At two thirds of the members' capacity, 9% of the
+	// writes were late with 150 and 13% with 0, about a third fewer; reads were
+	// served as soon.
 	PrimaryPenaltyPercent = 150
 	// MinAssumedLatency is the assumed minimum latency of a member, also used if its
 	// latency is unknown. It is low so that every member is tried now and then.
@@ -59,19 +59,19 @@
 	return d + o.CatchUp
 }
 
-// FastestTarget returns the option with the shortest expected response time. The
-// second result is false if there are no options.
+// FastestTarget returns the target with the shortest expected response time. The
+// second result is false if targets is empty.
 //
 // A target executes few statements concurrently and is shared by all proxies.
 // Sending every read to the nearest replica would let statements queue there
 // while other replicas are idle. The recent statement latency includes the queue
 // that other proxies cause.
-func FastestTarget(options []ReadTarget) (ReadTarget, bool) {
-	if len(options) == 0 {
+func FastestTarget(targets []ReadTarget) (ReadTarget, bool) {
+	if len(targets) == 0 {
 		return ReadTarget{}, false
 	}
-	best := options[0]
-	for _, o := range options[1:] {
+	best := targets[0]
+	for _, o := range targets[1:] {
 		if o.expectedResponseTime() < best.expectedResponseTime() {
 			best = o
 		}
--- a/internal/core/cwroute/balance_load_test.go
+++ b/internal/core/cwroute/balance_load_test.go
@@ -41,8 +41,8 @@
 	s.latency += (end - now - s.latency) / 16
 }
 
-// option returns the member as an option at time now.
-func (s *memberStats) option(m *member, now time.Duration) ReadTarget {
+// readTarget returns the member as a ReadTarget at time now.
+func (s *memberStats) readTarget(m *member, now time.Duration) ReadTarget {
 	s.endTimes = slices.DeleteFunc(s.endTimes, func(end time.Duration) bool { return end <= now })
 	return ReadTarget{Member: m.id, Primary: m.primary, Latency: s.latency, InFlight: len(s.endTimes), Slots: len(m.slotFreeAt)}
 }
@@ -65,11 +65,11 @@
 		kind, to := 0, 0
 		if r.Float64() < 0.65 {
 			kind = 1
-			var options []ReadTarget
+			var targets []ReadTarget
 			for i, m := range members {
-				options = append(options, proxy[i].option(m, now))
+				targets = append(targets, proxy[i].readTarget(m, now))
 			}
-			o := choose(options)
+			o := choose(targets)
 			to = slices.IndexFunc(members, func(m *member) bool { return m.id == o.Member })
 		}
 		end := members[to].execute(now, work)
@@ -87,19 +87,19 @@
 // get 380 statements of 18 ms per second, 35% of them writes, which only the
 // primary executes.
 //
-// The share of writes within 60 ms is 0.87 without PrimaryPenaltyPercent and 0.91 with
-// it; that of reads is 0.99 in both cases.
+// The share of writes within 60 ms is 0.87 without PrimaryPenaltyPercent and 0.91
+// with it; that of reads is 0.99 in both cases.
 func TestReadsLeavePrimaryCapacityForWrites(t *testing.T) {
 	const aim = 60 * time.Millisecond
-	fastest := func(options []ReadTarget) ReadTarget {
-		o, _ := FastestTarget(options)
+	fastest := func(targets []ReadTarget) ReadTarget {
+		o, _ := FastestTarget(targets)
 		return o
 	}
-	withoutPrimaryPenalty := func(options []ReadTarget) ReadTarget {
-		for i := range options {
-			options[i].Primary = false
+	withoutPrimaryPenalty := func(targets []ReadTarget) ReadTarget {
+		for i := range targets {
+			targets[i].Primary = false
 		}
-		return fastest(options)
+		return fastest(targets)
 	}
 	writesBefore, readsBefore := simulateLoad(aim, withoutPrimaryPenalty)
 	writes, reads := simulateLoad(aim, fastest)
--- a/internal/core/cwroute/balance_test.go
+++ b/internal/core/cwroute/balance_test.go
@@ -17,7 +17,7 @@
 	primary := ReadTarget{Member: "primary", Latency: 30 * ms, Slots: 3, Remote: true}
 	for _, tc := range []struct {
 		name    string
-		options []ReadTarget
+		targets []ReadTarget
 		want    string
 	}{
 		{"local replica idle", []ReadTarget{far, near}, "near"},
@@ -31,7 +31,7 @@
 		{"member of unknown latency", []ReadTarget{near, {Member: "new", Slots: 3}}, "new"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			o, ok := FastestTarget(tc.options)
+			o, ok := FastestTarget(tc.targets)
 			qt.Assert(t, ok, qt.IsTrue)
 			qt.Assert(t, string(o.Member), qt.Equals, tc.want)
 		})
--- a/internal/core/cwroute/quorum_test.go
+++ b/internal/core/cwroute/quorum_test.go
@@ -11,7 +11,7 @@
 
 // Guards against a quorum read that misses an acknowledged record. Each case
 // lists the reports of the members after the primary a is lost.
-func TestReadQuorum(t *testing.T) {
+func TestQuorumReadMark(t *testing.T) {
 	since := time.Unix(1000, 0)
 	newReport := func(id cwgroup.MemberID, role cwgroup.Role, term cwgroup.Term, at time.Duration, last cwgroup.LogIndex) cwgroup.Report {
 		return cwgroup.Report{
@@ -30,7 +30,7 @@
 		eligible bool
 		want     cwgroup.LogIndex
 	}{
-		{"higher of two marks", []cwgroup.Report{lost, newReport("b", cwgroup.RoleReplica, 1, 0, 95), newReport("c", cwgroup.RoleReplica, 1, time.Second, 100)}, true, 100},
+		{"higher of two positions", []cwgroup.Report{lost, newReport("b", cwgroup.RoleReplica, 1, 0, 95), newReport("c", cwgroup.RoleReplica, 1, time.Second, 100)}, true, 100},
 		{"primary unknown", []cwgroup.Report{newReport("b", cwgroup.RoleReplica, 1, 0, 95), newReport("c", cwgroup.RoleReplica, 1, 0, 94)}, true, 95},
 		{"both members fenced", []cwgroup.Report{lost, newReport("b", cwgroup.RoleFenced, 2, 0, 95), newReport("c", cwgroup.RoleFenced, 2, 0, 97)}, true, 97},
 		{"one report too old", []cwgroup.Report{lost, newReport("b", cwgroup.RoleReplica, 1, -1, 95), newReport("c", cwgroup.RoleReplica, 1, 0, 100)}, true, 0},
@@ -43,9 +43,9 @@
 			for _, r := range tc.reports {
 				v = v.WithLatestReport(r)
 			}
-			m, ok := QuorumReadMark(v, since, func(cwgroup.MemberID) bool { return tc.eligible })
+			position, ok := QuorumReadMark(v, since, func(cwgroup.MemberID) bool { return tc.eligible })
 			qt.Assert(t, ok, qt.Equals, tc.want > 0)
-			qt.Assert(t, m.Index, qt.Equals, tc.want)
+			qt.Assert(t, position.Index, qt.Equals, tc.want)
 		})
 	}
 	alone := cwgroup.NewView("g", []cwgroup.MemberID{"a"})
--- a/internal/core/cwroute/route.go
+++ b/internal/core/cwroute/route.go
@@ -7,11 +7,11 @@
 // applied the floor; a read with a maximum age may go to any replica whose data
 // is known to be no older; a read with both needs both.
 //
-// Among the replicas that qualify, Router prefers the nearest data centre, then
-// the least loaded member. If no replica qualifies, a Policy chooses between
-// the primary and waiting for a replica to catch up. Quickest balances reads by
-// expected response time instead. History and LagTracker estimate the age of
-// replica data and the replication lag from observed log positions.
+// Among the replicas that qualify, Router prefers the nearest data centre, then the
+// least loaded member. If no replica qualifies, a Policy chooses between the
+// primary and waiting for a replica to catch up. FastestTarget balances reads by
+// expected response time instead. PositionHistory and LagTracker estimate the age
+// of replica data and the replication lag from observed log positions.
 //
 // The package does no I/O: it takes a cwgroup.View, the load and the current
 // time, and returns a Decision.
@@ -49,7 +49,7 @@
 	Member cwgroup.MemberID
 	// Replica is true if Member is not the primary.
 	Replica bool
-	// Wait is the longest time to wait. It is set for the kind Wait only.
+	// Wait is the longest time to wait. It is set for Wait only.
 	Wait time.Duration
 	// RetryAfter is the time after which the caller may retry. It is set for
 	// Refuse only.
@@ -99,10 +99,10 @@
 // Policy decides what happens to a read for which no replica qualifies while a
 // primary is available.
 type Policy interface {
-	// WaitForReplica returns true and the longest time to wait if the read is to wait for
-	// a replica, and false if it is to go to the primary. catchUp is the shortest
-	// expected time until a replica has applied the floor; waited is how long the
-	// read has been waiting already.
+	// WaitForReplica returns true and the longest time to wait if the read is to
+	// wait for a replica, and false if it is to go to the primary. catchUp is the
+	// shortest expected time until a replica has applied the floor; waited is how
+	// long the read has been waiting already.
 	WaitForReplica(catchUp, waited time.Duration) (time.Duration, bool)
 }
 
@@ -235,9 +235,9 @@
 	return a.Load < b.Load
 }
 
-// availablePrimary returns the report of the group's primary. The second result
-// is false if the primary is unknown, unreachable, silent for longer than
-// Fresh, or known to be replaced.
+// availablePrimary returns the report of the group's primary. The second result is
+// false if the primary is unknown, unreachable, silent for longer than
+// MaxReportAge, or known to be replaced.
 func availablePrimary(v cwgroup.View, now time.Time) (cwgroup.Report, bool) {
 	p, ok := v.Primary()
 	if !ok || !p.Reachable || now.Sub(p.At) > MaxReportAge || v.Superseded(p.AdoptedTerm) {
--- a/internal/core/cwroute/route_test.go
+++ b/internal/core/cwroute/route_test.go
@@ -31,8 +31,8 @@
 	return cwsession.Floor{Mark: cwgroup.LogPosition{Term: t, Index: p}, Known: true}
 }
 
-// testGroup returns a view of a primary a at mark 1/10, a replica b at 1/10 and a
-// replica c at 1/7.
+// testGroup returns a view of a primary a at position 1/10, a replica b at 1/10 and
+// a replica c at 1/7.
 func testGroup() cwgroup.View {
 	return view(
 		report("a", cwgroup.RolePrimary, 1, cwgroup.LogPosition{Term: 1, Index: 10}),
--- a/internal/core/cwroute/staleness.go
+++ b/internal/core/cwroute/staleness.go
@@ -8,8 +8,8 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwgroup"
 )
 
-// sampleSpacing and maxSamples bound the memory of a History: 256 samples at
-// intervals of 250 ms cover about one minute.
+// sampleSpacing and maxSamples bound the memory of a PositionHistory: 256 samples
+// at intervals of 250 ms cover about one minute.
 const (
 	sampleSpacing = 250 * time.Millisecond
 	maxSamples    = 256
@@ -17,19 +17,19 @@
 
 // sample is an observed position of the primary's log.
 type sample struct {
-	at   time.Time
-	mark cwgroup.LogPosition
+	at       time.Time
+	position cwgroup.LogPosition
 }
 
-// PositionHistory records the primary's log position over time, so that the age of a
-// replica's data follows from the replica's mark alone. All times are by this
-// proxy's clock; a target's clock is never used. The zero PositionHistory is empty and
-// ready to use.
+// PositionHistory records the primary's log position over time, so that the age of
+// a replica's data follows from the replica's log position alone. All times are by
+// this proxy's clock; a target's clock is never used. The zero PositionHistory is
+// empty and ready to use.
 type PositionHistory struct {
 	// Spacing is the minimum time between two samples that are kept. Zero means
 	// 250 ms.
 	Spacing time.Duration
-	// samples are in ascending order of both time and mark.
+	// samples are in ascending order of both time and position.
 	samples []sample
 }
 
@@ -41,24 +41,24 @@
 	return h.Spacing
 }
 
-// Observe records that the primary's log ended at m at some moment not before
-// at. Pass the time at which the status request was sent, not the time at which
-// the response arrived, so that ages are never underestimated. Observations that
-// go back in time or in mark are ignored.
+// Observe records that the primary's log ended at m at some moment not before at.
+// Pass the time at which the status request was sent, not the time at which the
+// response arrived, so that ages are never underestimated. Observations that go
+// back in time or in position are ignored.
 func (h *PositionHistory) Observe(m cwgroup.LogPosition, at time.Time) {
 	n := len(h.samples)
-	if n > 0 && (!m.AtLeast(h.samples[n-1].mark) || at.Sub(h.samples[n-1].at) < 0) {
+	if n > 0 && (!m.AtLeast(h.samples[n-1].position) || at.Sub(h.samples[n-1].at) < 0) {
 		return
 	}
 	if n > 1 && h.samples[n-1].at.Sub(h.samples[n-2].at) < h.spacing() {
-		h.samples[n-1] = sample{at: at, mark: m}
+		h.samples[n-1] = sample{at: at, position: m}
 		return
 	}
 	if n == maxSamples {
 		copy(h.samples, h.samples[1:])
 		h.samples = h.samples[:n-1]
 	}
-	h.samples = append(h.samples, sample{at: at, mark: m})
+	h.samples = append(h.samples, sample{at: at, position: m})
 }
 
 // Age returns an upper bound of the age of data that ends at m. The second
@@ -69,22 +69,22 @@
 // exceeded, and no longer.
 func (h *PositionHistory) Age(m cwgroup.LogPosition, now time.Time) (time.Duration, bool) {
 	for i := len(h.samples) - 1; i >= 0; i-- {
-		if m.AtLeast(h.samples[i].mark) {
+		if m.AtLeast(h.samples[i].position) {
 			return max(0, now.Sub(h.samples[i].at)), true
 		}
 	}
 	return 0, false
 }
 
-// FirstSince returns the mark and the time of the first sample taken at or after t.
-// Everything acknowledged before t is at or below that mark. The last result is
-// false if there is no sample since t.
+// FirstSince returns the position and the time of the first sample taken at or
+// after t. Everything acknowledged before t is at or below that position. The last
+// result is false if there is no sample since t.
 func (h *PositionHistory) FirstSince(t time.Time) (cwgroup.LogPosition, time.Time, bool) {
 	i := sort.Search(len(h.samples), func(i int) bool { return !h.samples[i].at.Before(t) })
 	if i == len(h.samples) {
 		return cwgroup.LogPosition{}, time.Time{}, false
 	}
-	return h.samples[i].mark, h.samples[i].at, true
+	return h.samples[i].position, h.samples[i].at, true
 }
 
 // CommittedAfter returns the time of the latest sample in which the primary's
@@ -92,7 +92,7 @@
 // replica that has the record received it from the primary after that time. The
 // second result is false if no sample is old enough.
 func (h *PositionHistory) CommittedAfter(m cwgroup.LogPosition) (time.Time, bool) {
-	i := sort.Search(len(h.samples), func(i int) bool { return h.samples[i].mark.AtLeast(m) })
+	i := sort.Search(len(h.samples), func(i int) bool { return h.samples[i].position.AtLeast(m) })
 	if i == 0 {
 		return time.Time{}, false
 	}
@@ -137,36 +137,36 @@
 // apply the records of the primary, by this proxy's clock. The zero LagTracker is
 // ready to use.
 type LagTracker struct {
-	// primarySamples holds the latest marks of the primary in ascending order,
-	// each with the time at which it was first observed.
+	// primarySamples holds the latest log positions of the primary in ascending
+	// order, each with the time at which it was first observed.
 	primarySamples []sample
 	// averageLag is the moving average of each replica's lag. lastApplied is the
-	// newest mark that each replica is known to have applied.
+	// newest position that each replica is known to have applied.
 	averageLag  map[cwgroup.MemberID]time.Duration
 	lastApplied map[cwgroup.MemberID]cwgroup.LogPosition
 }
 
 // ObservePrimary records that the primary's log was observed to end at m.
 func (l *LagTracker) ObservePrimary(m cwgroup.LogPosition, now time.Time) {
-	if n := len(l.primarySamples); n > 0 && l.primarySamples[n-1].mark.AtLeast(m) {
+	if n := len(l.primarySamples); n > 0 && l.primarySamples[n-1].position.AtLeast(m) {
 		return
 	}
 	if len(l.primarySamples) == maxSamples {
 		copy(l.primarySamples, l.primarySamples[1:])
 		l.primarySamples = l.primarySamples[:maxSamples-1]
 	}
-	l.primarySamples = append(l.primarySamples, sample{at: now, mark: m})
+	l.primarySamples = append(l.primarySamples, sample{at: now, position: m})
 }
 
 // firstObserved returns when the primary's log was first observed at or past m.
 // The second result is false if m is at or below the oldest sample, or if the
 // log was not observed that far yet.
 func (l *LagTracker) firstObserved(m cwgroup.LogPosition) (time.Time, bool) {
-	if len(l.primarySamples) == 0 || l.primarySamples[0].mark.AtLeast(m) {
+	if len(l.primarySamples) == 0 || l.primarySamples[0].position.AtLeast(m) {
 		return time.Time{}, false
 	}
 	for _, s := range l.primarySamples {
-		if s.mark.AtLeast(m) {
+		if s.position.AtLeast(m) {
 			return s.at, true
 		}
 	}
@@ -195,7 +195,7 @@
 	l.averageLag[id] = old + (now.Sub(at)-old)/lagSmoothingDivisor
 }
 
-// Forget discards the mark that a member has applied. Its average lag is kept.
+// Forget discards the position that a member has applied. Its average lag is kept.
 func (l *LagTracker) Forget(id cwgroup.MemberID) { delete(l.lastApplied, id) }
 
 // Lag returns the member's average lag, or zero if none was measured.
