--- a/internal/core/cwlimit/admission.go
+++ b/internal/core/cwlimit/admission.go
@@ -7,7 +7,7 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwrefusal"
 )
 
-// Ticket is the request of one statement for admission by a Gate.
+// Ticket is the request of one statement for admission by an AdmissionQueue.
 type Ticket struct {
 	// Deadline is the latest time at which the statement may start.
 	Deadline time.Time
@@ -16,20 +16,21 @@
 	// Due orders waiting statements of the same priority; earlier times are
 	// admitted first. The zero time means Deadline.
 	Due time.Time
-	// OnDecision is called with nil once the statement may start, or with a refusal.
-	// It is called while the gate's owner holds its lock, and must not block.
+	// OnDecision is called with nil once the statement may start, or with a
+	// refusal. It is called while the queue's owner holds its lock, and must not
+	// block.
 	OnDecision func(*cwrefusal.Refusal)
 
 	elem *list.Element
 }
 
-// AdmissionQueue admits statements to one target. At most Limit statements are in progress
-// concurrently and at most QueueLimit wait, ordered by priority, then by due
-// time, then by arrival. A statement that is not expected to start by its
-// deadline is refused at once, with the time after which to retry, instead of
-// being queued until it is too late.
+// AdmissionQueue admits statements to one target. At most Limit statements are in
+// progress concurrently and at most QueueLimit wait, ordered by priority, then by
+// due time, then by arrival. A statement that is not expected to start by its
+// deadline is refused at once, with the time after which to retry, instead of being
+// queued until it is too late.
 //
-// A AdmissionQueue is not safe for concurrent use; its owner's lock guards it.
+// An AdmissionQueue is not safe for concurrent use; its owner's lock guards it.
 type AdmissionQueue struct {
 	// Limit is the number of statements that may be in progress concurrently.
 	Limit int
@@ -103,8 +104,8 @@
 	return nil, 0
 }
 
-// Submit requests admission. It calls Ready at once if the statement may start or
-// is refused. Otherwise the ticket is queued and Ready is called later.
+// Submit requests admission. It calls OnDecision at once if the statement may start
+// or is refused. Otherwise the ticket is queued and OnDecision is called later.
 func (g *AdmissionQueue) Submit(t *Ticket, now time.Time) {
 	if g.inFlight < g.Limit && g.queue.Len() == 0 {
 		g.inFlight++
@@ -131,7 +132,7 @@
 	return g.queue.InsertAfter(t, after)
 }
 
-// Cancel removes a ticket from the queue if it is still waiting. Ready is not
+// Cancel removes a ticket from the queue if it is still waiting. OnDecision is not
 // called.
 func (g *AdmissionQueue) Cancel(t *Ticket) {
 	if t.elem != nil {
@@ -212,7 +213,7 @@
 }
 
 // AdaptiveLimit finds the concurrency limit of a target, the number of statements
-// that it executes concurrently without queueing them. The limit starts at Seed,
+// that it executes concurrently without queueing them. The limit starts at Initial,
 // the slots of the catalogue entry, and changes by additive increase and
 // multiplicative decrease: it grows while the latency stays near the lowest one
 // observed and shrinks once the latency is a multiple of that.
--- a/internal/core/cwlimit/concurrency.go
+++ b/internal/core/cwlimit/concurrency.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Parameters of Pace.
+// Parameters of ConcurrencyLimit.
 const (
 	// congestionPercent is the multiple of the unloaded time, in percent, above
 	// which a target is considered to queue statements. The durations of
@@ -27,14 +27,14 @@
 	decreasePercent = 96
 )
 
-// ConcurrencyLimit finds how many statements a proxy may have in progress at a target that
-// it shares with other proxies.
+// ConcurrencyLimit finds how many statements a proxy may have in progress at a
+// target that it shares with other proxies.
 //
 // If all proxies together send more statements than the target executes
 // concurrently, the target queues them in order of arrival, each waits for all
-// others, and most are late. With a ConcurrencyLimit they queue in the proxy's Gate instead,
-// where the most urgent statements go first and those that cannot start in time
-// are refused at once.
+// others, and most are late. With a ConcurrencyLimit they queue in the proxy's
+// AdmissionQueue instead, where the most urgent statements go first and those that
+// cannot start in time are refused at once.
 //
 // The limit changes by additive increase and multiplicative decrease. It depends
 // on the moving average of a statement's time compared with the lowest average
--- a/internal/core/cwlimit/concurrency_test.go
+++ b/internal/core/cwlimit/concurrency_test.go
@@ -31,9 +31,9 @@
 }
 
 // Guards against a long queue at the target. Eight proxies send a target a fifth
-// more statements than it can execute. Without a Pace each statement waits there
-// behind all others; with it, the time at the target stays near the unloaded
-// time while the target stays fully used.
+// more statements than it can execute. Without a ConcurrencyLimit each statement
+// waits there behind all others; with it, the time at the target stays near the
+// unloaded time while the target stays fully used.
 func TestConcurrencyLimitKeepsQueueShort(t *testing.T) {
 	const (
 		proxies = 8
--- a/internal/core/cwlimit/share.go
+++ b/internal/core/cwlimit/share.go
@@ -3,16 +3,16 @@
 //
 // Its types do no I/O:
 //
-//   - Shares divides a target's connection limit among the instances that open
-//     connections to it. Held applies a changed share without exceeding the
-//     limit while instances see different lists of each other.
-//   - Gate admits statements to a target up to a concurrency limit, keeps a
-//     bounded queue, and refuses at once a statement that is not expected to
+//   - ConnectionShares divides a target's connection limit among the instances that
+//     open connections to it. DelayedShare applies a changed share without
+//     exceeding the limit while instances see different lists of each other.
+//   - AdmissionQueue admits statements to a target up to a concurrency limit, keeps
+//     a bounded queue, and refuses at once a statement that is not expected to
 //     start by its deadline.
-//   - Adaptive and Pace adjust a concurrency limit to the observed latency:
-//     Adaptive by the latency of each statement, Pace by the average latency at
-//     a target that several proxies share.
-//   - Budget limits retries to a share of the requests.
+//   - AdaptiveLimit and ConcurrencyLimit adjust a concurrency limit to the observed
+//     latency: AdaptiveLimit by the latency of each statement, ConcurrencyLimit by
+//     the average latency at a target that several proxies share.
+//   - RetryBudget limits retries to a share of the requests.
 package cwlimit
 
 import (
@@ -31,11 +31,11 @@
 	Reserved int
 }
 
-// ShareOf returns how many connections instance self may open for traffic. It is zero
-// if self is not among holders. The remainder of the division goes to the first
-// holders in the rendezvous order of the target, so that the additional
-// connections don't always go to the same instances. If there are more holders
-// than connections for traffic, the first Limit-Control holders get one each.
+// ShareOf returns how many connections instance self may open for traffic. It is
+// zero if self is not among holders. The remainder of the division goes to the
+// first holders in the rendezvous order of the target, so that the additional
+// connections don't always go to the same instances. If there are more holders than
+// connections for traffic, the first Limit-Reserved holders get one each.
 func (s ConnectionShares) ShareOf(self, target string, holders []string) int {
 	rank := cwplace.Rank(self, target, holders)
 	if rank == len(holders) {
@@ -50,16 +50,15 @@
 	return share
 }
 
-// DelayedShare is the share of a target's connections that a proxy uses at present. It
-// decreases at once and increases after a delay.
+// DelayedShare is the share of a target's connections that a proxy uses at present.
+// It decreases at once and increases after a delay.
 //
-// The list of instances that a proxy sees can be out of date. A new instance
-// could use its share while the others still compute theirs without it, and the
-// sum would exceed the target's limit. The target would then refuse connections,
-// in the worst case those of a failover. Therefore an increased share applies
-// only after every list during the time Lag has given at least that share. A
-// smaller share applies at once. A proxy that has just started begins at zero
-// and waits as well.
+// The list of instances that a proxy sees can be out of date. A new instance could
+// use its share while the others still compute theirs without it, and the sum would
+// exceed the target's limit. The target would then refuse connections, in the worst
+// case those of a failover. Therefore an increased share applies only after every
+// list during the time ListLag has given at least that share. A smaller share
+// applies at once. A proxy that has just started begins at zero and waits as well.
 type DelayedShare struct {
 	// ListLag is the greatest age of the list that a proxy acts on: the propagation
 	// delay of the list plus the interval between two reads of it.
@@ -67,7 +66,7 @@
 
 	// current is the share in use.
 	current int
-	// pending is the increased share that applies once Lag has passed since
+	// pending is the increased share that applies once ListLag has passed since
 	// pendingSince. It equals current if no increase is pending.
 	pending      int
 	pendingSince time.Time
