--- a/internal/core/cwholder/choose.go
+++ b/internal/core/cwholder/choose.go
@@ -30,16 +30,16 @@
 	// Connect is the index of the holder to connect to; negative if there is
 	// none.
 	Connect int
-	// Wait is true if the statement is to wait for a connection. Spare is the
-	// time after which to choose again if no connection is ready by then; zero
-	// if there is no further holder to connect to.
+	// Wait is true if the statement is to wait for a connection. HedgeAfter is the
+	// time after which to choose again if no connection is ready by then; zero if
+	// there is no further holder to connect to.
 	Wait       bool
 	HedgeAfter time.Duration
 }
 
-// ChooseHolder chooses a holder for a statement while there are more than ManyGroupsThreshold
-// groups. links are the states of the connections to the group's holders, in the
-// order in which statements are forwarded to them.
+// ChooseHolder chooses a holder for a statement while there are more than
+// ManyGroupsThreshold groups. links are the states of the connections to the
+// group's holders, in the order in which statements are forwarded to them.
 //
 // A holder with a ready connection is preferred. Otherwise the first usable
 // holder in order is connected and waited for, and the next one only if that
@@ -50,12 +50,12 @@
 // instance connect to all holders in all data centres for a single statement,
 // which meanwhile ran locally: the instance set up the group itself, with new
 // connections to its targets and without any knowledge of their state.
-func ChooseHolder(links []ConnectionState) Choice {
-	c := Choice{Use: slices.IndexFunc(links, func(l ConnectionState) bool { return l.Ready }), Connect: -1}
+func ChooseHolder(connections []ConnectionState) Choice {
+	c := Choice{Use: slices.IndexFunc(connections, func(l ConnectionState) bool { return l.Ready }), Connect: -1}
 	if c.Use >= 0 {
 		return c
 	}
-	for i, l := range links {
+	for i, l := range connections {
 		switch {
 		case l.Failed:
 			continue
--- a/internal/core/cwholder/choose_test.go
+++ b/internal/core/cwholder/choose_test.go
@@ -14,9 +14,9 @@
 	none, ready, failed := ConnectionState{Connecting: -1}, ConnectionState{Ready: true, Connecting: -1}, ConnectionState{Failed: true, Connecting: -1}
 	since := func(d time.Duration) ConnectionState { return ConnectionState{Connecting: d} }
 	for _, tc := range []struct {
-		name  string
-		links []ConnectionState
-		want  Choice
+		name        string
+		connections []ConnectionState
+		want        Choice
 	}{
 		{"no holders", nil, Choice{Use: -1, Connect: -1}},
 		{"first connected holder", []ConnectionState{failed, ready, ready}, Choice{Use: 1, Connect: -1}},
@@ -28,6 +28,6 @@
 		{"failed connection attempt", []ConnectionState{failed, none}, Choice{Use: -1, Connect: 1, Wait: true, HedgeAfter: HedgeDelay}},
 		{"all failed", []ConnectionState{failed, failed}, Choice{Use: -1, Connect: -1}},
 	} {
-		t.Run(tc.name, func(t *testing.T) { qt.Assert(t, ChooseHolder(tc.links), qt.Equals, tc.want) })
+		t.Run(tc.name, func(t *testing.T) { qt.Assert(t, ChooseHolder(tc.connections), qt.Equals, tc.want) })
 	}
 }
--- a/internal/core/cwholder/holder.go
+++ b/internal/core/cwholder/holder.go
@@ -9,11 +9,11 @@
 // holders in each data centre keep their connections open and know the load of
 // the targets.
 //
-// With more than ManyGroupsThreshold groups, an instance has callers for more groups than
-// it could keep connections for, and each group gets few statements per second.
-// A group then has a few holders in the whole deployment, and all instances
-// forward its statements to the same holder first, whose knowledge of the group
-// is current because all of the group's traffic passes it.
+// With more than ManyGroupsThreshold groups, an instance has callers for more
+// groups than it could keep connections for, and each group gets few statements per
+// second. A group then has a few holders in the whole deployment, and all instances
+// forward its statements to the same holder first, whose knowledge of the group is
+// current because all of the group's traffic passes it.
 //
 // Every instance computes the same holders from the same list of instances by
 // rendezvous hashing, without communication. Lists that differ for a while do no
@@ -42,7 +42,7 @@
 	// Connections is the connection limit of one target, and Slots the number of
 	// statements that it executes concurrently.
 	Connections, Slots int
-	// ManyGroupsThreshold is true if there are more than ManyGroupsThreshold groups.
+	// ManyGroups is true if there are more than ManyGroupsThreshold groups.
 	ManyGroups bool
 }
 
@@ -57,15 +57,15 @@
 	// one restarts, the other one serves without forwarding to another data
 	// centre.
 	MinPerDataCentre = 2
-	// ManyGroupsThreshold is the number of groups up to which an instance sets up every
-	// group, and connects to its holders, in advance. With more groups, an
+	// ManyGroupsThreshold is the number of groups up to which an instance sets up
+	// every group, and connects to its holders, in advance. With more groups, an
 	// instance uses only a few of them: it holds some and has callers for others,
-	// and it sets up the remaining ones on the first statement. Each group costs
-	// an instance its pools, its view of the members, and a goroutine.
+	// and it sets up the remaining ones on the first statement. Each group costs an
+	// instance its pools, its view of the members, and a goroutine.
 	ManyGroupsThreshold = 128
 	// holdersWithManyGroups is the number of holders of each group if there are
-	// more than ManyGroupsThreshold groups, spread over as many data centres as possible.
-	// One is left if two data centres and one more instance are lost.
+	// more than ManyGroupsThreshold groups, spread over as many data centres as
+	// possible. One is left if two data centres and one more instance are lost.
 	holdersWithManyGroups = 4
 )
 
@@ -99,10 +99,10 @@
 	return p.Holders(group, d)
 }
 
-// ForwardingOrder returns the holders in the order in which self forwards statements to
-// them: self if it is a holder, then those in its own data centre, then the
-// others. The order differs between instances, so that the holders share the
-// load.
+// ForwardingOrder returns the holders in the order in which self forwards
+// statements to them: self if it is a holder, then those in its own data centre,
+// then the others. The order differs between instances, so that the holders share
+// the load.
 func ForwardingOrder(self Instance, group string, holders []Instance) []Instance {
 	var mine, near, far []Instance
 	for _, h := range holders {
--- a/internal/core/cwholder/placement.go
+++ b/internal/core/cwholder/placement.go
@@ -15,29 +15,29 @@
 //
 // A Placement is not safe for concurrent use.
 type Placement struct {
-	// Self is the instance from whose view Place and Route answer.
+	// Self is the instance from whose view Rank and ForwardingOrder answer.
 	Self Instance
 
 	instances map[string]Instance
 	// idsByCentre has the IDs of the instances in each data centre. It has no
 	// empty lists.
 	idsByCentre map[string][]string
-	// routes and ranks cache the results of Route and Place by group.
+	// routes and ranks cache the results of ForwardingOrder and Rank by group.
 	routes map[string]groupRoute
 	ranks  map[string]selfRank
 }
 
-// groupRoute is the cached result of Route for a group.
+// groupRoute is the cached result of ForwardingOrder for a group.
 type groupRoute struct {
-	demand TargetCapacity
+	capacity TargetCapacity
 	// holders are the group's holders, and order the same in the order in which
 	// Self forwards statements to them.
 	holders, order []Instance
 }
 
-// selfRank is the cached result of Place for a group.
+// selfRank is the cached result of Rank for a group.
 type selfRank struct {
-	demand TargetCapacity
+	capacity TargetCapacity
 	// preceding is the number of instances in the data centre of Self that
 	// precede Self in the group's rendezvous order. localHolders is the number
 	// of holders that the group has in that data centre.
@@ -138,7 +138,7 @@
 			near = append(near, h.ID)
 		}
 	}
-	return cwplace.Rank(i.ID, group, append(near, i.ID)) < p.holdersIn(i.DataCentre, group, r.demand)
+	return cwplace.Rank(i.ID, group, append(near, i.ID)) < p.holdersIn(i.DataCentre, group, r.capacity)
 }
 
 // holdersIn returns the number of holders of a group in a data centre.
@@ -152,9 +152,9 @@
 	return d.holdersInDataCentre(rank, len(p.idsByCentre))
 }
 
-// Holders returns the group's holders. With more than ManyGroupsThreshold groups, this is
-// the order in which all instances forward statements to them. If a data centre
-// has no more instances than the group needs holders there, all of them are
+// Holders returns the group's holders. With more than ManyGroupsThreshold groups,
+// this is the order in which all instances forward statements to them. If a data
+// centre has no more instances than the group needs holders there, all of them are
 // holders and none of them has to forward.
 func (p *Placement) Holders(group string, d TargetCapacity) []Instance {
 	centres := cwplace.Order(group, slices.Collect(maps.Keys(p.idsByCentre)))
@@ -179,11 +179,11 @@
 
 // cachedRoute returns the route of a group and computes it if it is not cached.
 func (p *Placement) cachedRoute(group string, d TargetCapacity) groupRoute {
-	if r, ok := p.routes[group]; ok && r.demand == d {
+	if r, ok := p.routes[group]; ok && r.capacity == d {
 		return r
 	}
 	holders := p.Holders(group, d)
-	r := groupRoute{demand: d, holders: holders, order: holders}
+	r := groupRoute{capacity: d, holders: holders, order: holders}
 	if !d.ManyGroups {
 		r.order = ForwardingOrder(p.Self, group, holders)
 	}
@@ -199,7 +199,7 @@
 // if Self is one.
 func (p *Placement) Rank(group string, d TargetCapacity) (int, bool) {
 	known, ok := p.ranks[group]
-	if !ok || known.demand != d {
+	if !ok || known.capacity != d {
 		known = p.computeRank(group, d)
 		if p.ranks == nil {
 			p.ranks = make(map[string]selfRank)
@@ -209,10 +209,10 @@
 	return known.rank, known.rank >= 0
 }
 
-// computeRank computes the result of Place for a group.
+// computeRank computes the result of Rank for a group.
 func (p *Placement) computeRank(group string, d TargetCapacity) selfRank {
 	centre := p.idsByCentre[p.Self.DataCentre]
-	out := selfRank{demand: d, preceding: len(centre), localHolders: p.holdersIn(p.Self.DataCentre, group, d), rank: -1}
+	out := selfRank{capacity: d, preceding: len(centre), localHolders: p.holdersIn(p.Self.DataCentre, group, d), rank: -1}
 	if p.instances[p.Self.ID] == p.Self {
 		out.preceding = cwplace.Rank(p.Self.ID, group, centre)
 		if out.preceding < out.localHolders {
--- a/internal/core/cwholder/placement_test.go
+++ b/internal/core/cwholder/placement_test.go
@@ -19,14 +19,14 @@
 	return p
 }
 
-// demands are the demands that the tests of Placement use.
-var demands = []TargetCapacity{{}, {Connections: 36, Slots: 3}, {Connections: 216, Slots: 5}, {Connections: 900, Slots: 3}, {Connections: 278, Slots: 3, ManyGroups: true}}
+// testCapacities are the target capacities that the tests of Placement use.
+var testCapacities = []TargetCapacity{{}, {Connections: 36, Slots: 3}, {Connections: 216, Slots: 5}, {Connections: 900, Slots: 3}, {Connections: 278, Slots: 3, ManyGroups: true}}
 
 // Guards against an instance that neither holds a group nor forwards its
-// statements, because Place and the list of holders disagree.
+// statements, because Rank and the list of holders disagree.
 func TestRankAgreesWithHolders(t *testing.T) {
 	all := instances(9, "a", "b", "c")
-	for _, d := range demands {
+	for _, d := range testCapacities {
 		for g := range 40 {
 			group := string(rune('A' + g))
 			holders := Holders(group, all, d)
@@ -57,9 +57,9 @@
 				p.Set(i)
 			}
 			recomputed := placementOf(p.Self, slices.Collect(maps.Values(p.Instances())))
-			for g := range 2 * len(demands) {
+			for g := range 2 * len(testCapacities) {
 				group := fmt.Sprint("group-", g)
-				d := demands[g/2]
+				d := testCapacities[g/2]
 				rank, _ := p.Rank(group, d)
 				want, _ := recomputed.Rank(group, d)
 				if rank != want {
@@ -105,8 +105,8 @@
 	}
 }
 
-// BenchmarkInstanceChange measures Place for 1,000 groups and a change of
-// one instance.
+// BenchmarkInstanceChange measures Rank for 1,000 groups and a change of one
+// instance.
 func BenchmarkInstanceChange(b *testing.B) {
 	const groups = 1000
 	d := TargetCapacity{Connections: 278, Slots: 3, ManyGroups: true}
