--- a/internal/core/cwfeed/feed_test.go
+++ b/internal/core/cwfeed/feed_test.go
@@ -103,9 +103,9 @@
 }
 
 // Guards against a removed row that reappears, such as a target that has left. It
-// comes about if an instance receives changes from several feeders, each of
-// which knows a different part of the history. In the end the instance must have
-// the rows of the store.
+// comes about if an instance receives changes from several feeders, each of which
+// knows a different part of the changes. In the end the instance must have the rows
+// of the store.
 func TestChangeLogConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var store ChangeLog[Entry[int]]
@@ -146,13 +146,13 @@
 	})
 }
 
-// wrapEntry returns an entry whose row is the entry e, so that Since returns
+// wrapEntry returns an entry whose row is the entry e, so that ChangesSince returns
 // removals as well.
 func wrapEntry(e Entry[int]) Entry[Entry[int]] {
 	return Entry[Entry[int]]{Key: e.Key, Version: e.Version, Removed: e.Removed, Row: e}
 }
 
-// update applies the changes of from to the history to, which knows them up to
+// update applies the changes of from to the change log to, which knows them up to
 // after. If snapshot is true, it replaces all rows.
 func update(from, to *ChangeLog[Entry[int]], after *Version, snapshot bool) {
 	ask := *after
--- a/internal/core/cwfeed/history.go
+++ b/internal/core/cwfeed/history.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// maxTombstones is the number of tombstones that a History keeps. It exceeds the
-// number of rows that are removed while an instance restarts or looks for
-// another feeder.
+// maxTombstones is the number of tombstones that a ChangeLog keeps. It exceeds the
+// number of rows that are removed while an instance restarts or looks for another
+// feeder.
 const maxTombstones = 512
 
 // Entry is the latest state of one row.
@@ -115,9 +115,9 @@
 	return after < h.lastChange || after < h.compacted
 }
 
-// ChangesSince returns the rows that changed after a version, removed ones included, in
-// the order of their versions. If the changes can no longer be listed, it returns
-// all present rows instead, and whole is true.
+// ChangesSince returns the rows that changed after a version, removed ones
+// included, in the order of their versions. If the changes can no longer be listed,
+// it returns all present rows instead, and whole is true.
 func (h *ChangeLog[R]) ChangesSince(after Version) (rows []R, whole bool) {
 	whole = after < h.compacted
 	var changed []Entry[R]
--- a/internal/core/cwfeed/restore_test.go
+++ b/internal/core/cwfeed/restore_test.go
@@ -10,7 +10,7 @@
 // restorableStore simulates a store that can be restored from backups.
 type restorableStore struct {
 	era, number uint64
-	history     ChangeLog[Entry[int]]
+	log         ChangeLog[Entry[int]]
 	backups     []storeBackup
 }
 
@@ -22,7 +22,7 @@
 
 func newRestorableStore(t *rapid.T) *restorableStore {
 	s := &restorableStore{number: 1}
-	s.history.Replace(s.version(t, 1), nil)
+	s.log.Replace(s.version(t, 1), nil)
 	return s
 }
 
@@ -39,12 +39,12 @@
 func (s *restorableStore) put(t *rapid.T, key string, row int, removed bool) {
 	s.number++
 	v := s.version(t, s.number)
-	s.history.Apply(v, []Entry[Entry[int]]{wrapEntry(Entry[int]{Key: key, Version: v, Removed: removed, Row: row})})
+	s.log.Apply(v, []Entry[Entry[int]]{wrapEntry(Entry[int]{Key: key, Version: v, Removed: removed, Row: row})})
 }
 
 // backup adds a backup of the current rows.
 func (s *restorableStore) backup() {
-	rows, _ := s.history.ChangesSince(0)
+	rows, _ := s.log.ChangesSince(0)
 	rows = slices.DeleteFunc(rows, func(e Entry[int]) bool { return e.Removed })
 	s.backups = append(s.backups, storeBackup{number: s.number, rows: rows})
 }
@@ -58,8 +58,8 @@
 		r.Version = s.version(t, r.Version.Number())
 		entries = append(entries, wrapEntry(r))
 	}
-	s.history = ChangeLog[Entry[int]]{}
-	s.history.Replace(s.version(t, s.number), entries)
+	s.log = ChangeLog[Entry[int]]{}
+	s.log.Replace(s.version(t, s.number), entries)
 }
 
 // Guards against a reader that ends up with a mixture of rows from before and
@@ -77,7 +77,7 @@
 				store.put(t, key, row, rapid.Bool().Draw(t, "removed"))
 			case 1:
 				i := rapid.IntRange(0, len(feeders)-1).Draw(t, "feeder")
-				update(&store.history, &feeders[i], &seen[i], rapid.Bool().Draw(t, "snapshot"))
+				update(&store.log, &feeders[i], &seen[i], rapid.Bool().Draw(t, "snapshot"))
 			case 2:
 				from := &feeders[rapid.IntRange(0, len(feeders)-1).Draw(t, "from")]
 				if _, known := from.Version(); known {
@@ -93,9 +93,9 @@
 			}
 		}
 		v, _ := reader.Version()
-		update(&store.history, &reader, &v, false)
+		update(&store.log, &reader, &v, false)
 		rows, _ := reader.ChangesSince(0)
-		want, _ := store.history.ChangesSince(0)
+		want, _ := store.log.ChangesSince(0)
 		if got, want := presentRows(rows), presentRows(want); !slices.Equal(got, want) {
 			t.Fatalf("got %v, want %v", got, want)
 		}
--- a/internal/core/cwfeed/staleness.go
+++ b/internal/core/cwfeed/staleness.go
@@ -9,15 +9,15 @@
 	MaxAge time.Duration
 }
 
-// Waits of queries, in percent of Stale.
+// Waits of queries, in percent of Staleness.MaxAge.
 const (
-	// storeWaitPercent is the wait of a root's query to the store. A response
-	// with changes confirms the data only up to the time at which its query was
-	// sent, so two waits and the way down the tree must fit into Stale.
+	// storeWaitPercent is the wait of a root's query to the store. A response with
+	// changes confirms the data only up to the time at which its query was sent, so
+	// two waits and the way down the tree must fit into MaxAge.
 	storeWaitPercent = 45
-	// feederWaitPercent is the wait of a query to a feeder. The feeder responds
-	// as soon as its own data is confirmed again. If it does not within half of
-	// Stale, it is queried again, so that its response shows that it is alive.
+	// feederWaitPercent is the wait of a query to a feeder. The feeder responds as
+	// soon as its own data is confirmed again. If it does not within half of
+	// MaxAge, it is queried again, so that its response shows that it is alive.
 	feederWaitPercent = 50
 )
 
--- a/internal/core/cwfeed/tree.go
+++ b/internal/core/cwfeed/tree.go
@@ -5,24 +5,24 @@
 // instance queries its parent in a distribution tree, its feeder, and answers the
 // queries of its own children from what it has received. The queries are long
 // polls: the store or the feeder holds a query until it has something new to
-// report, or until a wait has passed. All instances compute the same Tree from
-// the list of instances by rendezvous hashing, without communication. Lists that
-// differ for a while only cause a detour, because an instance does not rely on
-// its feeder:
+// report, or until a wait has passed. All instances compute the same
+// DistributionTree from the list of instances by rendezvous hashing, without
+// communication. Lists that differ for a while only cause a detour, because an
+// instance does not rely on its feeder:
 //
 //   - Each response states how long ago the store confirmed its contents. This
 //     age is passed down the tree and never reduced.
 //   - An instance whose data was not confirmed for too long queries the store
-//     itself, whatever its feeder says. See Ages.
+//     itself, whatever its feeder says. See Staleness.
 //
-// So a feeder that is suspended, cut off, behind, or in a cycle with others
-// delays changes by a bounded time only. A History holds the rows from which
-// queries are answered.
+// So a feeder that is suspended, cut off, behind, or in a cycle with others delays
+// changes by a bounded time only. A ChangeLog holds the rows from which queries are
+// answered.
 package cwfeed
 
 import "cicadawalk.example/cicadawalk/internal/core/cwplace"
 
-// Default parameters of a Tree.
+// Default parameters of a DistributionTree.
 const (
 	// DefaultRoots is the number of instances in a data centre that query the
 	// store. While one restarts, the other one serves half of the data centre
@@ -32,15 +32,15 @@
 	// sixteen children every one or two seconds takes about 0.1% of a core, and
 	// 425 instances of a data centre are reached in two steps.
 	DefaultFanout = 16
-	// DefaultMinInstances is the number of instances in a data centre below which all of
-	// them query the store. A root queries the store two to three times as often
-	// as an instance does for itself alone, so two roots save nothing with fewer
-	// than six instances.
+	// DefaultMinInstances is the number of instances in a data centre below which
+	// all of them query the store. A root queries the store two to three times as
+	// often as an instance does for itself alone, so two roots save nothing with
+	// fewer than six instances.
 	DefaultMinInstances = 8
 )
 
-// DistributionTree arranges the instances of a data centre in distribution trees. The zero
-// DistributionTree uses the default parameters.
+// DistributionTree arranges the instances of a data centre in distribution trees.
+// The zero DistributionTree uses the default parameters.
 type DistributionTree struct {
 	// Roots, Fanout and MinInstances replace DefaultRoots, DefaultFanout and
 	// DefaultMinInstances if they are not zero.
