--- a/internal/core/cwquota/quota.go
+++ b/internal/core/cwquota/quota.go
@@ -39,9 +39,9 @@
 // partition, and tokens in shards that no caller uses are lost.
 const replacementSlackShare = 0.25
 
-// BucketParamsFor returns the bucket parameters of each shard of a quota. Even if every
-// issuer is replaced once per window of the rule, all shards together issue at
-// most what the rule allows.
+// BucketParamsFor returns the bucket parameters of each shard of a quota. Even if
+// every issuer is replaced once per window of the rule, all shards together issue
+// at most what the rule allows.
 func BucketParamsFor(q cwcatalogue.Quota, r cwcatalogue.QuotaRule, shards int) BucketParams {
 	n := float64(max(1, shards))
 	return BucketParams{
@@ -63,12 +63,12 @@
 // NewShard returns the shard of an issuer that has issued no tokens since the
 // given time. first is true if the shard had no issuer before; the bucket is then
 // full.
-func NewShard(s BucketParams, since time.Time, first bool) *Shard {
-	level := s.Initial
+func NewShard(params BucketParams, since time.Time, first bool) *Shard {
+	level := params.Initial
 	if first {
-		level = s.Depth
+		level = params.Depth
 	}
-	return &Shard{params: s, level: min(level, s.Depth), updatedAt: since}
+	return &Shard{params: params, level: min(level, params.Depth), updatedAt: since}
 }
 
 // SetParams changes the parameters of the bucket after a change of the quota.
--- a/internal/core/cwquota/quota_test.go
+++ b/internal/core/cwquota/quota_test.go
@@ -44,19 +44,19 @@
 			Burst: rapid.Float64Range(0, 300).Draw(t, "burst"),
 		}
 		shards := rapid.IntRange(1, 12).Draw(t, "shards")
-		shape := BucketParamsFor(q, rule, shards)
+		params := BucketParamsFor(q, rule, shards)
 		now := start
 		issuers := make([]*Shard, shards)
 		replaced := make([]time.Time, shards)
 		for i := range issuers {
-			issuers[i] = NewShard(shape, now, true)
+			issuers[i] = NewShard(params, now, true)
 		}
 		var issued []time.Time
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "pauseMs")) * time.Millisecond)
 			i := rapid.IntRange(0, shards-1).Draw(t, "shard")
 			if rapid.IntRange(0, 9).Draw(t, "kill") == 0 && now.Sub(replaced[i]) > rule.Window {
-				issuers[i], replaced[i] = NewShard(shape, now, false), now
+				issuers[i], replaced[i] = NewShard(params, now, false), now
 			}
 			for range rapid.IntRange(0, 200).Draw(t, "asks") {
 				if ok, _ := issuers[i].Take(now); ok {
@@ -72,7 +72,7 @@
 
 func TestShard(t *testing.T) {
 	q := cwcatalogue.Quota{Rate: 10, Burst: 10}
-	shape := BucketParamsFor(q, rule, 1)
+	params := BucketParamsFor(q, rule, 1)
 	drain := func(s *Shard, now time.Time) int {
 		for n := 0; ; n++ {
 			if ok, _ := s.Take(now); !ok {
@@ -81,7 +81,7 @@
 		}
 	}
 	t.Run("operations within the quota are never refused", func(t *testing.T) {
-		s := NewShard(shape, start, true)
+		s := NewShard(params, start, true)
 		qt.Assert(t, drain(s, start) >= 10, qt.IsTrue)
 		for n := 1; n <= 100; n++ {
 			ok, _ := s.Take(start.Add(time.Duration(n) * 100 * time.Millisecond))
@@ -89,7 +89,7 @@
 		}
 	})
 	t.Run("refusal states when the next token is available", func(t *testing.T) {
-		s := NewShard(shape, start, true)
+		s := NewShard(params, start, true)
 		drain(s, start)
 		ok, wait := s.Take(start)
 		qt.Assert(t, ok, qt.IsFalse)
@@ -98,7 +98,7 @@
 		qt.Assert(t, ok, qt.IsTrue)
 	})
 	t.Run("lower quota discards accumulated tokens", func(t *testing.T) {
-		s := NewShard(shape, start, true)
+		s := NewShard(params, start, true)
 		lower := cwcatalogue.Quota{Rate: 1, Burst: 1}
 		s.SetParams(BucketParamsFor(lower, rule, 1), start)
 		n := drain(s, start) + drain(s, start.Add(rule.Window))
