--- a/internal/core/cwplace/place_test.go
+++ b/internal/core/cwplace/place_test.go
@@ -38,7 +38,7 @@
 	qt.Assert(t, moved, qt.Equals, count["e"])
 }
 
-// Guards against First and Before disagreeing with Order.
+// Guards against First and Precedes disagreeing with Order.
 func TestFirstAgreesWithOrder(t *testing.T) {
 	var nodes []string
 	for i := range 40 {
