--- a/internal/core/cwsession/session.go
+++ b/internal/core/cwsession/session.go
@@ -7,9 +7,9 @@
 // the loss of a proxy loses nothing and the cost does not grow with the number of
 // sessions.
 //
-// A Floor is the lowest mark that a member must hold to serve a session's reads
-// of a group. It comes from the token. A connection without a token gets a floor
-// too: the primary's position, requested after the connection was made. Every
+// A Floor is the log position that a member must have applied to serve a session's
+// reads of a group. It comes from the token. A connection without a token gets a
+// floor too: the primary's position, requested after the connection was made. Every
 // write that the session had seen acknowledged before is at or below it.
 package cwsession
 
@@ -53,43 +53,43 @@
 
 func (e *TokenError) Error() string { return "session token " + string(e.Fault) }
 
-// Token holds the newest mark that a session has seen in each group. It is
+// Token holds the newest log position that a session has seen in each group. It is
 // immutable. The zero Token is empty.
 type Token struct {
-	marks map[string]cwgroup.LogPosition
+	positions map[string]cwgroup.LogPosition
 }
 
-// Mark returns the newest mark that the session has seen in the group. The second
-// result is false if there is none.
+// Mark returns the newest log position that the session has seen in the group. The
+// second result is false if there is none.
 func (t Token) Mark(group string) (cwgroup.LogPosition, bool) {
-	m, ok := t.marks[group]
+	m, ok := t.positions[group]
 	return m, ok
 }
 
-// Empty reports whether the token has no marks.
-func (t Token) Empty() bool { return len(t.marks) == 0 }
+// Empty reports whether the token has no positions.
+func (t Token) Empty() bool { return len(t.positions) == 0 }
 
-// WithMark returns a token whose mark of the group is at least m. A mark never
-// decreases: if the token already has a later one, it is returned unchanged.
+// WithMark returns a token whose position in the group is at least m. A position
+// never decreases: if the token already has a later one, it is returned unchanged.
 func (t Token) WithMark(group string, m cwgroup.LogPosition) Token {
-	if old, ok := t.marks[group]; ok && old.AtLeast(m) {
+	if old, ok := t.positions[group]; ok && old.AtLeast(m) {
 		return t
 	}
-	marks := maps.Clone(t.marks)
-	if marks == nil {
-		marks = make(map[string]cwgroup.LogPosition, 1)
+	positions := maps.Clone(t.positions)
+	if positions == nil {
+		positions = make(map[string]cwgroup.LogPosition, 1)
 	}
-	marks[group] = m
-	return Token{marks: marks}
+	positions[group] = m
+	return Token{positions: positions}
 }
 
-// ForGroups returns a token with the marks of the listed groups only. If the token is
-// not empty and has none of these groups, it belongs to another service, and ForGroups
-// returns a *TokenError with FaultOtherService.
+// ForGroups returns a token with the positions of the listed groups only. If the
+// token is not empty and has none of these groups, it belongs to another service,
+// and ForGroups returns a *TokenError with FaultOtherService.
 func (t Token) ForGroups(groups []string) (Token, error) {
 	out := Token{}
 	for _, g := range groups {
-		if m, ok := t.marks[g]; ok {
+		if m, ok := t.positions[g]; ok {
 			out = out.WithMark(g, m)
 		}
 	}
@@ -106,8 +106,8 @@
 		return ""
 	}
 	var body []byte
-	for _, g := range slices.Sorted(maps.Keys(t.marks)) {
-		m := t.marks[g]
+	for _, g := range slices.Sorted(maps.Keys(t.positions)) {
+		m := t.positions[g]
 		body = append(body, byte(len(g)))
 		body = append(body, g...)
 		body = binary.AppendUvarint(body, uint64(m.Term))
@@ -138,14 +138,14 @@
 	if crc32.ChecksumIEEE(body) != binary.BigEndian.Uint32(raw) {
 		return Token{}, &TokenError{Fault: FaultChecksum}
 	}
-	return parseMarks(body)
+	return parsePositions(body)
 }
 
-// parseMarks decodes the body of a token. Each mark is encoded as the length of
-// the group's name in one byte, the name, and the term and the position as
+// parsePositions decodes the body of a token. Each position is encoded as the
+// length of the group's name in one byte, the name, and the term and the index as
 // unsigned varints.
-func parseMarks(body []byte) (Token, error) {
-	marks := make(map[string]cwgroup.LogPosition)
+func parsePositions(body []byte) (Token, error) {
+	positions := make(map[string]cwgroup.LogPosition)
 	for len(body) > 0 {
 		n := int(body[0])
 		if n == 0 || len(body) < 1+n {
@@ -158,41 +158,41 @@
 			return Token{}, &TokenError{Fault: FaultMalformed}
 		}
 		body = body[used:]
-		pos, used := binary.Uvarint(body)
+		index, used := binary.Uvarint(body)
 		if used <= 0 {
 			return Token{}, &TokenError{Fault: FaultMalformed}
 		}
 		body = body[used:]
-		marks[group] = cwgroup.LogPosition{Term: cwgroup.Term(term), Index: cwgroup.LogIndex(pos)}
-		if len(marks) > MaxTokenGroups {
+		positions[group] = cwgroup.LogPosition{Term: cwgroup.Term(term), Index: cwgroup.LogIndex(index)}
+		if len(positions) > MaxTokenGroups {
 			return Token{}, &TokenError{Fault: FaultGroups}
 		}
 	}
-	if len(marks) == 0 {
+	if len(positions) == 0 {
 		return Token{}, &TokenError{Fault: FaultMalformed}
 	}
-	return Token{marks: marks}, nil
+	return Token{positions: positions}, nil
 }
 
-// Floor is the lowest mark that a member must hold to serve a session's reads.
-// While Known is false, as in the zero Floor, the primary must be asked for its
-// position first.
+// Floor is the log position that a member must have applied to serve a session's
+// reads. While Known is false, as in the zero Floor, the primary must be asked for
+// its position first.
 type Floor struct {
 	Mark  cwgroup.LogPosition
 	Known bool
 }
 
-// FloorOf returns the floor of a group according to a token. It is not known if
-// the token has no mark of the group.
+// FloorOf returns the floor of a group according to a token. It is not known if the
+// token has no position for the group.
 func FloorOf(t Token, group string) Floor {
 	m, ok := t.Mark(group)
 	return Floor{Mark: m, Known: ok}
 }
 
-// CheckPrimary compares a floor with tip, the mark at which the primary's log ended
-// when it was asked after the token arrived. A floor beyond tip cannot come from
-// this group. It is rejected with a *TokenError instead of waited for, because no
-// member would ever reach it.
+// CheckPrimary compares a floor with tip, the position at which the primary's log
+// ended when it was asked after the token arrived. A floor beyond tip cannot come
+// from this group. It is rejected with a *TokenError instead of waited for, because
+// no member would ever reach it.
 func (f Floor) CheckPrimary(tip cwgroup.LogPosition) error {
 	if f.Known && !tip.AtLeast(f.Mark) {
 		return &TokenError{Fault: FaultAheadOfGroup}
