--- a/internal/core/cwstatement/statement.go
+++ b/internal/core/cwstatement/statement.go
@@ -2,9 +2,9 @@
 // responses of targets.
 //
 // A caller's session sends one Statement at a time. The engine translates it into
-// one or more Commands for a target, and the target's Answers into one Answer for
-// the caller. Codecs on the caller's side and on the target's side of the engine
-// encode and decode these types for a wire protocol.
+// one or more Commands for a target, and the target's Responses into one Response
+// for the caller. Codecs on the caller's side and on the target's side of the
+// engine encode and decode these types for a wire protocol.
 package cwstatement
 
 import (
@@ -89,12 +89,13 @@
 	// Name, Args and Writes have the same meaning as in Statement.
 	Name, Args string
 	Writes     bool
-	// Floor is the mark that the target's log must hold before the target runs a
-	// read or begins a transaction. The zero Mark sets no condition.
+	// Floor is the log position that the target's log must have reached before the
+	// target runs a read or begins a transaction. The zero LogPosition sets no
+	// condition.
 	Floor cwgroup.LogPosition
 }
 
-// TransactionState is the transaction state of a session after an answer.
+// TransactionState is the transaction state of a session after a response.
 type TransactionState uint8
 
 // The transaction states of a session.
@@ -103,7 +104,8 @@
 	Idle TransactionState = iota
 	// InTransaction means that a transaction is open.
 	InTransaction
-	// InFailedTransaction means that the open transaction has failed. It can only be ended.
+	// InFailedTransaction means that the open transaction has failed. It can only
+	// be ended.
 	InFailedTransaction
 )
 
@@ -123,7 +125,7 @@
 // Code is the outcome of a statement. The zero Code is success.
 type Code uint8
 
-// The outcomes of a statement. Promises and NotRun tell which of them guarantee
+// The outcomes of a statement. NoEffect and NotRun tell which of them guarantee
 // that the statement had no lasting effect or did not run.
 const (
 	// OK means that the statement succeeded.
@@ -133,7 +135,7 @@
 	// Aborted means that the transaction has ended and none of its writes is
 	// kept.
 	Aborted
-	// Behind means that the target's log does not hold the floor yet. Nothing
+	// Behind means that the target's log has not reached the floor yet. Nothing
 	// ran.
 	Behind
 	// NotPrimary means that the target accepts no writes. Nothing ran.
@@ -158,8 +160,8 @@
 	NoDatabase
 	// Unauthorised means that the caller's key is unknown.
 	Unauthorised
-	// UnrecognisedCode stands for any code that this program doesn't know. It guarantees
-	// nothing.
+	// UnrecognisedCode stands for any code that this program doesn't know. It
+	// guarantees nothing.
 	UnrecognisedCode
 )
 
@@ -177,7 +179,8 @@
 	return "code" + strconv.Itoa(int(c))
 }
 
-// ParseCode returns the code with the given name, or UnrecognisedCode if there is none.
+// ParseCode returns the code with the given name, or UnrecognisedCode if there is
+// none.
 func ParseCode(name string) Code {
 	if i := slices.Index(codeNames[:], name); i >= 0 {
 		return Code(i)
@@ -185,7 +188,7 @@
 	return UnrecognisedCode
 }
 
-// NotRun reports whether the code, in the answer of a target, means that the
+// NotRun reports whether the code, in the response of a target, means that the
 // statement did not run.
 func (c Code) NotRun() bool {
 	switch c {
@@ -215,22 +218,22 @@
 	// Detail explains a failure to the caller.
 	Detail string
 	State  TransactionState
-	// Mark is the end of the target's log at the time of the answer; zero if the
+	// Mark is the end of the target's log at the time of the response; zero if the
 	// target did not report it.
 	Mark cwgroup.LogPosition
 }
 
-// Failure returns an answer with a code and its explanation.
+// Failure returns a response with a code and its explanation.
 func Failure(c Code, detail string) Response { return Response{Code: c, Detail: detail} }
 
-// RetryLater returns an answer to a statement that did not run. Its detail
+// RetryLater returns a response to a statement that did not run. Its detail
 // contains the reason why, notRun=true, and the time after which a retry may
 // succeed, in milliseconds and at least 1.
 func RetryLater(c Code, why string, after time.Duration) Response {
 	return Failure(c, why+" notRun=true retryAfterMs="+strconv.FormatInt(max(after, time.Millisecond).Milliseconds(), 10))
 }
 
-// WithState returns a copy of the answer with another transaction state.
+// WithState returns a copy of the response with another transaction state.
 func (a Response) WithState(s TransactionState) Response {
 	a.State = s
 	return a
