--- a/internal/core/cwfailover/attempt.go
+++ b/internal/core/cwfailover/attempt.go
@@ -14,7 +14,7 @@
 	// claim, by their own clocks.
 	ClaimTTL = 2 * time.Second
 	// TableTimeout is how long an attempt waits for the table to confirm its claim
-	// before it continues without, if the group's configuration allows that.
+	// before it continues without it, if the group's configuration allows that.
 	TableTimeout = 300 * time.Millisecond
 	// FenceGracePeriod is how long an attempt waits for more members after a majority
 	// has adopted the term, in case a more advanced one is about to answer.
--- a/internal/core/cwfailover/detector.go
+++ b/internal/core/cwfailover/detector.go
@@ -111,13 +111,13 @@
 
 // ShouldReplace implements FailurePolicy.
 func (ProxiesAndReplicasPolicy) ShouldReplace(e Evidence) bool {
-	heardMajority := e.SuspectVotes >= cwgroup.Majority(e.FreshVotes)
+	freshMajority := e.SuspectVotes >= cwgroup.Majority(e.FreshVotes)
 	listedMajority := e.SuspectVotes >= cwgroup.Majority(e.ListedProxies)
 	mostReplicasLost := e.ReplicasDisconnected >= cwgroup.Majority(e.GroupSize)
 	if e.ReplicasConnected > 0 && !mostReplicasLost {
 		return listedMajority && e.SuspectVotes == e.FreshVotes && e.SuspectedFor >= MinUnanimousSuspicion
 	}
-	return heardMajority && (listedMajority || mostReplicasLost)
+	return freshMajority && (listedMajority || mostReplicasLost)
 }
 
 // Detector collects votes about the primary of one group. Set Self and Policy
