--- a/internal/core/cwgroup/group.go
+++ b/internal/core/cwgroup/group.go
@@ -143,7 +143,8 @@
 	return s.AdoptedTerm == m.Term && s.Durable.Term == m.Term && s.Durable.Index >= m.Index
 }
 
-// Report is a status and the time at which this proxy received it.
+// Report is a status and the time at which this proxy received it; for
+// WithLatestReport, the time at which it sent the request.
 type Report struct {
 	Status
 	At time.Time
