--- a/internal/core/cwroute/quorum.go
+++ b/internal/core/cwroute/quorum.go
@@ -16,7 +16,7 @@
 func QuorumReadMark(v cwgroup.View, since time.Time, eligible func(cwgroup.MemberID) bool) (cwgroup.LogPosition, bool) {
 	primary, known := v.Primary()
 	var top cwgroup.LogPosition
-	heard := 0
+	reported := 0
 	for _, r := range v.Reports() {
 		switch {
 		case known && r.Member == primary.Member:
@@ -29,12 +29,12 @@
 		case r.Role == cwgroup.RolePrimary || !eligible(r.Member):
 			return cwgroup.LogPosition{}, false
 		}
-		heard++
+		reported++
 		if r.Durable.AtLeast(top) {
 			top = r.Durable
 		}
 	}
-	if n := v.Size(); n < 2 || heard < n-1 {
+	if n := v.Size(); n < 2 || reported < n-1 {
 		return cwgroup.LogPosition{}, false
 	}
 	return top, true
--- a/internal/core/cwroute/staleness.go
+++ b/internal/core/cwroute/staleness.go
@@ -99,34 +99,34 @@
 	return h.samples[i-1].at, true
 }
 
-// ConfirmedAt returns the time at which the primary's log position, requested at
-// asked, was certainly the newest of the group. That is the time at which a
-// majority of the members, the primary included, was last known to be in the
-// primary's term, and never later than asked. The second result is false if
-// there is no such majority.
+// ConfirmedAt returns the time at which the primary's log position, which was
+// requested at requestedAt, was certainly the newest of the group. That is the time
+// at which a majority of the members, the primary included, was last known to be in
+// the primary's term, and never later than requestedAt. The second result is false
+// if there is no such majority.
 //
 // Without the majority, a replaced primary that is cut off from the other
 // members together with this proxy would keep answering promptly while its data
 // gets older, and would serve reads with a maximum age indefinitely.
-func ConfirmedAt(v cwgroup.View, primary cwgroup.Report, asked time.Time) (time.Time, bool) {
+func ConfirmedAt(v cwgroup.View, primary cwgroup.Report, requestedAt time.Time) (time.Time, bool) {
 	need := cwgroup.Majority(v.Size()) - 1
-	var heard []time.Time
+	var reportTimes []time.Time
 	for _, r := range v.Reports() {
 		if r.Member != primary.Member && r.AdoptedTerm == primary.AdoptedTerm {
-			heard = append(heard, r.At)
+			reportTimes = append(reportTimes, r.At)
 		}
 	}
-	if len(heard) < need {
+	if len(reportTimes) < need {
 		return time.Time{}, false
 	}
 	if need == 0 {
-		return asked, true
+		return requestedAt, true
 	}
-	slices.SortFunc(heard, func(a, b time.Time) int { return b.Compare(a) })
-	if at := heard[need-1]; at.Before(asked) {
+	slices.SortFunc(reportTimes, func(a, b time.Time) int { return b.Compare(a) })
+	if at := reportTimes[need-1]; at.Before(requestedAt) {
 		return at, true
 	}
-	return asked, true
+	return requestedAt, true
 }
 
 // lagSmoothingDivisor is the divisor of the moving average of the lag: the
