--- a/internal/core/cwfeed/feed_test.go
+++ b/internal/core/cwfeed/feed_test.go
@@ -155,12 +155,12 @@
 // update applies the changes of from to the change log to, which knows them up to
 // after. If snapshot is true, it replaces all rows.
 func update(from, to *ChangeLog[Entry[int]], after *Version, snapshot bool) {
-	ask := *after
+	since := *after
 	if snapshot {
-		ask = 0
+		since = 0
 	}
 	version, _ := from.Version()
-	rows, whole := from.ChangesSince(ask)
+	rows, whole := from.ChangesSince(since)
 	if snapshot {
 		// A snapshot has no tombstones.
 		rows = slices.DeleteFunc(rows, func(e Entry[int]) bool { return e.Removed })
