--- a/example_test.go
+++ b/example_test.go
@@ -33,7 +33,7 @@
 	}})
 	tracker.Update(sup.View(), now)
 
-	token := cicadawalk.Token{}.WithMark("g", wrote)
+	token := cicadawalk.Token{}.WithPosition("g", wrote)
 	read := cicadawalk.Read{Floor: cicadawalk.FloorOf(token, "g")}
 	candidates := []cicadawalk.Candidate{{Member: "b"}, {Member: "c"}}
 	d := cicadawalk.Router[cicadawalk.PrimaryFallback]{}.Route(sup.View(), candidates, read, now)
--- a/internal/core/cwproof/ledger_test.go
+++ b/internal/core/cwproof/ledger_test.go
@@ -154,7 +154,7 @@
 		l.w.send(p.name, m.name, func() {
 			m.do(func() {
 				if found, _ := find(m.log[:m.applied()], r.id); !found {
-					l.stale = append(l.stale, fmt.Sprintf("request %d (%v, floor %v) not at %s, which has %v as %v", r.id, r.mark, rd.Floor.Mark, m.name, m.last(), m.role))
+					l.stale = append(l.stale, fmt.Sprintf("request %d (%v, floor %v) not at %s, which has %v as %v", r.id, r.mark, rd.Floor.Position, m.name, m.last(), m.role))
 				}
 			})
 		})
--- a/internal/core/cwproof/proxy_test.go
+++ b/internal/core/cwproof/proxy_test.go
@@ -266,7 +266,7 @@
 			c.Age, c.AgeKnown = p.history.Age(rep.Applied, p.w.now)
 		}
 		if rd.Floor.Known {
-			c.CatchUp = p.lagging.CatchUp(m.id(), rd.Floor.Mark, p.w.now)
+			c.CatchUp = p.lagging.CatchUp(m.id(), rd.Floor.Position, p.w.now)
 		}
 		cands = append(cands, c)
 	}
@@ -299,4 +299,4 @@
 	}
 }
 
-func floorOf(m cwgroup.LogPosition) cwsession.Floor { return cwsession.Floor{Mark: m, Known: true} }
+func floorOf(m cwgroup.LogPosition) cwsession.Floor { return cwsession.Floor{Position: m, Known: true} }
--- a/internal/core/cwroute/route.go
+++ b/internal/core/cwroute/route.go
@@ -150,7 +150,7 @@
 	// been replaced, and a session that wrote to the new primary may move to
 	// this proxy. The term of the session's floor reveals that: a primary of an
 	// earlier term lacks the session's writes.
-	if !primaryOK || rd.Floor.Known && primary.AdoptedTerm < rd.Floor.Mark.Term {
+	if !primaryOK || rd.Floor.Known && primary.AdoptedTerm < rd.Floor.Position.Term {
 		return Decision{Action: Refuse, RetryAfter: RetryAfter}
 	}
 	if rd.MaxAge > 0 && !rd.PrimaryConfirmed && !confirmedWithin(cands, primary.Member, rd.MaxAge) {
@@ -218,7 +218,7 @@
 // meetsRequirements reports whether a replica's data satisfies the floor and
 // the maximum age of a read.
 func meetsRequirements(rep cwgroup.Report, c *Candidate, rd Read) bool {
-	if rd.Floor.Known && !rep.Applied.AtLeast(rd.Floor.Mark) {
+	if rd.Floor.Known && !rep.Applied.AtLeast(rd.Floor.Position) {
 		return false
 	}
 	if rd.MaxAge == 0 {
--- a/internal/core/cwroute/route_test.go
+++ b/internal/core/cwroute/route_test.go
@@ -28,7 +28,7 @@
 }
 
 func floor(t cwgroup.Term, p cwgroup.LogIndex) cwsession.Floor {
-	return cwsession.Floor{Mark: cwgroup.LogPosition{Term: t, Index: p}, Known: true}
+	return cwsession.Floor{Position: cwgroup.LogPosition{Term: t, Index: p}, Known: true}
 }
 
 // testGroup returns a view of a primary a at position 1/10, a replica b at 1/10 and
--- a/internal/core/cwsession/session.go
+++ b/internal/core/cwsession/session.go
@@ -59,9 +59,9 @@
 	positions map[string]cwgroup.LogPosition
 }
 
-// Mark returns the newest log position that the session has seen in the group. The
+// Position returns the newest log position that the session has seen in the group. The
 // second result is false if there is none.
-func (t Token) Mark(group string) (cwgroup.LogPosition, bool) {
+func (t Token) Position(group string) (cwgroup.LogPosition, bool) {
 	m, ok := t.positions[group]
 	return m, ok
 }
@@ -69,9 +69,9 @@
 // Empty reports whether the token has no positions.
 func (t Token) Empty() bool { return len(t.positions) == 0 }
 
-// WithMark returns a token whose position in the group is at least m. A position
+// WithPosition returns a token whose position in the group is at least m. A position
 // never decreases: if the token already has a later one, it is returned unchanged.
-func (t Token) WithMark(group string, m cwgroup.LogPosition) Token {
+func (t Token) WithPosition(group string, m cwgroup.LogPosition) Token {
 	if old, ok := t.positions[group]; ok && old.AtLeast(m) {
 		return t
 	}
@@ -90,7 +90,7 @@
 	out := Token{}
 	for _, g := range groups {
 		if m, ok := t.positions[g]; ok {
-			out = out.WithMark(g, m)
+			out = out.WithPosition(g, m)
 		}
 	}
 	if out.Empty() && !t.Empty() {
@@ -178,15 +178,15 @@
 // reads. While Known is false, as in the zero Floor, the primary must be asked for
 // its position first.
 type Floor struct {
-	Mark  cwgroup.LogPosition
-	Known bool
+	Position cwgroup.LogPosition
+	Known    bool
 }
 
 // FloorOf returns the floor of a group according to a token. It is not known if the
 // token has no position for the group.
 func FloorOf(t Token, group string) Floor {
-	m, ok := t.Mark(group)
-	return Floor{Mark: m, Known: ok}
+	m, ok := t.Position(group)
+	return Floor{Position: m, Known: ok}
 }
 
 // CheckPrimary compares a floor with tip, the position at which the primary's log
@@ -194,11 +194,11 @@
 // from this group. It is rejected with a *TokenError instead of waited for, because
 // no member would ever reach it.
 func (f Floor) CheckPrimary(tip cwgroup.LogPosition) error {
-	if f.Known && !tip.AtLeast(f.Mark) {
+	if f.Known && !tip.AtLeast(f.Position) {
 		return &TokenError{Fault: FaultAheadOfGroup}
 	}
 	return nil
 }
 
 // GoString formats the floor for test failures.
-func (f Floor) GoString() string { return fmt.Sprintf("floor(%v %t)", f.Mark, f.Known) }
+func (f Floor) GoString() string { return fmt.Sprintf("floor(%v %t)", f.Position, f.Known) }
--- a/internal/core/cwsession/session_test.go
+++ b/internal/core/cwsession/session_test.go
@@ -22,24 +22,24 @@
 }
 
 func TestTokenRoundTrip(t *testing.T) {
-	tok := Token{}.WithMark("g1", newPosition(3, 99)).WithMark("g2", newPosition(1, 1<<40))
+	tok := Token{}.WithPosition("g1", newPosition(3, 99)).WithPosition("g2", newPosition(1, 1<<40))
 	back, err := ParseToken(tok.String())
 	qt.Assert(t, err, qt.IsNil)
-	m, ok := back.Mark("g1")
+	m, ok := back.Position("g1")
 	qt.Assert(t, ok, qt.IsTrue)
 	qt.Assert(t, m, qt.Equals, newPosition(3, 99))
 	qt.Assert(t, back.String(), qt.Equals, tok.String())
 }
 
 func TestTokenMarksNeverDecrease(t *testing.T) {
-	tok := Token{}.WithMark("g", newPosition(2, 5))
-	qt.Assert(t, tok.WithMark("g", newPosition(1, 900)).String(), qt.Equals, tok.String())
-	m, _ := tok.WithMark("g", newPosition(2, 6)).Mark("g")
+	tok := Token{}.WithPosition("g", newPosition(2, 5))
+	qt.Assert(t, tok.WithPosition("g", newPosition(1, 900)).String(), qt.Equals, tok.String())
+	m, _ := tok.WithPosition("g", newPosition(2, 6)).Position("g")
 	qt.Assert(t, m, qt.Equals, newPosition(2, 6))
 }
 
 func TestRejectedTokens(t *testing.T) {
-	good := Token{}.WithMark("g", newPosition(2, 5)).String()
+	good := Token{}.WithPosition("g", newPosition(2, 5)).String()
 	for text, fault := range map[string]TokenFault{
 		"hello":                   FaultMalformed,
 		"cw1.!!!":                 FaultMalformed,
@@ -57,7 +57,7 @@
 }
 
 func TestFloorBeyondPrimary(t *testing.T) {
-	f := FloorOf(Token{}.WithMark("g", newPosition(2, 5)), "g")
+	f := FloorOf(Token{}.WithPosition("g", newPosition(2, 5)), "g")
 	qt.Assert(t, f.CheckPrimary(newPosition(2, 5)), qt.IsNil)
 	qt.Assert(t, f.CheckPrimary(newPosition(3, 1)), qt.IsNil)
 	assertFault(t, f.CheckPrimary(newPosition(2, 4)), FaultAheadOfGroup)
@@ -65,7 +65,7 @@
 }
 
 func FuzzParseToken(f *testing.F) {
-	f.Add(Token{}.WithMark("g1", newPosition(3, 99)).String())
+	f.Add(Token{}.WithPosition("g1", newPosition(3, 99)).String())
 	f.Add("cw1.AAAAAAAA")
 	f.Add("cw1.")
 	f.Fuzz(func(t *testing.T, text string) {
--- a/internal/proxy/cwfront/consistency_test.go
+++ b/internal/proxy/cwfront/consistency_test.go
@@ -160,7 +160,7 @@
 		tok, err := cwsession.ParseToken(token(one))
 		c.Assert(err, qt.IsNil)
 		for _, g := range []string{"rondas-1", "rondas-2", "rondas-3"} {
-			if _, ok := tok.Mark(g); ok {
+			if _, ok := tok.Position(g); ok {
 				used[g] = true
 			}
 		}
--- a/internal/proxy/cwfront/request.go
+++ b/internal/proxy/cwfront/request.go
@@ -303,7 +303,7 @@
 		return f
 	}
 	position, ok := s.primaryPositions[s.group.Name()]
-	return cwsession.Floor{Mark: position, Known: ok}
+	return cwsession.Floor{Position: position, Known: ok}
 }
 
 // checkFloor compares a floor that came from the client's token with the
@@ -317,7 +317,7 @@
 		return nil
 	}
 	p, ok := s.group.View().Primary()
-	if !ok || !p.Durable.AtLeast(f.Mark) {
+	if !ok || !p.Durable.AtLeast(f.Position) {
 		position, err := s.group.PrimaryPosition(ctx)
 		if err != nil {
 			// Without a primary the floor stays unchecked. Routing the read
--- a/internal/proxy/cwfront/session.go
+++ b/internal/proxy/cwfront/session.go
@@ -115,8 +115,8 @@
 		return invalidSetting(tokenParameter, "", "a token of this service; "+err.Error())
 	}
 	for _, g := range s.entry.GroupNames() {
-		if m, ok := t.Mark(g); ok {
-			s.token = s.token.WithMark(g, m)
+		if m, ok := t.Position(g); ok {
+			s.token = s.token.WithPosition(g, m)
 			delete(s.checkedFloors, g)
 		}
 	}
@@ -127,7 +127,7 @@
 // observed, log position m of its group. The floor needs no check, because m comes from
 // the primary.
 func (s *session) recordPosition(m cwgroup.LogPosition) {
-	s.token = s.token.WithMark(s.group.Name(), m)
+	s.token = s.token.WithPosition(s.group.Name(), m)
 	if s.checkedFloors == nil {
 		s.checkedFloors = make(map[string]bool)
 	}
--- a/internal/proxy/cwfront/token_test.go
+++ b/internal/proxy/cwfront/token_test.go
@@ -9,7 +9,7 @@
 
 // forgeToken returns a well-formed session token with an arbitrary log position.
 func forgeToken(c *qt.C, group string, m cwgroup.LogPosition) string {
-	t := cwsession.Token{}.WithMark(group, m).String()
+	t := cwsession.Token{}.WithPosition(group, m).String()
 	c.Assert(t, qt.Not(qt.Equals), "")
 	return t
 }
--- a/internal/proxy/cwwatch/place.go
+++ b/internal/proxy/cwwatch/place.go
@@ -122,7 +122,7 @@
 			c.Age, c.AgeKnown = g.history.Age(rep.Applied, now)
 		}
 		if rd.Floor.Known {
-			c.CatchUp = g.lag.CatchUp(t.ID, rd.Floor.Mark, now)
+			c.CatchUp = g.lag.CatchUp(t.ID, rd.Floor.Position, now)
 		}
 		out = append(out, c)
 	}
