--- a/internal/core/cwroute/quorum.go
+++ b/internal/core/cwroute/quorum.go
@@ -6,14 +6,14 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwgroup"
 )
 
-// QuorumReadMark returns a log position at or above every record that was
+// QuorumReadPosition returns a log position at or above every record that was
 // acknowledged before since, computed from the reports of the members other than
 // the primary. Every acknowledged record is held by the primary and at least one
 // more member, so all members but one must have reported at since or later; the
 // missing one may be the primary. The second result is false if fewer have
 // reported, if one of them is a primary that is not known to be replaced, or if
 // eligible returns false for one of them.
-func QuorumReadMark(v cwgroup.View, since time.Time, eligible func(cwgroup.MemberID) bool) (cwgroup.LogPosition, bool) {
+func QuorumReadPosition(v cwgroup.View, since time.Time, eligible func(cwgroup.MemberID) bool) (cwgroup.LogPosition, bool) {
 	primary, known := v.Primary()
 	var top cwgroup.LogPosition
 	reported := 0
--- a/internal/core/cwroute/quorum_test.go
+++ b/internal/core/cwroute/quorum_test.go
@@ -11,7 +11,7 @@
 
 // Guards against a quorum read that misses an acknowledged record. Each case
 // lists the reports of the members after the primary a is lost.
-func TestQuorumReadMark(t *testing.T) {
+func TestQuorumReadPosition(t *testing.T) {
 	since := time.Unix(1000, 0)
 	newReport := func(id cwgroup.MemberID, role cwgroup.Role, term cwgroup.Term, at time.Duration, last cwgroup.LogIndex) cwgroup.Report {
 		return cwgroup.Report{
@@ -43,12 +43,12 @@
 			for _, r := range tc.reports {
 				v = v.WithLatestReport(r)
 			}
-			position, ok := QuorumReadMark(v, since, func(cwgroup.MemberID) bool { return tc.eligible })
+			position, ok := QuorumReadPosition(v, since, func(cwgroup.MemberID) bool { return tc.eligible })
 			qt.Assert(t, ok, qt.Equals, tc.want > 0)
 			qt.Assert(t, position.Index, qt.Equals, tc.want)
 		})
 	}
 	alone := cwgroup.NewView("g", []cwgroup.MemberID{"a"})
-	_, ok := QuorumReadMark(alone, since, func(cwgroup.MemberID) bool { return true })
+	_, ok := QuorumReadPosition(alone, since, func(cwgroup.MemberID) bool { return true })
 	qt.Assert(t, ok, qt.IsFalse)
 }
--- a/internal/proxy/cwlead/quorum.go
+++ b/internal/proxy/cwlead/quorum.go
@@ -21,7 +21,7 @@
 // if none of them led a later term by then, nothing had been acknowledged in a later
 // term.
 func (g *Group) quorumFloor(rd Read) (cwgroup.LogPosition, bool) {
-	m, ok := cwroute.QuorumReadMark(g.sup.View(), rd.freshAsOf(), func(id cwgroup.MemberID) bool {
+	m, ok := cwroute.QuorumReadPosition(g.sup.View(), rd.freshAsOf(), func(id cwgroup.MemberID) bool {
 		_, restarted := g.restarts[id]
 		return !restarted
 	})
