--- a/internal/core/cwstatement/statement.go
+++ b/internal/core/cwstatement/statement.go
@@ -20,8 +20,8 @@
 
 // The verbs.
 const (
-	// Unknown is a statement that the codec could not parse.
-	Unknown Verb = iota
+	// UnknownVerb is a statement that the codec could not parse.
+	UnknownVerb Verb = iota
 	// Begin begins a read-write transaction.
 	Begin
 	// BeginRead begins a read-only transaction.
@@ -218,9 +218,9 @@
 	// Detail explains a failure to the caller.
 	Detail string
 	State  TransactionState
-	// Mark is the end of the target's log at the time of the response; zero if the
+	// LogEnd is the end of the target's log at the time of the response; zero if the
 	// target did not report it.
-	Mark cwgroup.LogPosition
+	LogEnd cwgroup.LogPosition
 }
 
 // Failure returns a response with a code and its explanation.
@@ -244,8 +244,8 @@
 	Role cwgroup.Role
 	// Term is the term of the target's log.
 	Term cwgroup.Term
-	// Received is the end of the target's log.
-	Received cwgroup.LogPosition
+	// LogEnd is the end of the target's log.
+	LogEnd cwgroup.LogPosition
 	// FencedTerm is the term for which the target has been fenced and stopped
 	// replicating; zero if it replicates.
 	FencedTerm cwgroup.Term
--- a/internal/proxy/cwengine/forwarded.go
+++ b/internal/proxy/cwengine/forwarded.go
@@ -47,7 +47,7 @@
 	e.forwardedInFlight.Add(1)
 	defer e.forwardedInFlight.Add(-1)
 	began := e.cfg.Clock.Now().Add(-h.Elapsed)
-	if h.Transaction != "" && h.Begin == cwstatement.Unknown {
+	if h.Transaction != "" && h.Begin == cwstatement.UnknownVerb {
 		return e.continueForwarded(h, began)
 	}
 	group, ok := e.ensureGroup(h.Entry.Groups[0].Name)
@@ -154,7 +154,7 @@
 // may the first statement of a transaction.
 func (s *session) handedAnswer(h cwport.Handover, group *cwlead.Group, a cwstatement.Response) cwport.Handed {
 	r := cwport.Handed{Answer: a}
-	first := h.Transaction == "" || h.Begin != cwstatement.Unknown
+	first := h.Transaction == "" || h.Begin != cwstatement.UnknownVerb
 	if a.Code != cwstatement.OK {
 		r.Elsewhere = first && group.MajorityUnreachable() && a.Code.NoEffect()
 		return r
--- a/internal/proxy/cwengine/handover_test.go
+++ b/internal/proxy/cwengine/handover_test.go
@@ -215,7 +215,7 @@
 	env.c.Assert(err, qt.IsNil)
 	assertOK(env.c, r.Answer)
 	env.eventually("the transaction is over", func() bool { return h.engine.SessionCount() == 0 })
-	hand.Begin, hand.Statement = cwstatement.Unknown, cwstatement.Statement{ID: "c", Verb: cwstatement.Commit, Text: "COMMIT"}
+	hand.Begin, hand.Statement = cwstatement.UnknownVerb, cwstatement.Statement{ID: "c", Verb: cwstatement.Commit, Text: "COMMIT"}
 	r, err = h.Hand(context.Background(), hand)
 	env.c.Assert(err, qt.IsNil)
 	assertNothingKept(env.c, r.Answer)
--- a/internal/proxy/cwengine/run.go
+++ b/internal/proxy/cwengine/run.go
@@ -195,7 +195,7 @@
 // recordAnswer records what an answer shows about the state of its target. led is true
 // if only a primary gives such an answer.
 func (t *task) recordAnswer(place cwlead.Placement, r exchangeResult, led bool) {
-	t.group.ObservePosition(place.ID, r.answer.Mark, led && place.Primary, r.sentAt)
+	t.group.ObservePosition(place.ID, r.answer.LogEnd, led && place.Primary, r.sentAt)
 }
 
 // recordRead records the evidence on which a successful read was placed.
@@ -225,17 +225,17 @@
 // awaitAcknowledgement waits until a commit may be reported as successful. Its outcome
 // is unresolved if no second member confirms the write.
 func (t *task) awaitAcknowledgement(a cwstatement.Response) cwstatement.Response {
-	if a.Mark == (cwgroup.LogPosition{}) {
+	if a.LogEnd == (cwgroup.LogPosition{}) {
 		return a
 	}
 	e := t.session.engine
 	began := e.cfg.Clock.Now()
-	outcome := t.group.AwaitAck(a.Mark)
+	outcome := t.group.AwaitAck(a.LogEnd)
 	e.cfg.Metrics.AckWait.Update(e.cfg.Clock.Since(began).Seconds())
 	if outcome != cwack.Acknowledged {
 		return cwstatement.Failure(cwstatement.Unresolved, "the write ran, but no second member is known to have it: "+outcome.String())
 	}
-	t.session.recordWrite(t.group.Name(), a.Mark)
+	t.session.recordWrite(t.group.Name(), a.LogEnd)
 	return a
 }
 
--- a/internal/proxy/cwlead/observe.go
+++ b/internal/proxy/cwlead/observe.go
@@ -110,20 +110,20 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.cfg.Clock.Now()
-	if g.logShrank(id, h.Term, h.Received, sentAt) {
+	if g.logShrank(id, h.Term, h.LogEnd, sentAt) {
 		g.recordRestart(id, "its log is shorter than before")
 	}
 	applied := cwgroup.LogPosition{}
 	if rep, ok := g.sup.View().Report(id); ok {
 		applied = rep.Applied
 	}
-	g.observeTerm(max(h.Term, h.Received.Term), now)
+	g.observeTerm(max(h.Term, h.LogEnd.Term), now)
 	role := h.Role
 	if h.FencedTerm > h.Term {
 		role = cwgroup.RoleFenced
 	}
 	if role == cwgroup.RolePrimary {
-		applied = h.Received
+		applied = h.LogEnd
 		g.lag.ObservePrimary(applied, now)
 		if h.Term == g.term {
 			g.history.Observe(applied, sentAt)
@@ -134,8 +134,8 @@
 	}
 	g.applyReport(cwgroup.Report{
 		Status: cwgroup.Status{
-			Member: id, Role: role, AdoptedTerm: max(h.Term, h.FencedTerm), Durable: h.Received, Applied: applied,
-			UpstreamAge: g.upstreamAge(id, h.Received, now),
+			Member: id, Role: role, AdoptedTerm: max(h.Term, h.FencedTerm), Durable: h.LogEnd, Applied: applied,
+			UpstreamAge: g.upstreamAge(id, h.LogEnd, now),
 		},
 		At: sentAt, Reachable: true,
 	})
--- a/internal/proxy/cwlead/order.go
+++ b/internal/proxy/cwlead/order.go
@@ -171,12 +171,12 @@
 		return h, err
 	})
 	if err == nil {
-		err = g.checkFencedLog(o.Member, h.Received)
+		err = g.checkFencedLog(o.Member, h.LogEnd)
 	}
 	if err != nil {
 		return cwgroup.Status{}, err
 	}
-	return cwgroup.Status{Member: o.Member, AdoptedTerm: o.Term, PriorTerm: before, Claim: o.Claim, Durable: h.Received}, nil
+	return cwgroup.Status{Member: o.Member, AdoptedTerm: o.Term, PriorTerm: before, Claim: o.Claim, Durable: h.LogEnd}, nil
 }
 
 func (g *Group) promote(ctx context.Context, o cwfailover.Command) error {
--- a/internal/proxy/cwlead/replaced_test.go
+++ b/internal/proxy/cwlead/replaced_test.go
@@ -19,7 +19,7 @@
 func (b *testGroup) reportHealthAt(id cwgroup.MemberID, role cwgroup.Role, term cwgroup.Term, received cwgroup.LogPosition) {
 	asked := b.clock.Now()
 	b.clock.Advance(time.Millisecond)
-	b.observeHealth(id, cwstatement.Health{Role: role, Term: term, Received: received}, asked)
+	b.observeHealth(id, cwstatement.Health{Role: role, Term: term, LogEnd: received}, asked)
 }
 
 // changeToB replaces primary a by b, which a majority follows.
--- a/internal/proxy/cwlead/restart_test.go
+++ b/internal/proxy/cwlead/restart_test.go
@@ -53,7 +53,7 @@
 func (b *testGroup) reportHealth(id cwgroup.MemberID, role cwgroup.Role, term cwgroup.Term, received cwgroup.LogIndex) {
 	asked := b.clock.Now()
 	b.clock.Advance(time.Millisecond)
-	b.observeHealth(id, cwstatement.Health{Role: role, Term: term, Received: cwgroup.LogPosition{Term: 1, Index: received}}, asked)
+	b.observeHealth(id, cwstatement.Health{Role: role, Term: term, LogEnd: cwgroup.LogPosition{Term: 1, Index: received}}, asked)
 }
 
 // awaitFenceCheck waits until the row has been checked after a restart of c, or, if
@@ -188,7 +188,7 @@
 		b := newTestGroup(t)
 		asked := b.clock.Now()
 		b.reportHealth("c", cwgroup.RoleReplica, 1, 100)
-		b.observeHealth("c", cwstatement.Health{Term: 1, Received: cwgroup.LogPosition{Term: 1, Index: 90}}, asked)
+		b.observeHealth("c", cwstatement.Health{Term: 1, LogEnd: cwgroup.LogPosition{Term: 1, Index: 90}}, asked)
 		qt.Assert(t, b.restarts, qt.HasLen, 0)
 	})
 }
--- a/internal/standin/cwreplica/conn.go
+++ b/internal/standin/cwreplica/conn.go
@@ -63,7 +63,7 @@
 	if c.member.loseAnswers {
 		return cwstatement.Response{}, errLost
 	}
-	a.State, a.Mark = c.state, lastMark(c.visibleLog())
+	a.State, a.LogEnd = c.state, lastMark(c.visibleLog())
 	return a, nil
 }
 
--- a/internal/standin/cwreplica/group.go
+++ b/internal/standin/cwreplica/group.go
@@ -292,7 +292,7 @@
 }
 
 func (m *Member) health() cwstatement.Health {
-	return cwstatement.Health{Role: m.role, Term: m.term, FencedTerm: m.fenceTerm, Received: m.lastReceived(), Connections: m.connections}
+	return cwstatement.Health{Role: m.role, Term: m.term, FencedTerm: m.fenceTerm, LogEnd: m.lastReceived(), Connections: m.connections}
 }
 
 // From returns a dialer for connections of an instance. If the name is empty, the
--- a/internal/wire/cwhandover/handover.go
+++ b/internal/wire/cwhandover/handover.go
@@ -119,7 +119,7 @@
 	switch {
 	case !runs(verb):
 		return cwport.Handover{}, &UnreadableError{What: "verb " + b.Verb}
-	case begin != cwstatement.Unknown && begin != cwstatement.Begin && begin != cwstatement.BeginRead:
+	case begin != cwstatement.UnknownVerb && begin != cwstatement.Begin && begin != cwstatement.BeginRead:
 		return cwport.Handover{}, &UnreadableError{What: "begin " + b.Begin}
 	case b.Entry.Group == "":
 		return cwport.Handover{}, &UnreadableError{What: "no group"}
