--- a/internal/core/cwfailover/command.go
+++ b/internal/core/cwfailover/command.go
@@ -96,9 +96,9 @@
 type Plan struct {
 	Group   string
 	Members []cwgroup.MemberID
-	// Size is the number of members of the group. Members may list fewer, but never
+	// GroupSize is the number of members of the group. Members may list fewer, but never
 	// more.
-	Size int
+	GroupSize int
 	// StableSize is the number of members of the group without those that are being
 	// exchanged; zero if it is not known.
 	StableSize int
--- a/internal/core/cwfailover/fence.go
+++ b/internal/core/cwfailover/fence.go
@@ -88,7 +88,7 @@
 
 // groupSize returns the number of members of the group, including those that are
 // not in the plan's list.
-func (k *Attempt) groupSize() int { return max(k.plan.Size, len(k.plan.Members)) }
+func (k *Attempt) groupSize() int { return max(k.plan.GroupSize, len(k.plan.Members)) }
 
 func (k *Attempt) majority() int { return cwgroup.Majority(k.groupSize()) }
 
--- a/internal/core/cwfailover/supervisor.go
+++ b/internal/core/cwfailover/supervisor.go
@@ -298,7 +298,7 @@
 	plan := Plan{
 		Group:            s.view.Name(),
 		Members:          s.view.Members(),
-		Size:             s.view.Size(),
+		GroupSize:        s.view.Size(),
 		StableSize:       s.view.StableSize(),
 		ReplacedTerm:     max(s.view.Term(), s.view.ReplacedTerm()),
 		Term:             max(NextTerm(s.view), in.RowTerm+1),
