--- a/internal/proxy/cwnode/failure_test.go
+++ b/internal/proxy/cwnode/failure_test.go
@@ -41,11 +41,11 @@
 		}},
 		{"primary killed, back with its tail", func(b *bench) {
 			b.Databases[0].Stop()
-			time.AfterFunc(1200*time.Millisecond, func() { _ = b.Databases[0].Resume() })
+			time.AfterFunc(1200*time.Millisecond, func() { _ = b.Databases[0].Restart() })
 		}},
 		{"two primaries killed, the first back", func(b *bench) {
 			b.Databases[0].Stop()
-			time.AfterFunc(1200*time.Millisecond, func() { _ = b.Databases[0].Resume() })
+			time.AfterFunc(1200*time.Millisecond, func() { _ = b.Databases[0].Restart() })
 			time.AfterFunc(2000*time.Millisecond, func() {
 				if i := b.Primary(); i > 0 {
 					b.Databases[i].Stop()
@@ -68,7 +68,7 @@
 			b.Databases[0].Stop()
 		}},
 		{"answers of commits lost", func(b *bench) {
-			b.Databases[0].SetFaults(cwdatabase.Faults{LoseCommits: 10})
+			b.Databases[0].SetFaults(cwdatabase.Faults{LoseCommitAnswers: 10})
 		}},
 		{"connections broken before the commit", func(b *bench) {
 			b.Databases[0].SetFaults(cwdatabase.Faults{DropBeforeCommit: 10})
@@ -120,7 +120,7 @@
 	t.Parallel()
 	c, b := newBench(t, cwdemo.Options{})
 	rep := b.load(c, 4*time.Second, func(p *cwload.Plan) { p.Keys, p.DropToken = false, true }, func() {
-		b.Databases[0].SetFaults(cwdatabase.Faults{LoseCommits: 5})
+		b.Databases[0].SetFaults(cwdatabase.Faults{LoseCommitAnswers: 5})
 		time.AfterFunc(time.Second, b.Databases[0].Stop)
 	})
 	assertKept(c, rep)
@@ -148,7 +148,7 @@
 	})
 	c.Run("the answer of the commit is lost", func(c *qt.C) {
 		setKey(c, one, "k2")
-		b.Databases[0].SetFaults(cwdatabase.Faults{LoseCommits: 1})
+		b.Databases[0].SetFaults(cwdatabase.Faults{LoseCommitAnswers: 1})
 		exec(c, one, "INSERT INTO booking VALUES ($1, 'cone')", 2)
 		c.Assert(count(c, 2), qt.Equals, int64(1))
 	})
@@ -230,7 +230,7 @@
 		setKey(c, conn, "k10")
 		exec(c, conn, "BEGIN")
 		exec(c, conn, "INSERT INTO booking VALUES ($1, 'jaw')", 10)
-		b.Databases[0].SetFaults(cwdatabase.Faults{LoseCommits: 1})
+		b.Databases[0].SetFaults(cwdatabase.Faults{LoseCommitAnswers: 1})
 		exec(c, conn, "COMMIT")
 		c.Assert(count(c, 10), qt.Equals, int64(1))
 	})
@@ -250,7 +250,7 @@
 		c.Assert(count(c, 11), qt.Equals, int64(1))
 	})
 	c.Run("without a key the outcome is unknown", func(c *qt.C) {
-		b.Databases[0].SetFaults(cwdatabase.Faults{LoseCommits: 1})
+		b.Databases[0].SetFaults(cwdatabase.Faults{LoseCommitAnswers: 1})
 		_, err := one.Exec(background, "INSERT INTO booking VALUES ($1, 'jaw')", 8)
 		assertCode(c, err, "08007")
 	})
--- a/internal/standin/cwcontrol/control.go
+++ b/internal/standin/cwcontrol/control.go
@@ -50,22 +50,22 @@
 }
 
 // Database returns the control handler of a database.
-func Database(m *cwdatabase.Running) http.Handler {
+func Database(m *cwdatabase.RunningMember) http.Handler {
 	return faultsHandler(func(f databaseFaults) {
 		m.SetFaults(cwdatabase.Faults{
-			StreamLag:        time.Duration(f.StreamLagMs) * time.Millisecond,
-			ApplyLag:         time.Duration(f.ApplyLagMs) * time.Millisecond,
-			ServiceTime:      time.Duration(f.ServiceTimeUs) * time.Microsecond,
-			Frozen:           f.Frozen,
-			LoseCommits:      f.LoseCommits,
-			DropBeforeCommit: f.DropBeforeCommit,
-			NoReplication:    f.NoReplication,
+			StreamLag:         time.Duration(f.StreamLagMs) * time.Millisecond,
+			ApplyLag:          time.Duration(f.ApplyLagMs) * time.Millisecond,
+			ServiceTime:       time.Duration(f.ServiceTimeUs) * time.Microsecond,
+			Frozen:            f.Frozen,
+			LoseCommitAnswers: f.LoseCommits,
+			DropBeforeCommit:  f.DropBeforeCommit,
+			NoReplication:     f.NoReplication,
 		})
 	}, func() databaseFaults {
 		f := m.Faults()
 		return databaseFaults{
 			StreamLagMs: f.StreamLag.Milliseconds(), ApplyLagMs: f.ApplyLag.Milliseconds(),
-			ServiceTimeUs: f.ServiceTime.Microseconds(), Frozen: f.Frozen, LoseCommits: f.LoseCommits,
+			ServiceTimeUs: f.ServiceTime.Microseconds(), Frozen: f.Frozen, LoseCommits: f.LoseCommitAnswers,
 			DropBeforeCommit: f.DropBeforeCommit, NoReplication: f.NoReplication,
 		}
 	})
--- a/internal/standin/cwdatabase/commit.go
+++ b/internal/standin/cwdatabase/commit.go
@@ -58,8 +58,8 @@
 		m.faults.DropBeforeCommit--
 		return true, false
 	}
-	if m.faults.LoseCommits > 0 {
-		m.faults.LoseCommits--
+	if m.faults.LoseCommitAnswers > 0 {
+		m.faults.LoseCommitAnswers--
 		return false, true
 	}
 	return false, false
--- a/internal/standin/cwdatabase/member.go
+++ b/internal/standin/cwdatabase/member.go
@@ -32,9 +32,9 @@
 	ID cwgroup.MemberID
 	// Listen is the IP address and port to listen on; port 0 picks a free port.
 	Listen string
-	// Connections is the maximum number of client connections. Replication
+	// MaxConnections is the maximum number of client connections. Replication
 	// connections are not counted.
-	Connections int
+	MaxConnections int
 	// Slots is the number of statements executed concurrently; further
 	// statements queue. Values below 1 count as 1.
 	Slots int
@@ -49,10 +49,10 @@
 	Databases []string
 	// Primary starts the member as the primary of term 1.
 	Primary bool
-	// Follow is the address of the primary of term 1, for a replica.
-	Follow string
-	// FollowID is the id of the primary at Follow.
-	FollowID cwgroup.MemberID
+	// PrimaryAddr is the address of the primary of term 1, for a replica.
+	PrimaryAddr string
+	// PrimaryID is the id of the primary at Follow.
+	PrimaryID cwgroup.MemberID
 }
 
 // Faults are the faults that a member injects. The zero value injects none.
@@ -67,9 +67,9 @@
 	// Frozen stops all answers, as in a paused process. Connections are still
 	// accepted by the kernel.
 	Frozen bool
-	// LoseCommits is the number of commits that take effect but whose
+	// LoseCommitAnswers is the number of commits that take effect but whose
 	// connection is closed instead of the answer being sent.
-	LoseCommits int
+	LoseCommitAnswers int
 	// DropBeforeCommit is the number of commits whose connection is closed
 	// before the commit takes effect.
 	DropBeforeCommit int
@@ -128,8 +128,8 @@
 		writeLock:   make(chan struct{}, 1),
 		adoptedTerm: 1,
 		lastHeard:   time.Now(),
-		primaryAddr: cfg.Follow,
-		primaryID:   cfg.FollowID,
+		primaryAddr: cfg.PrimaryAddr,
+		primaryID:   cfg.PrimaryID,
 		changed:     make(chan struct{}),
 	}
 	if cfg.Primary {
@@ -186,7 +186,7 @@
 	m.notify()
 }
 
-// Faults returns the injected faults. LoseCommits and DropBeforeCommit are the
+// Faults returns the injected faults. LoseCommitAnswers and DropBeforeCommit are the
 // numbers that remain.
 func (m *Member) Faults() Faults {
 	m.mu.Lock()
--- a/internal/standin/cwdatabase/member_test.go
+++ b/internal/standin/cwdatabase/member_test.go
@@ -13,21 +13,21 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwgroup"
 )
 
-func startPair(c *qt.C) (primary, replica *Running) {
+func startPair(c *qt.C) (primary, replica *RunningMember) {
 	primary = startMember(c, Config{ID: "a", Primary: true})
-	replica = startMember(c, Config{ID: "b", Follow: primary.Addr(), FollowID: "a"})
+	replica = startMember(c, Config{ID: "b", PrimaryAddr: primary.Addr(), PrimaryID: "a"})
 	return primary, replica
 }
 
-func startMember(c *qt.C, cfg Config) *Running {
-	cfg.Listen, cfg.Connections, cfg.Slots, cfg.ChecksTerm = "127.0.0.1:0", 20, 3, true
+func startMember(c *qt.C, cfg Config) *RunningMember {
+	cfg.Listen, cfg.MaxConnections, cfg.Slots, cfg.ChecksTerm = "127.0.0.1:0", 20, 3, true
 	m, err := Start(cfg)
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(m.Stop)
 	return m
 }
 
-func dial(c *qt.C, m *Running) *pgx.Conn {
+func dial(c *qt.C, m *RunningMember) *pgx.Conn {
 	conn, err := pgx.Connect(context.Background(), "postgres://u@"+m.Addr()+"/db?sslmode=disable")
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(func() { _ = conn.Close(context.Background()) })
@@ -113,7 +113,7 @@
 // no replica has: its clients would read a record that was never acknowledged,
 // and later see it disappear. Such a record remains when a replica is promoted
 // before it has received the end of the old primary's log.
-func TestOldPrimaryCutsItsTail(t *testing.T) {
+func TestRejoiningPrimaryTruncatesItsLog(t *testing.T) {
 	ctx := context.Background()
 	c := qt.New(t)
 	primary, replica := startPair(c)
--- a/internal/standin/cwdatabase/server.go
+++ b/internal/standin/cwdatabase/server.go
@@ -30,8 +30,8 @@
 	nextPID  uint32
 }
 
-// Running is a member that serves connections.
-type Running struct {
+// RunningMember is a member that serves connections.
+type RunningMember struct {
 	*Member
 	cancel     context.CancelFunc
 	goroutines *errgroup.Group
@@ -40,7 +40,7 @@
 
 // Start creates a member and serves it until Stop. It returns an error if the
 // address cannot be listened on.
-func Start(cfg Config) (*Running, error) {
+func Start(cfg Config) (*RunningMember, error) {
 	m, err := newMember(cfg)
 	if err != nil {
 		return nil, err
@@ -59,27 +59,27 @@
 	m.server = s
 	ctx, cancel := context.WithCancel(context.Background())
 	g, ctx := errgroup.WithContext(ctx)
-	r := &Running{Member: m, cancel: cancel, goroutines: g, addr: ln.Addr().String()}
+	r := &RunningMember{Member: m, cancel: cancel, goroutines: g, addr: ln.Addr().String()}
 	g.Go(func() error { return s.run(ctx) })
 	g.Go(func() error { return m.runReplication(ctx) })
 	return r, nil
 }
 
 // Addr returns the address on which the member listens.
-func (r *Running) Addr() string { return r.addr }
+func (r *RunningMember) Addr() string { return r.addr }
 
 // Stop stops the member as a kill of the process would: all connections are
 // closed without a message.
-func (r *Running) Stop() {
+func (r *RunningMember) Stop() {
 	r.cancel()
 	_ = r.goroutines.Wait()
 	r.server.closeConnections()
 }
 
-// Resume serves the member again after Stop, at the same address. It keeps its
+// Restart serves the member again after Stop, at the same address. It keeps its
 // log, data and role, as a database that is restarted with its disk does. It
 // returns an error if the address cannot be listened on.
-func (r *Running) Resume() error {
+func (r *RunningMember) Restart() error {
 	ln, err := net.Listen("tcp", r.addr)
 	if err != nil {
 		return Error.Wrap(err)
@@ -96,7 +96,7 @@
 
 // Connections returns the number of open client connections. Replication
 // connections are not counted.
-func (r *Running) Connections() int {
+func (r *RunningMember) Connections() int {
 	r.server.mu.Lock()
 	defer r.server.mu.Unlock()
 	return len(r.server.sessions)
@@ -191,7 +191,7 @@
 func (s *server) addSession(c *session) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.sessions) >= s.member.cfg.Connections {
+	if len(s.sessions) >= s.member.cfg.MaxConnections {
 		return false
 	}
 	s.nextPID++
--- a/internal/standin/cwprogram/program.go
+++ b/internal/standin/cwprogram/program.go
@@ -45,7 +45,7 @@
   cicadastandin database --id libro-2 --listen 127.0.2.1:5432 --follow 127.0.1.1:5432 --follow-id libro-1`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			cfg.ID, cfg.FollowID = cwgroup.MemberID(id), cwgroup.MemberID(followID)
+			cfg.ID, cfg.PrimaryID = cwgroup.MemberID(id), cwgroup.MemberID(followID)
 			m, err := cwdatabase.Start(cfg)
 			if err != nil {
 				return err
@@ -61,12 +61,12 @@
 	fs.StringVar(&id, "id", "db", "the database's id in the catalogue")
 	fs.StringVar(&cfg.Listen, "listen", "127.0.0.1:5432", "address to listen on, IP:port")
 	fs.StringVar(&control, "control", "", "address of the control interface, IP:port")
-	fs.IntVar(&cfg.Connections, "connections", 25, "maximum number of client connections")
+	fs.IntVar(&cfg.MaxConnections, "connections", 25, "maximum number of client connections")
 	fs.IntVar(&cfg.Slots, "slots", 3, "statements executed concurrently")
 	fs.DurationVar(&cfg.ConnectDelay, "connect-delay", 10*time.Millisecond, "delay of each new connection")
 	fs.BoolVar(&cfg.ChecksTerm, "checks-term", true, "check the term of every control command")
 	fs.BoolVar(&cfg.Primary, "primary", false, "start as the primary of term 1")
-	fs.StringVar(&cfg.Follow, "follow", "", "address of the primary of term 1")
+	fs.StringVar(&cfg.PrimaryAddr, "follow", "", "address of the primary of term 1")
 	fs.StringVar(&followID, "follow-id", "", "id of the primary of term 1")
 	return cmd
 }
--- a/internal/tool/cwdemo/cluster.go
+++ b/internal/tool/cwdemo/cluster.go
@@ -78,7 +78,7 @@
 // Bench is a running deployment. Make one with Start, and end it with Stop.
 type Bench struct {
 	// Databases are the databases of all groups, three for each group.
-	Databases []*cwdatabase.Running
+	Databases []*cwdatabase.RunningMember
 	Platform  *cwtable.Platform
 	Proxies   []*Proxy
 	opts      Options
@@ -153,17 +153,17 @@
 	}
 	for i, host := range hosts {
 		cfg := cwdatabase.Config{
-			ID:           cwgroup.MemberID(fmt.Sprintf("%s-%d", prefix, i+1)),
-			Listen:       host + ":0",
-			Connections:  b.opts.Contract.Connections,
-			Slots:        b.opts.Contract.Slots,
-			ConnectDelay: 10 * time.Millisecond,
-			ChecksTerm:   b.opts.Contract.ChecksTerm,
-			Primary:      i == 0,
+			ID:             cwgroup.MemberID(fmt.Sprintf("%s-%d", prefix, i+1)),
+			Listen:         host + ":0",
+			MaxConnections: b.opts.Contract.Connections,
+			Slots:          b.opts.Contract.Slots,
+			ConnectDelay:   10 * time.Millisecond,
+			ChecksTerm:     b.opts.Contract.ChecksTerm,
+			Primary:        i == 0,
 		}
 		if i > 0 {
 			first := b.Databases[g*len(hosts)]
-			cfg.Follow, cfg.FollowID = first.Addr(), first.Status().Member
+			cfg.PrimaryAddr, cfg.PrimaryID = first.Addr(), first.Status().Member
 		}
 		m, err := cwdatabase.Start(cfg)
 		if err != nil {
