--- a/internal/proxy/cwengine/access_test.go
+++ b/internal/proxy/cwengine/access_test.go
@@ -65,7 +65,7 @@
 func (env *keyedEnv) assertedWorkspace(id string) string {
 	env.c.Helper()
 	var out []string
-	for _, ran := range env.group.Contexts() {
+	for _, ran := range env.group.CallerCommands() {
 		if ran.ID == id {
 			out = append(out, ran.Workspace)
 		}
@@ -76,7 +76,7 @@
 
 func (env *keyedEnv) assertNeverRan(id string) {
 	env.c.Helper()
-	for _, ran := range env.group.Contexts() {
+	for _, ran := range env.group.CallerCommands() {
 		env.c.Assert(ran.ID, qt.Not(qt.Equals), id)
 	}
 }
--- a/internal/proxy/cwengine/failover_test.go
+++ b/internal/proxy/cwengine/failover_test.go
@@ -118,7 +118,7 @@
 // holders acted in turns.
 func TestPrimaryIsReplacedOnce(t *testing.T) {
 	env := newTestEnv(t, cwcatalogue.ReadNewest)
-	env.group.SetPromotionTakes(time.Second, env.clock)
+	env.group.SetPromotionDelay(time.Second, env.clock)
 	var engines []*Engine
 	for _, name := range []string{"x", "y", "z"} {
 		e := env.engine(name)
@@ -147,7 +147,7 @@
 	env.waitForPrimary(e)
 	s := env.session(e)
 	assertOK(env.c, s.ask(cwstatement.Write, "WRITE i 1"))
-	env.group.SetDark("a", true, env.clock)
+	env.group.SetUnresponsive("a", true, env.clock)
 	began := env.clock.Now()
 	go s.tryAsk(cwstatement.Write, "WRITE i 2")
 	env.eventually("another member is promoted", func() bool { return len(env.group.Promotions()) > 0 })
@@ -177,7 +177,7 @@
 func TestFailedPromotionLeavesNoMemberBehind(t *testing.T) {
 	env, s := newSessionBeforeLostPrimary(t)
 	// The first attempt can fence only one of the two members it needs.
-	env.group.RefuseFences("c", 1)
+	env.group.LoseFences("c", 1)
 	env.eventually("a write is acknowledged by the new primary", func() bool {
 		return s.ask(cwstatement.Write, "WRITE i 2").Code == cwstatement.OK
 	})
@@ -187,7 +187,7 @@
 // replica refuses the fencing order. The next attempt may begin only two seconds later.
 func TestBusyMemberIsFencedAgain(t *testing.T) {
 	env, s := newSessionBeforeLostPrimary(t)
-	env.group.BusyAtFences("c", 3)
+	env.group.RefuseFencesAsBusy("c", 3)
 	env.eventually("a write is acknowledged by the new primary", func() bool {
 		return s.ask(cwstatement.Write, "WRITE i 2").Code == cwstatement.OK
 	})
@@ -213,7 +213,7 @@
 	env.c.Assert(e.AnswerProbe(), qt.IsTrue)
 
 	for _, id := range []string{"b", "c"} {
-		env.group.SetDark(memberID(id), true, env.clock)
+		env.group.SetUnresponsive(memberID(id), true, env.clock)
 	}
 	go s.tryAsk(cwstatement.Write, "WRITE i 2")
 	env.eventually("the path is suspected", e.cfg.Path.Suspected)
--- a/internal/proxy/cwengine/fallback_test.go
+++ b/internal/proxy/cwengine/fallback_test.go
@@ -149,5 +149,5 @@
 	env.eventually("both members are known to be unreachable", g.MajorityUnreachable)
 	a := env.session(e).tryAsk(cwstatement.Write, "WRITE i 1")
 	assertNothingKept(env.c, a)
-	env.c.Assert(env.group.Runs("WRITE i 1"), qt.Equals, 0)
+	env.c.Assert(env.group.CommandCount("WRITE i 1"), qt.Equals, 0)
 }
--- a/internal/proxy/cwengine/handover_test.go
+++ b/internal/proxy/cwengine/handover_test.go
@@ -77,7 +77,7 @@
 func TestForwardedStatements(t *testing.T) {
 	t.Run("a session reads what it wrote", func(t *testing.T) {
 		env, s, _ := newForwardingSession(t, cwcatalogue.ReadOwnWrites)
-		env.group.SetDeaf("b", true)
+		env.group.SetReceiveStopped("b", true)
 		for _, v := range []string{"1", "2", "3"} {
 			assertOK(env.c, s.ask(cwstatement.Write, "WRITE i "+v))
 			assertRead(env.c, s.ask(cwstatement.Read, "READ i"), v)
@@ -110,12 +110,12 @@
 		assertOK(env.c, s.send(cwstatement.Statement{Verb: cwstatement.Set, Name: "lang", Args: "en"}))
 		assertOK(env.c, s.send(execute("e2", "p", "i 2")))
 		assertOK(env.c, s.ask(cwstatement.Commit, "COMMIT"))
-		for _, ran := range env.group.Contexts() {
+		for _, ran := range env.group.CallerCommands() {
 			switch ran.ID {
 			case "e1":
-				env.c.Check(ran.Values, qt.DeepEquals, map[string]string{"lang": "es"})
+				env.c.Check(ran.Settings, qt.DeepEquals, map[string]string{"lang": "es"})
 			case "e2":
-				env.c.Check(ran.Values, qt.DeepEquals, map[string]string{"lang": "en"})
+				env.c.Check(ran.Settings, qt.DeepEquals, map[string]string{"lang": "en"})
 			}
 		}
 		env.c.Assert(env.group.Value("i"), qt.Equals, "2")
@@ -140,7 +140,7 @@
 	h.startDroppingAnswers()
 	a := s.ask(cwstatement.Write, "WRITE i 1")
 	env.c.Assert(a.Code, qt.Equals, cwstatement.Unresolved)
-	env.c.Assert(env.group.Runs("WRITE i 1"), qt.Equals, 1)
+	env.c.Assert(env.group.CommandCount("WRITE i 1"), qt.Equals, 1)
 }
 
 // The same in a transaction. Before the commit was sent nothing of the transaction can be
@@ -162,7 +162,7 @@
 		assertOK(env.c, s.ask(cwstatement.Write, "WRITE i 1"))
 		h.startDroppingAnswers()
 		env.c.Assert(s.ask(cwstatement.Commit, "COMMIT").Code, qt.Equals, cwstatement.Unresolved)
-		env.c.Assert(env.group.Runs("COMMIT"), qt.Equals, 1)
+		env.c.Assert(env.group.CommandCount("COMMIT"), qt.Equals, 1)
 	})
 }
 
@@ -293,7 +293,7 @@
 	assertOK(env.c, s.ask(cwstatement.Write, "WRITE i 1"))
 	for _, id := range []string{"a", "b", "c"} {
 		env.group.Cut("holder", id, true)
-		env.group.SetDark(memberID(id), true, env.clock)
+		env.group.SetUnresponsive(memberID(id), true, env.clock)
 	}
 	env.eventually("the holder knows", func() bool {
 		g, _ := h.engine.Group(testService)
--- a/internal/proxy/cwengine/harness_test.go
+++ b/internal/proxy/cwengine/harness_test.go
@@ -93,7 +93,7 @@
 		NewGroup: func(service string) *cwlead.Group {
 			return cwlead.New(cwlead.Config{
 				Self: cwfailover.InstanceID(name), DataCentre: "dc-a", Service: service, Clock: env.clock,
-				Log: logger, Dialer: env.group.From(name), Table: env.table, Promoter: env.group, ClaimSeed: "test", RemotePath: path,
+				Log: logger, Dialer: env.group.DialerFrom(name), Table: env.table, Promoter: env.group, ClaimSeed: "test", RemotePath: path,
 			})
 		},
 	}
--- a/internal/proxy/cwengine/members_test.go
+++ b/internal/proxy/cwengine/members_test.go
@@ -42,7 +42,7 @@
 			env.table.mu.Lock()
 			env.table.unavailable = true
 			env.table.mu.Unlock()
-			env.group.SetDeaf("b", true)
+			env.group.SetReceiveStopped("b", true)
 			assertOK(env.c, env.session(y).ask(cwstatement.Write, "WRITE i 2"))
 			env.clock.Sleep(2 * env.entry.Contract.MaxAge)
 			env.group.Cut("x", "c", true)
@@ -61,7 +61,7 @@
 func replacePrimaryBehindPartition(env *testEnv, y *Engine) {
 	env.c.Helper()
 	env.waitForPrimary(y)
-	env.group.SetPromotionTakes(time.Second, env.clock)
+	env.group.SetPromotionDelay(time.Second, env.clock)
 	for _, id := range []string{"b", "c", "y"} {
 		env.group.Cut("a", id, true)
 	}
--- a/internal/proxy/cwengine/outcome_test.go
+++ b/internal/proxy/cwengine/outcome_test.go
@@ -27,7 +27,7 @@
 	env.group.LoseAnswers("a", true)
 	a := s.ask(cwstatement.Write, "WRITE i 2")
 	env.c.Assert(a.Code, qt.Equals, cwstatement.Unresolved)
-	env.c.Assert(env.group.Runs("WRITE i 2"), qt.Equals, 1)
+	env.c.Assert(env.group.CommandCount("WRITE i 2"), qt.Equals, 1)
 }
 
 // The same for the commit of a transaction.
@@ -39,7 +39,7 @@
 	a := s.ask(cwstatement.Commit, "COMMIT")
 	env.c.Assert(a.Code, qt.Equals, cwstatement.Unresolved)
 	env.c.Assert(a.State, qt.Equals, cwstatement.Idle)
-	env.c.Assert(env.group.Runs("COMMIT"), qt.Equals, 1)
+	env.c.Assert(env.group.CommandCount("COMMIT"), qt.Equals, 1)
 }
 
 // Checks the answer to a statement inside a transaction whose answer was lost. Nothing was
@@ -63,11 +63,11 @@
 func TestCommitOfOneMemberIsNotAcknowledged(t *testing.T) {
 	env, s := newSettledSession(t)
 	assertOK(env.c, s.ask(cwstatement.Write, "WRITE i 1"))
-	env.group.SetDeaf("b", true)
-	env.group.SetDeaf("c", true)
+	env.group.SetReceiveStopped("b", true)
+	env.group.SetReceiveStopped("c", true)
 	a := s.ask(cwstatement.Write, "WRITE i 2")
 	env.c.Assert(a.Code, qt.Equals, cwstatement.Unresolved)
-	env.group.SetDeaf("c", false)
+	env.group.SetReceiveStopped("c", false)
 	assertOK(env.c, s.tryAsk(cwstatement.Write, "WRITE i 3"))
 }
 
@@ -86,12 +86,12 @@
 		assertOK(env.c, one.send(cwstatement.Statement{ID: "4", Verb: cwstatement.Execute, Name: "s", Args: "i 1"}))
 		assertRead(env.c, two.send(cwstatement.Statement{ID: "5", Verb: cwstatement.Execute, Name: "s", Args: "i"}), "1")
 	}
-	for _, ran := range env.group.Contexts() {
+	for _, ran := range env.group.CallerCommands() {
 		switch ran.ID {
 		case "4":
-			env.c.Assert(ran.Values, qt.DeepEquals, map[string]string{"n": "1"})
+			env.c.Assert(ran.Settings, qt.DeepEquals, map[string]string{"n": "1"})
 		case "5":
-			env.c.Assert(ran.Values, qt.HasLen, 0)
+			env.c.Assert(ran.Settings, qt.HasLen, 0)
 		}
 	}
 	env.c.Assert(two.send(cwstatement.Statement{ID: "6", Verb: cwstatement.Execute, Name: "other", Args: "i"}).Code, qt.Equals, cwstatement.NotPrepared)
--- a/internal/proxy/cwengine/probe_load_test.go
+++ b/internal/proxy/cwengine/probe_load_test.go
@@ -23,14 +23,14 @@
 	env.waitForPrimary(e)
 	s := env.session(e)
 	assertOK(env.c, s.ask(cwstatement.Write, "WRITE i 0"))
-	before := env.group.Questions()
+	before := env.group.HealthChecks()
 	const commits = 100
 	for range commits {
 		assertOK(env.c, s.ask(cwstatement.Write, "WRITE i 1"))
 		assertRead(env.c, s.ask(cwstatement.Read, "READ i"), "1")
 		env.clock.Sleep(20 * time.Millisecond)
 	}
-	requests := env.group.Questions() - before
+	requests := env.group.HealthChecks() - before
 	t.Logf("%d status requests for %d commits and as many reads", requests, commits)
 	env.c.Assert(requests < 3*commits/2, qt.IsTrue, qt.Commentf("%d status requests", requests))
 }
--- a/internal/proxy/cwengine/quorum_test.go
+++ b/internal/proxy/cwengine/quorum_test.go
@@ -51,7 +51,7 @@
 	for _, rule := range readRules {
 		t.Run(string(rule), func(t *testing.T) {
 			env, _, s := newSessionWithoutStore(t, rule)
-			env.group.SetDeaf("b", true)
+			env.group.SetReceiveStopped("b", true)
 			assertOK(env.c, s.ask(cwstatement.Write, "WRITE i 2"))
 			env.group.Cut("x", "a", true)
 			env.clock.Sleep(2 * env.entry.Contract.MaxAge)
@@ -66,7 +66,7 @@
 // are lost together. Whether the last member has every write cannot be known.
 func TestReadWithoutAQuorumIsRefused(t *testing.T) {
 	env, e, s := newSessionWithoutStore(t, cwcatalogue.ReadNewest)
-	env.group.SetDeaf("b", true)
+	env.group.SetReceiveStopped("b", true)
 	assertOK(env.c, s.ask(cwstatement.Write, "WRITE i 2"))
 	env.group.Cut("x", "a", true)
 	env.group.Cut("x", "c", true)
--- a/internal/proxy/cwtargets/pool_test.go
+++ b/internal/proxy/cwtargets/pool_test.go
@@ -31,7 +31,7 @@
 
 func newPool(t *testing.T) (*Pool, *cwreplica.Group, *counting, *clockwork.FakeClock) {
 	g := cwreplica.NewGroup("s", "a")
-	d := &counting{Dialer: g.From("x")}
+	d := &counting{Dialer: g.DialerFrom("x")}
 	clock := clockwork.NewFakeClock()
 	p := NewPool(cwport.Endpoint{ID: "a", Service: "s"}, 4, d, clock, noEvents{})
 	p.SetSlots(3)
@@ -48,7 +48,7 @@
 // than connections, and each refused try keeps the database from its work.
 func TestFullTargetIsNotTriedForEachRequest(t *testing.T) {
 	p, g, d, clock := newPool(t)
-	other, err := g.From("y").Dial(context.Background(), cwport.Endpoint{ID: "a"}, "")
+	other, err := g.DialerFrom("y").Dial(context.Background(), cwport.Endpoint{ID: "a"}, "")
 	qt.Assert(t, err, qt.IsNil)
 	g.LimitConnections("a", 1)
 	for range 100 {
--- a/internal/standin/cwreplica/conn.go
+++ b/internal/standin/cwreplica/conn.go
@@ -113,7 +113,7 @@
 // not see the command's floor. An error inside a transaction makes it fail.
 func (c *conn) run(cmd cwstatement.Command) cwstatement.Response {
 	if cmd.ID != "" {
-		c.group.callerCommands = append(c.group.callerCommands, Context{ID: cmd.ID, Workspace: c.workspace, Values: maps.Clone(c.values)})
+		c.group.callerCommands = append(c.group.callerCommands, CallerCommand{ID: cmd.ID, Workspace: c.workspace, Settings: maps.Clone(c.values)})
 	}
 	if c.state == cwstatement.InFailedTransaction && cmd.Verb != cwstatement.Commit && cmd.Verb != cwstatement.Rollback {
 		return cwstatement.Failure(cwstatement.Malformed, "failed")
@@ -185,7 +185,7 @@
 		}
 		done.Rows = []string{c.readItem(item)}
 		if id != "" {
-			c.group.reads = append(c.group.reads, Run{ID: id, Member: c.member.id, Log: Log{records: c.visibleLog()}})
+			c.group.reads = append(c.group.reads, ReadExecution{ID: id, Member: c.member.id, Log: Log{records: c.visibleLog()}})
 		}
 		return done
 	}
--- a/internal/standin/cwreplica/group.go
+++ b/internal/standin/cwreplica/group.go
@@ -52,8 +52,8 @@
 	applyDelay time.Duration
 	receivedAt []time.Time
 	applied    int
-	// receiveStopped, loseAnswers and unresponsive are faults: see SetDeaf,
-	// LoseAnswers and SetDark.
+	// receiveStopped, loseAnswers and unresponsive are faults: see SetReceiveStopped,
+	// LoseAnswers and SetUnresponsive.
 	receiveStopped bool
 	loseAnswers    bool
 	unresponsive   bool
@@ -88,11 +88,11 @@
 	// promotions are the accepted promotion orders, in order.
 	promotions []cwport.Promotion
 	// callerCommands are the callers' commands that members processed, in order.
-	callerCommands []Context
+	callerCommands []CallerCommand
 	// healthChecks counts the health requests.
 	healthChecks int
 	// reads are the executions of callers' reads, in order.
-	reads []Run
+	reads []ReadExecution
 	// promotionDelay is the time by clock between the order to promote a member and
 	// the promotion.
 	promotionDelay time.Duration
@@ -107,18 +107,18 @@
 	cutsHang bool
 }
 
-// Context is the session state under which a member processed a caller's command.
-type Context struct {
+// CallerCommand is the session state under which a member processed a caller's command.
+type CallerCommand struct {
 	// ID is the id of the command.
 	ID        string
 	Workspace string
-	// Values are the settings of the session by name.
-	Values map[string]string
+	// Settings are the settings of the session by name.
+	Settings map[string]string
 }
 
-// Contexts returns the session states of the callers' commands that members
+// CallerCommands returns the session states of the callers' commands that members
 // processed, in order. Commands that were refused are included.
-func (g *Group) Contexts() []Context {
+func (g *Group) CallerCommands() []CallerCommand {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return slices.Clone(g.callerCommands)
@@ -146,17 +146,17 @@
 	return m.role, !m.down
 }
 
-// SilenceCuts makes connections over a cut path wait, by the clock, until the path
+// HangOnCuts makes connections over a cut path wait, by the clock, until the path
 // is restored, instead of failing at once.
-func (g *Group) SilenceCuts(clock clockwork.Clock) {
+func (g *Group) HangOnCuts(clock clockwork.Clock) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.cutsHang, g.clock = true, clock
 }
 
-// SetLate sets the time by the clock between a member's receipt of a record and
+// SetApplyDelay sets the time by the clock between a member's receipt of a record and
 // its visibility to reads.
-func (g *Group) SetLate(id cwgroup.MemberID, late time.Duration, clock clockwork.Clock) {
+func (g *Group) SetApplyDelay(id cwgroup.MemberID, late time.Duration, clock clockwork.Clock) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m := g.members[id]
@@ -173,8 +173,8 @@
 	g.replicate()
 }
 
-// SetDeaf stops a replica's receipt of records, or resumes it.
-func (g *Group) SetDeaf(id cwgroup.MemberID, deaf bool) {
+// SetReceiveStopped stops a replica's receipt of records, or resumes it.
+func (g *Group) SetReceiveStopped(id cwgroup.MemberID, deaf bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.members[id].receiveStopped = deaf
@@ -188,25 +188,25 @@
 	g.members[id].loseAnswers = lose
 }
 
-// SetDark makes a member unresponsive, or responsive again. Commands to an
+// SetUnresponsive makes a member unresponsive, or responsive again. Commands to an
 // unresponsive member are not run; they fail when the connection's timeout has
 // passed by the clock. New connections to it hang until their context ends.
-func (g *Group) SetDark(id cwgroup.MemberID, dark bool, clock clockwork.Clock) {
+func (g *Group) SetUnresponsive(id cwgroup.MemberID, dark bool, clock clockwork.Clock) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.members[id].unresponsive, g.clock = dark, clock
 }
 
-// RefuseFences makes the next n fence orders to a member get no answer. They are
+// LoseFences makes the next n fence orders to a member get no answer. They are
 // not carried out.
-func (g *Group) RefuseFences(id cwgroup.MemberID, n int) {
+func (g *Group) LoseFences(id cwgroup.MemberID, n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.members[id].lostFences = n
 }
 
-// BusyAtFences makes a member refuse the next n fence orders as busy.
-func (g *Group) BusyAtFences(id cwgroup.MemberID, n int) {
+// RefuseFencesAsBusy makes a member refuse the next n fence orders as busy.
+func (g *Group) RefuseFencesAsBusy(id cwgroup.MemberID, n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.members[id].busyFences = n
@@ -219,9 +219,9 @@
 	g.members[id].connectionLimit = n
 }
 
-// SetPromotionTakes sets the time by the clock between an order to promote and the
+// SetPromotionDelay sets the time by the clock between an order to promote and the
 // promotion.
-func (g *Group) SetPromotionTakes(d time.Duration, clock clockwork.Clock) {
+func (g *Group) SetPromotionDelay(d time.Duration, clock clockwork.Clock) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.promotionDelay, g.clock = d, clock
@@ -270,9 +270,9 @@
 	return ""
 }
 
-// Runs returns how often members processed the caller's command with the id.
+// CommandCount returns how often members processed the caller's command with the id.
 // Attempts that were refused are included.
-func (g *Group) Runs(id string) int {
+func (g *Group) CommandCount(id string) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	n := 0
@@ -284,8 +284,8 @@
 	return n
 }
 
-// Questions returns the number of health requests that members answered.
-func (g *Group) Questions() int {
+// HealthChecks returns the number of health requests that members answered.
+func (g *Group) HealthChecks() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.healthChecks
@@ -295,9 +295,11 @@
 	return cwstatement.Health{Role: m.role, Term: m.term, FencedTerm: m.fenceTerm, LogEnd: m.lastReceived(), Connections: m.connections}
 }
 
-// From returns a dialer for connections of an instance. If the name is empty, the
+// DialerFrom returns a dialer for connections of an instance. If the name is empty, the
 // workspace of each connection is used as the instance's name.
-func (g *Group) From(instance string) cwport.Dialer { return dialer{group: g, instance: instance} }
+func (g *Group) DialerFrom(instance string) cwport.Dialer {
+	return dialer{group: g, instance: instance}
+}
 
 // dialer opens connections of an instance. It implements cwport.Dialer.
 type dialer struct {
--- a/internal/standin/cwreplica/log.go
+++ b/internal/standin/cwreplica/log.go
@@ -22,8 +22,8 @@
 // Writes returns a copy of the writes of the transaction at index i, by item.
 func (l Log) Writes(i int) map[string]string { return maps.Clone(l.records[i].writes) }
 
-// Common returns the number of transactions in the common prefix of two logs.
-func (l Log) Common(o Log) int {
+// CommonPrefix returns the number of transactions in the common prefix of two logs.
+func (l Log) CommonPrefix(o Log) int {
 	// Logs that differ at one index differ at all later ones, so a binary search
 	// finds the end of the common prefix.
 	low, high := 0, min(len(l.records), len(o.records))
@@ -38,8 +38,8 @@
 	return low
 }
 
-// Run records one execution of a caller's read.
-type Run struct {
+// ReadExecution records one execution of a caller's read.
+type ReadExecution struct {
 	// ID is the id of the statement.
 	ID     string
 	Member cwgroup.MemberID
@@ -47,11 +47,11 @@
 	Log Log
 }
 
-// Reads returns the executions of callers' reads with an id, in order.
-func (g *Group) Reads() []Run {
+// ReadExecutions returns the executions of callers' reads with an id, in order.
+func (g *Group) ReadExecutions() []ReadExecution {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return append([]Run(nil), g.reads...)
+	return append([]ReadExecution(nil), g.reads...)
 }
 
 // Log returns the log of the primary with the highest term; an empty log if there
@@ -98,7 +98,7 @@
 // receiveLog replaces the member's log by that of its primary. Records after the
 // common prefix of the two are removed.
 func (m *Member) receiveLog(log []record, now time.Time) {
-	common := Log{records: m.log}.Common(Log{records: log})
+	common := Log{records: m.log}.CommonPrefix(Log{records: log})
 	m.applyDue(now)
 	m.applied = min(m.applied, common)
 	m.receivedAt = m.receivedAt[:common]
--- a/internal/standin/cwreplica/replicate.go
+++ b/internal/standin/cwreplica/replicate.go
@@ -11,9 +11,9 @@
 	"cicadawalk.example/cicadawalk/internal/proxy/cwport"
 )
 
-// SetReplacedGoesOn sets how long, by the clock, a primary that was replaced
+// SetStepDownDelay sets how long, by the clock, a primary that was replaced
 // remains a primary after it can reach the new one. A demotion ends that earlier.
-func (g *Group) SetReplacedGoesOn(d time.Duration, clock clockwork.Clock) {
+func (g *Group) SetStepDownDelay(d time.Duration, clock clockwork.Clock) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.stepDownDelay, g.clock = d, clock
--- a/internal/tool/cwsoak/access.go
+++ b/internal/tool/cwsoak/access.go
@@ -129,7 +129,7 @@
 		return
 	}
 	for _, g := range env.groups {
-		for _, ran := range g.Contexts() {
+		for _, ran := range g.CallerCommands() {
 			digits, _, _ := strings.Cut(strings.TrimPrefix(ran.ID, "c"), "-")
 			caller, err := strconv.Atoi(digits)
 			if err == nil && ran.Workspace != workspaceOf(caller) {
--- a/internal/tool/cwsoak/environment.go
+++ b/internal/tool/cwsoak/environment.go
@@ -159,16 +159,16 @@
 	}
 	g.Group = cwreplica.NewGroup(name, g.ids...)
 	clock := clockwork.NewRealClock()
-	g.SetPromotionTakes(promotionDuration, clock)
-	g.SetReplacedGoesOn(replacedPrimaryLingers, clock)
-	g.SilenceCuts(clock)
+	g.SetPromotionDelay(promotionDuration, clock)
+	g.SetStepDownDelay(replacedPrimaryLingers, clock)
+	g.HangOnCuts(clock)
 	for i, id := range g.ids {
 		g.LimitConnections(id, connectionsPerTarget)
 		ln, err := net.Listen("tcp4", "127.0.0.1:0")
 		if err != nil {
 			return err
 		}
-		go env.serveTarget(ln, id, g.From(""))
+		go env.serveTarget(ln, id, g.DialerFrom(""))
 		l, err := cwlink.Start("127.0.0.1:0", ln.Addr().String())
 		if err != nil {
 			return err
--- a/internal/tool/cwsoak/faults.go
+++ b/internal/tool/cwsoak/faults.go
@@ -232,20 +232,20 @@
 		{name: "primaryDark", begin: func() (string, func()) {
 			g := f.randomGroup()
 			id := cmp.Or(g.Primary(), g.ids[0])
-			g.SetDark(id, true, clockwork.NewRealClock())
-			return "dark " + string(id), func() { g.SetDark(id, false, clockwork.NewRealClock()) }
+			g.SetUnresponsive(id, true, clockwork.NewRealClock())
+			return "dark " + string(id), func() { g.SetUnresponsive(id, false, clockwork.NewRealClock()) }
 		}},
 		{name: "targetDark", begin: func() (string, func()) {
 			g := f.randomGroup()
 			id := g.ids[f.rand.IntN(len(g.ids))]
-			g.SetDark(id, true, clockwork.NewRealClock())
-			return "dark " + string(id), func() { g.SetDark(id, false, clockwork.NewRealClock()) }
+			g.SetUnresponsive(id, true, clockwork.NewRealClock())
+			return "dark " + string(id), func() { g.SetUnresponsive(id, false, clockwork.NewRealClock()) }
 		}},
 		{name: "targetDeaf", begin: func() (string, func()) {
 			g := f.randomGroup()
 			id := g.ids[f.rand.IntN(len(g.ids))]
-			g.SetDeaf(id, true)
-			return "deaf " + string(id), func() { g.SetDeaf(id, false) }
+			g.SetReceiveStopped(id, true)
+			return "deaf " + string(id), func() { g.SetReceiveStopped(id, false) }
 		}},
 		{name: "answersLost", begin: func() (string, func()) {
 			g := f.randomGroup()
--- a/internal/tool/cwsoak/members.go
+++ b/internal/tool/cwsoak/members.go
@@ -49,8 +49,8 @@
 	return []memberFault{
 		{meanDuration: 2 * meanFaultDuration, fault: fault{name: "replicaLate", begin: func() (string, func()) {
 			g, id := f.randomMember()
-			g.SetLate(id, time.Duration(f.memberRand.Int64N(int64(maxApplyDelay))), clock)
-			return "late " + string(id), func() { g.SetLate(id, 0, clock) }
+			g.SetApplyDelay(id, time.Duration(f.memberRand.Int64N(int64(maxApplyDelay))), clock)
+			return "late " + string(id), func() { g.SetApplyDelay(id, 0, clock) }
 		}}},
 		{meanDuration: meanFaultDuration, fault: fault{name: "memberApart", begin: func() (string, func()) {
 			g, id := f.randomMember()
--- a/internal/tool/cwsoak/reads.go
+++ b/internal/tool/cwsoak/reads.go
@@ -66,7 +66,7 @@
 	commits := l.survivingCommits(g.Service, lengths)
 	staleCounts := make(map[staleReadKey]int)
 	firstReads := make(map[staleReadKey]string)
-	for _, run := range g.Reads() {
+	for _, run := range g.ReadExecutions() {
 		r, ok := l.sentReads[run.ID]
 		if !ok {
 			continue
@@ -76,12 +76,12 @@
 			age = 0
 		}
 		required := max(requiredLength(commits, r.startedAt.Add(-age)), lengths[itemWrite{r.item, r.ackedNumber}])
-		if log.Common(run.Log) >= required {
+		if log.CommonPrefix(run.Log) >= required {
 			continue
 		}
 		k := staleReadKey{r.instance, run.Member, r.rule}
 		if staleCounts[k]++; staleCounts[k] == 1 {
-			firstReads[k] = run.ID + " sent at " + r.startedAt.Format(time.RFC3339Nano) + " has " + strconv.Itoa(log.Common(run.Log)) + " of " + strconv.Itoa(required)
+			firstReads[k] = run.ID + " sent at " + r.startedAt.Format(time.RFC3339Nano) + " has " + strconv.Itoa(log.CommonPrefix(run.Log)) + " of " + strconv.Itoa(required)
 		}
 	}
 	for k, n := range staleCounts {
