--- a/internal/proxy/cwnode/failure_test.go
+++ b/internal/proxy/cwnode/failure_test.go
@@ -64,7 +64,7 @@
 			b.Databases[0].Stop()
 		}},
 		{"table slow, its answer lost, and primary killed", func(b *bench) {
-			b.Platform.SetFaults(cwtable.Faults{Delay: 50 * time.Millisecond, LoseAnswers: 3})
+			b.Platform.SetFaults(cwtable.Faults{Delay: 50 * time.Millisecond, LoseCommitAnswers: 3})
 			b.Databases[0].Stop()
 		}},
 		{"answers of commits lost", func(b *bench) {
--- a/internal/proxy/cwnode/operator_test.go
+++ b/internal/proxy/cwnode/operator_test.go
@@ -54,7 +54,7 @@
 	c.Run("the table's answer is lost", func(c *qt.C) {
 		cat, err := store.Load(background)
 		c.Assert(err, qt.IsNil)
-		b.Platform.SetFaults(cwtable.Faults{LoseAnswers: 1})
+		b.Platform.SetFaults(cwtable.Faults{LoseCommitAnswers: 1})
 		c.Assert(apply(cat, "ana", 7*time.Second), qt.IsNil)
 		history, err := store.History(background)
 		c.Assert(err, qt.IsNil)
--- a/internal/standin/cwcontrol/control.go
+++ b/internal/standin/cwcontrol/control.go
@@ -74,10 +74,10 @@
 // Platform returns the control handler of a platform.
 func Platform(p *cwtable.Platform) http.Handler {
 	return faultsHandler(func(f platformFaults) {
-		p.SetFaults(cwtable.Faults{Down: f.Down, Delay: time.Duration(f.DelayMs) * time.Millisecond, LoseAnswers: f.LoseAnswers})
+		p.SetFaults(cwtable.Faults{Down: f.Down, Delay: time.Duration(f.DelayMs) * time.Millisecond, LoseCommitAnswers: f.LoseAnswers})
 	}, func() platformFaults {
 		f := p.Faults()
-		return platformFaults{Down: f.Down, DelayMs: f.Delay.Milliseconds(), LoseAnswers: f.LoseAnswers}
+		return platformFaults{Down: f.Down, DelayMs: f.Delay.Milliseconds(), LoseAnswers: f.LoseCommitAnswers}
 	})
 }
 
--- a/internal/standin/cwtable/table.go
+++ b/internal/standin/cwtable/table.go
@@ -34,9 +34,9 @@
 	Down bool
 	// Delay is added to every answer.
 	Delay time.Duration
-	// LoseAnswers is the number of commits that take effect but whose connection
+	// LoseCommitAnswers is the number of commits that take effect but whose connection
 	// is closed instead of the answer being sent.
-	LoseAnswers int
+	LoseCommitAnswers int
 }
 
 // row is the value of a row and the version that its last commit gave it.
@@ -105,7 +105,7 @@
 	p.faults = f
 }
 
-// Faults returns the injected faults. LoseAnswers is the number that remains.
+// Faults returns the injected faults. LoseCommitAnswers is the number that remains.
 func (p *Platform) Faults() Faults {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -208,8 +208,8 @@
 		p.lastVersion++
 		p.rows[put.Key] = row{value: put.Value, version: p.lastVersion}
 	}
-	if p.faults.LoseAnswers > 0 {
-		p.faults.LoseAnswers--
+	if p.faults.LoseCommitAnswers > 0 {
+		p.faults.LoseCommitAnswers--
 		return "", true
 	}
 	return "", false
--- a/internal/standin/cwtable/table_test.go
+++ b/internal/standin/cwtable/table_test.go
@@ -52,7 +52,7 @@
 	c.Assert(rows, qt.HasLen, 2)
 	c.Assert(string(rows[1].Value), qt.Equals, "3")
 
-	p.SetFaults(Faults{LoseAnswers: 1})
+	p.SetFaults(Faults{LoseCommitAnswers: 1})
 	var unknown *cwplatform.UnknownError
 	c.Assert(put(rows[0].ETag, "4"), qt.ErrorAs, &unknown)
 	p.SetFaults(Faults{Down: true})
