--- a/internal/proxy/cwfront/consistency_test.go
+++ b/internal/proxy/cwfront/consistency_test.go
@@ -196,7 +196,7 @@
 	exec(c, b.connect(c, 0), "CREATE TABLE ronda (id bigint)")
 	silence := func() {
 		for _, l := range b.links {
-			l.Silence()
+			l.SilenceConnections()
 		}
 	}
 	c.Run("a long statement is not ended", func(c *qt.C) {
--- a/internal/proxy/cwnode/failure_test.go
+++ b/internal/proxy/cwnode/failure_test.go
@@ -52,10 +52,10 @@
 				}
 			})
 		}},
-		{"path to the primary silent for open connections", func(b *bench) { b.links[0].Silence() }},
+		{"path to the primary silent for open connections", func(b *bench) { b.links[0].SilenceConnections() }},
 		{"all paths silent for open connections", func(b *bench) {
 			for _, l := range b.links {
-				l.Silence()
+				l.SilenceConnections()
 			}
 		}},
 		{"path to the primary cut", func(b *bench) { b.links[0].SetFaults(cwlink.Faults{Cut: true}) }},
--- a/internal/standin/cwcontrol/control.go
+++ b/internal/standin/cwcontrol/control.go
@@ -90,7 +90,7 @@
 		return linkFaults{DelayMs: f.Delay.Milliseconds(), Cut: f.Cut, Refuse: f.Refuse}
 	})
 	mux.HandleFunc("POST /silence", func(w http.ResponseWriter, _ *http.Request) {
-		l.Silence()
+		l.SilenceConnections()
 		w.WriteHeader(http.StatusNoContent)
 	})
 	return mux
--- a/internal/standin/cwlink/link.go
+++ b/internal/standin/cwlink/link.go
@@ -25,9 +25,9 @@
 	// connection that was accepted during a cut, or that lost data, stays silent
 	// after the cut.
 	Cut bool
-	// CutBack drops the data from the target. A connection that lost data stays
+	// CutFromTarget drops the data from the target. A connection that lost data stays
 	// silent afterwards in both directions.
-	CutBack bool
+	CutFromTarget bool
 	// Refuse closes open connections, and new ones as soon as they are accepted.
 	Refuse bool
 }
@@ -95,9 +95,9 @@
 	return l.faults
 }
 
-// Silence drops all further data of the connections that are open, without closing
+// SilenceConnections drops all further data of the connections that are open, without closing
 // them. Connections accepted later work.
-func (l *Link) Silence() {
+func (l *Link) SilenceConnections() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.silenceCount++
@@ -195,7 +195,7 @@
 	if f.Delay > 0 {
 		time.Sleep(f.Delay)
 	}
-	if f.Cut || f.CutBack && fromTarget {
+	if f.Cut || f.CutFromTarget && fromTarget {
 		c.lossy.Store(true)
 	}
 	if c.silenced() || c.lossy.Load() || dst == nil {
--- a/internal/tool/cwsoak/faults.go
+++ b/internal/tool/cwsoak/faults.go
@@ -199,11 +199,11 @@
 	return []fault{
 		{name: "linkSlow", begin: set(cwlink.Faults{Delay: linkDelay})},
 		{name: "linkCut", begin: set(cwlink.Faults{Cut: true})},
-		{name: "linkCutOneWay", begin: set(cwlink.Faults{CutBack: true})},
+		{name: "linkCutOneWay", begin: set(cwlink.Faults{CutFromTarget: true})},
 		{name: "linkReset", begin: set(cwlink.Faults{Refuse: true})},
 		{name: "linkSilent", begin: func() (string, func()) {
 			l := f.randomLink()
-			l.Silence()
+			l.SilenceConnections()
 			return l.Addr(), nil
 		}},
 	}
--- a/internal/wire/cwpeer/peer_test.go
+++ b/internal/wire/cwpeer/peer_test.go
@@ -112,7 +112,7 @@
 	defer p.Close()
 	ctx := context.Background()
 	c.Assert(p.Heartbeat(ctx, beat(false)), qt.IsNil)
-	l.Silence()
+	l.SilenceConnections()
 	c.Assert(p.Heartbeat(ctx, beat(false)), qt.IsNotNil)
 	c.Assert(p.Heartbeat(ctx, beat(true)), qt.IsNil)
 	beats, _ := rec.told()
