--- a/cmd/cicadastandin/main.go
+++ b/cmd/cicadastandin/main.go
@@ -9,4 +9,4 @@
 	"cicadawalk.example/cicadawalk/internal/tool/cwcommand"
 )
 
-func main() { os.Exit(cwcommand.Main(cwprogram.Root())) }
+func main() { os.Exit(cwcommand.Main(cwprogram.NewCommand())) }
--- a/internal/standin/cwprogram/program.go
+++ b/internal/standin/cwprogram/program.go
@@ -22,9 +22,9 @@
 // Error is the class of the program's own errors.
 var Error = errs.Class("cicadastandin")
 
-// Root returns the cicadastandin command with its subcommands database, platform
+// NewCommand returns the cicadastandin command with its subcommands database, platform
 // and link.
-func Root() *cobra.Command {
+func NewCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "cicadastandin",
 		Short:         "Stand-ins for the systems around cicadawalk, for tests and trials",
