--- a/cmd/cicadaload/main.go
+++ b/cmd/cicadaload/main.go
@@ -8,4 +8,4 @@
 	"cicadawalk.example/cicadawalk/internal/tool/cwcommand"
 )
 
-func main() { os.Exit(cwcommand.Main(cwcommand.LoadRoot())) }
+func main() { os.Exit(cwcommand.Main(cwcommand.LoadCommand())) }
--- a/cmd/cicadasoak/main.go
+++ b/cmd/cicadasoak/main.go
@@ -8,4 +8,4 @@
 	"cicadawalk.example/cicadawalk/internal/tool/cwcommand"
 )
 
-func main() { os.Exit(cwcommand.Main(cwcommand.SoakRoot())) }
+func main() { os.Exit(cwcommand.Main(cwcommand.SoakCommand())) }
--- a/cmd/cicadasoak/soak_test.go
+++ b/cmd/cicadasoak/soak_test.go
@@ -51,7 +51,7 @@
 	qt.Assert(t, err, qt.IsNil, qt.Commentf("%s", out))
 	for _, s := range seeds {
 		t.Run("seed "+s.seed, func(t *testing.T) {
-			root := cwcommand.SoakRoot()
+			root := cwcommand.SoakCommand()
 			var report bytes.Buffer
 			root.SetOut(&report)
 			root.SetErr(os.Stderr)
@@ -64,7 +64,7 @@
 
 // Invalid flags must end the command with an exit code before anything is started.
 func TestBadFlags(t *testing.T) {
-	root := cwcommand.SoakRoot()
+	root := cwcommand.SoakCommand()
 	root.SetArgs([]string{"--seeds", "0"})
 	err := root.Execute()
 	qt.Assert(t, err, qt.ErrorAs, new(*cwcommand.ExitError))
--- a/internal/tool/cwcommand/catalogue.go
+++ b/internal/tool/cwcommand/catalogue.go
@@ -107,7 +107,7 @@
 	if revision != 0 {
 		old, err := store.At(ctx, revision)
 		if err != nil {
-			return &ExitError{Code: ExitUsage, Cause: err}
+			return &ExitError{Code: ExitUsage, Err: err}
 		}
 		c = old.WithRevision(c.Revision)
 	}
@@ -150,27 +150,27 @@
 		text, err = os.ReadFile(name)
 	}
 	if err != nil {
-		return cwcatalogue.Catalogue{}, &ExitError{Code: ExitUsage, Cause: err}
+		return cwcatalogue.Catalogue{}, &ExitError{Code: ExitUsage, Err: err}
 	}
 	c, err := cwcodec.Decode(text)
 	if err != nil {
-		return c, &ExitError{Code: ExitUsage, Cause: &FileError{Name: name, Cause: err}}
+		return c, &ExitError{Code: ExitUsage, Err: &CatalogueFileError{Name: name, Err: err}}
 	}
 	return c, nil
 }
 
-// FileError reports a catalogue file that is invalid.
-type FileError struct {
-	Name  string
-	Cause error
+// CatalogueFileError reports a catalogue file that is invalid.
+type CatalogueFileError struct {
+	Name string
+	Err  error
 }
 
-func (e *FileError) Error() string {
-	return fmt.Sprintf("%s is invalid; nothing was changed:\n%v", e.Name, e.Cause)
+func (e *CatalogueFileError) Error() string {
+	return fmt.Sprintf("%s is invalid; nothing was changed:\n%v", e.Name, e.Err)
 }
 
 // Unwrap returns the cause.
-func (e *FileError) Unwrap() error { return e.Cause }
+func (e *CatalogueFileError) Unwrap() error { return e.Err }
 
 func applyCommand() *cobra.Command {
 	var o platformFlags
@@ -235,7 +235,7 @@
 func withConflictExitCode(err error) error {
 	var conflict *cwstore.ConflictError
 	if errors.As(err, &conflict) {
-		return &ExitError{Code: ExitConflict, Cause: err}
+		return &ExitError{Code: ExitConflict, Err: err}
 	}
 	return err
 }
--- a/internal/tool/cwcommand/explain.go
+++ b/internal/tool/cwcommand/explain.go
@@ -67,7 +67,7 @@
 			for _, path := range args[1:] {
 				more, err := readLogFile(path)
 				if err != nil {
-					return &ExitError{Code: ExitUsage, Cause: err}
+					return &ExitError{Code: ExitUsage, Err: err}
 				}
 				lines = append(lines, more...)
 			}
@@ -124,7 +124,7 @@
 		}
 	}
 	if len(requestLines) == 0 {
-		return &ExitError{Code: ExitFailed, Cause: &UnknownRequestError{ID: id}}
+		return &ExitError{Code: ExitFailed, Err: &UnknownRequestError{ID: id}}
 	}
 	from, to := requestLines[0].at.Add(-contextWindow), requestLines[len(requestLines)-1].at.Add(contextWindow)
 	for _, l := range lines {
--- a/internal/tool/cwcommand/load.go
+++ b/internal/tool/cwcommand/load.go
@@ -12,8 +12,8 @@
 	"cicadawalk.example/cicadawalk/internal/tool/cwload"
 )
 
-// LoadRoot returns the root command of the program cicadaload.
-func LoadRoot() *cobra.Command {
+// LoadCommand returns the root command of the program cicadaload.
+func LoadCommand() *cobra.Command {
 	var p cwload.Plan
 	var check, output string
 	cmd := &cobra.Command{
@@ -50,7 +50,7 @@
 				return err
 			}
 			if !rep.OK() {
-				return &ExitError{Code: ExitFailed, Cause: &PromiseError{}}
+				return &ExitError{Code: ExitFailed, Err: &GuaranteeError{}}
 			}
 			return nil
 		},
@@ -72,10 +72,10 @@
 	return cmd
 }
 
-// PromiseError reports that a consistency guarantee was violated during a load run.
-type PromiseError struct{}
+// GuaranteeError reports that a consistency guarantee was violated during a load run.
+type GuaranteeError struct{}
 
-func (*PromiseError) Error() string { return "a consistency guarantee was violated; see the report" }
+func (*GuaranteeError) Error() string { return "a consistency guarantee was violated; see the report" }
 
 // reportBody is the JSON report of a load run.
 type reportBody struct {
--- a/internal/tool/cwcommand/losses.go
+++ b/internal/tool/cwcommand/losses.go
@@ -49,13 +49,13 @@
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if interval <= 0 {
-				return &ExitError{Code: ExitUsage, Cause: &SpanError{Span: interval}}
+				return &ExitError{Code: ExitUsage, Err: &IntervalError{Span: interval}}
 			}
 			var lines []logLine
 			for _, path := range args {
 				more, err := readLogFile(path)
 				if err != nil {
-					return &ExitError{Code: ExitUsage, Cause: err}
+					return &ExitError{Code: ExitUsage, Err: err}
 				}
 				lines = append(lines, more...)
 			}
@@ -66,10 +66,10 @@
 	return cmd
 }
 
-// SpanError reports a --span that is not positive.
-type SpanError struct{ Span time.Duration }
+// IntervalError reports a --span that is not positive.
+type IntervalError struct{ Span time.Duration }
 
-func (e *SpanError) Error() string { return fmt.Sprintf("--span must be positive, not %v", e.Span) }
+func (e *IntervalError) Error() string { return fmt.Sprintf("--span must be positive, not %v", e.Span) }
 
 // countLosses counts failed statements by interval, group and cause, ordered by time
 // and, within an interval, with the most frequent first.
--- a/internal/tool/cwcommand/proxy.go
+++ b/internal/tool/cwcommand/proxy.go
@@ -101,7 +101,7 @@
 		Seed:         fmt.Sprintf("%x-%d", time.Now().UnixNano(), os.Getpid()),
 	})
 	if err != nil {
-		return &ExitError{Code: ExitUsage, Cause: err}
+		return &ExitError{Code: ExitUsage, Err: err}
 	}
 	return node.Run(cmd.Context())
 }
--- a/internal/tool/cwcommand/root.go
+++ b/internal/tool/cwcommand/root.go
@@ -34,21 +34,21 @@
 	// ExitConflict means that the catalogue was changed concurrently; nothing was
 	// done.
 	ExitConflict = 3
-	// ExitUnwell means that the status command found a problem that an operator
+	// ExitActionRequired means that the status command found a problem that an operator
 	// has to resolve.
-	ExitUnwell = 4
+	ExitActionRequired = 4
 )
 
 // ExitError is a failure with the exit code of the process.
 type ExitError struct {
-	Code  int
-	Cause error
+	Code int
+	Err  error
 }
 
-func (e *ExitError) Error() string { return e.Cause.Error() }
+func (e *ExitError) Error() string { return e.Err.Error() }
 
 // Unwrap returns the cause.
-func (e *ExitError) Unwrap() error { return e.Cause }
+func (e *ExitError) Unwrap() error { return e.Err }
 
 // Main runs a command and returns its exit code: Code of an ExitError, ExitFailed
 // for any other error. SIGINT and SIGTERM cancel the command's context; the error
@@ -68,8 +68,8 @@
 	return ExitFailed
 }
 
-// Root returns the root command of the program cicadawalk.
-func Root() *cobra.Command {
+// RootCommand returns the root command of the program cicadawalk.
+func RootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "cicadawalk",
 		Short: "A database proxy with session consistency",
@@ -85,7 +85,7 @@
 		SilenceErrors: true,
 	}
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error {
-		return &ExitError{Code: ExitUsage, Cause: err}
+		return &ExitError{Code: ExitUsage, Err: err}
 	})
 	root.AddCommand(proxyCommand(), serveCommand(), explainCommand(), lossesCommand(), catalogueCommand(), stopCommand(), statusCommand(), demoCommand())
 	return root
--- a/internal/tool/cwcommand/serve.go
+++ b/internal/tool/cwcommand/serve.go
@@ -45,7 +45,7 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			level, err := log.ParseLevel(logLevel)
 			if err != nil {
-				return &ExitError{Code: ExitUsage, Cause: err}
+				return &ExitError{Code: ExitUsage, Err: err}
 			}
 			return serve(cmd, settings, metrics, level)
 		},
@@ -62,7 +62,7 @@
 func serve(cmd *cobra.Command, path, metricsPort string, level log.Level) error {
 	s, err := platform.LoadSettings(path)
 	if err != nil {
-		return &ExitError{Code: ExitUsage, Cause: err}
+		return &ExitError{Code: ExitUsage, Err: err}
 	}
 	clock := cwclock.NewBoot()
 	logWriter := cwlog.NewWriter(cmd.OutOrStdout(), clock)
@@ -110,7 +110,7 @@
 	if metricsPort != "" {
 		host, _, err := net.SplitHostPort(s.Ready)
 		if err != nil {
-			return &ExitError{Code: ExitUsage, Cause: err}
+			return &ExitError{Code: ExitUsage, Err: err}
 		}
 		cfg.Metrics = net.JoinHostPort(host, metricsPort)
 	}
--- a/internal/tool/cwcommand/setting.go
+++ b/internal/tool/cwcommand/setting.go
@@ -21,38 +21,38 @@
 
 // applyEnv sets each flag that the command line does not set from its environment
 // variable, and returns the invalid values.
-func applyEnv(fs *pflag.FlagSet, getenv func(string) (string, bool)) []SettingFault {
-	var invalid []SettingFault
+func applyEnv(fs *pflag.FlagSet, getenv func(string) (string, bool)) []InvalidSetting {
+	var invalid []InvalidSetting
 	fs.VisitAll(func(f *pflag.Flag) {
 		v, ok := getenv(EnvName(f.Name))
 		if f.Changed || !ok {
 			return
 		}
 		if err := fs.Set(f.Name, v); err != nil {
-			invalid = append(invalid, SettingFault{Flag: f.Name, Value: v, Allowed: "a " + f.Value.Type()})
+			invalid = append(invalid, InvalidSetting{Flag: f.Name, Value: v, Allowed: "a " + f.Value.Type()})
 		}
 	})
 	return invalid
 }
 
-// SettingFault is one invalid setting: its flag, its value, and which values are
+// InvalidSetting is one invalid setting: its flag, its value, and which values are
 // allowed.
-type SettingFault struct {
+type InvalidSetting struct {
 	Flag, Value, Allowed string
 }
 
 // String returns one line with the flag, its environment variable, the value and
 // the allowed values.
-func (f SettingFault) String() string {
+func (f InvalidSetting) String() string {
 	return fmt.Sprintf("--%s (%s): %q is not allowed; %s", f.Flag, EnvName(f.Flag), f.Value, f.Allowed)
 }
 
 // SettingsError reports all invalid settings of a command.
-type SettingsError struct{ Faults []SettingFault }
+type SettingsError struct{ Invalid []InvalidSetting }
 
 func (e *SettingsError) Error() string {
-	lines := make([]string, 0, len(e.Faults))
-	for _, f := range e.Faults {
+	lines := make([]string, 0, len(e.Invalid))
+	for _, f := range e.Invalid {
 		lines = append(lines, f.String())
 	}
 	return strings.Join(lines, "\n")
@@ -61,7 +61,7 @@
 // flagChecker validates the flags of a command and collects the invalid ones.
 type flagChecker struct {
 	fs      *pflag.FlagSet
-	invalid []SettingFault
+	invalid []InvalidSetting
 }
 
 // checkSettings applies the environment variables and calls check to validate the
@@ -71,7 +71,7 @@
 	s.invalid = applyEnv(cmd.Flags(), os.LookupEnv)
 	check(s)
 	if len(s.invalid) > 0 {
-		return &ExitError{Code: ExitUsage, Cause: &SettingsError{Faults: s.invalid}}
+		return &ExitError{Code: ExitUsage, Err: &SettingsError{Invalid: s.invalid}}
 	}
 	return nil
 }
@@ -82,7 +82,7 @@
 // values.
 func (s *flagChecker) require(flag string, ok bool, allowed string) {
 	if !ok {
-		s.invalid = append(s.invalid, SettingFault{Flag: flag, Value: s.value(flag), Allowed: allowed})
+		s.invalid = append(s.invalid, InvalidSetting{Flag: flag, Value: s.value(flag), Allowed: allowed})
 	}
 }
 
--- a/internal/tool/cwcommand/settings_test.go
+++ b/internal/tool/cwcommand/settings_test.go
@@ -57,7 +57,7 @@
 }
 
 func TestAllInvalidSettingsAreReported(t *testing.T) {
-	root := Root()
+	root := RootCommand()
 	var out bytes.Buffer
 	root.SetOut(&out)
 	root.SetErr(&out)
--- a/internal/tool/cwcommand/soak.go
+++ b/internal/tool/cwcommand/soak.go
@@ -28,8 +28,8 @@
 	keyless, verbose           bool
 }
 
-// SoakRoot returns the root command of the program cicadasoak.
-func SoakRoot() *cobra.Command {
+// SoakCommand returns the root command of the program cicadasoak.
+func SoakCommand() *cobra.Command {
 	var f soakFlags
 	cmd := &cobra.Command{
 		Use:   "cicadasoak",
@@ -62,7 +62,7 @@
 
 func runSoak(cmd *cobra.Command, f soakFlags) error {
 	if f.seeds < 1 || f.instances < 1 || f.groups < 1 || f.callers < 1 || f.duration <= 0 {
-		return &ExitError{Code: ExitUsage, Cause: &UsageError{Text: "seeds, instances, groups, callers and duration must be greater than 0"}}
+		return &ExitError{Code: ExitUsage, Err: &InvalidFlagsError{Text: "seeds, instances, groups, callers and duration must be greater than 0"}}
 	}
 	if f.firstSeed == 0 {
 		f.firstSeed = uint64(time.Now().UnixNano())
@@ -71,12 +71,12 @@
 	for i := range f.seeds {
 		n, err := runSoakSeed(cmd, f, f.firstSeed+uint64(i))
 		if err != nil {
-			return &ExitError{Code: ExitFailed, Cause: err}
+			return &ExitError{Code: ExitFailed, Err: err}
 		}
 		violations += n
 	}
 	if violations > 0 {
-		return &ExitError{Code: ExitFailed, Cause: &BrokenError{Promises: violations}}
+		return &ExitError{Code: ExitFailed, Err: &ViolationsError{Violations: violations}}
 	}
 	return nil
 }
@@ -142,12 +142,14 @@
 	}
 }
 
-// UsageError reports invalid flags of cicadasoak.
-type UsageError struct{ Text string }
+// InvalidFlagsError reports invalid flags of cicadasoak.
+type InvalidFlagsError struct{ Text string }
 
-func (e *UsageError) Error() string { return e.Text }
+func (e *InvalidFlagsError) Error() string { return e.Text }
 
-// BrokenError reports the number of guarantees that were violated in a soak.
-type BrokenError struct{ Promises int }
+// ViolationsError reports the number of guarantees that were violated in a soak.
+type ViolationsError struct{ Violations int }
 
-func (e *BrokenError) Error() string { return fmt.Sprintf("%d guarantees were violated", e.Promises) }
+func (e *ViolationsError) Error() string {
+	return fmt.Sprintf("%d guarantees were violated", e.Violations)
+}
--- a/internal/tool/cwcommand/status.go
+++ b/internal/tool/cwcommand/status.go
@@ -43,7 +43,7 @@
 				return json.NewEncoder(cmd.OutOrStdout()).Encode(statuses)
 			}
 			if printStatus(cmd.OutOrStdout(), statuses, numbers) {
-				return &ExitError{Code: ExitUnwell, Cause: &UnwellError{}}
+				return &ExitError{Code: ExitActionRequired, Err: &ActionRequiredError{}}
 			}
 			return nil
 		},
@@ -54,10 +54,10 @@
 	return cmd
 }
 
-// UnwellError reports that an operator has to act.
-type UnwellError struct{}
+// ActionRequiredError reports that an operator has to act.
+type ActionRequiredError struct{}
 
-func (*UnwellError) Error() string { return "an operator has to act; see above" }
+func (*ActionRequiredError) Error() string { return "an operator has to act; see above" }
 
 // proxyStatus is the answer of one proxy, or the error of the request.
 type proxyStatus struct {
--- a/internal/tool/cwcommand/stop.go
+++ b/internal/tool/cwcommand/stop.go
@@ -47,7 +47,7 @@
 			}
 			id := cwgroup.MemberID(args[0])
 			if !current.HasTarget(id) {
-				return &ExitError{Code: ExitUsage, Cause: &UnknownTargetError{Target: args[0]}}
+				return &ExitError{Code: ExitUsage, Err: &UnknownTargetError{Target: args[0]}}
 			}
 			// A planned stop is compatible with any other change, so after a
 			// conflict it is applied again to the newer revision.
