--- a/internal/tool/cwcommand/soak.go
+++ b/internal/tool/cwcommand/soak.go
@@ -108,9 +108,9 @@
 		return 0, err
 	}
 	fmt.Fprintf(cmd.OutOrStdout(), "seed=%d faults=%d acknowledged=%d refused=%d unresolved=%d reads=%d broken=%d dir=%s\n",
-		r.Seed, r.Faults, r.Acked, r.Refused, r.Unresolved, r.Reads, len(r.Violations), dir)
+		r.Seed, r.Faults, r.Acknowledged, r.WithoutEffect, r.Unresolved, r.Reads, len(r.Violations), dir)
 	for _, v := range r.Violations {
-		fmt.Fprintf(cmd.OutOrStdout(), "broken seed=%d promise=%s what=%q\n", r.Seed, v.Kind, v.What)
+		fmt.Fprintf(cmd.OutOrStdout(), "broken seed=%d promise=%s what=%q\n", r.Seed, v.Guarantee, v.Detail)
 	}
 	if len(r.Violations) == 0 && f.dir == "" {
 		return 0, os.RemoveAll(dir)
@@ -121,7 +121,7 @@
 // soakBounds returns the limits that the soak checks, for the instances' settings.
 func soakBounds() platform.StandinBounds {
 	return platform.StandinBounds{
-		DataCentres: cwsoak.DataCentres(), KeyBound: cwsoak.KeyBound,
+		DataCentres: cwsoak.DataCentres(), KeyBound: cwsoak.KeyRevocationBound,
 		Quota: cwcatalogue.QuotaRule{Window: cwsoak.QuotaWindow, Overage: cwsoak.QuotaOverage, Slack: cwsoak.QuotaSlack},
 	}
 }
--- a/internal/tool/cwsoak/access.go
+++ b/internal/tool/cwsoak/access.go
@@ -25,9 +25,9 @@
 
 // Bounds in the settings of the instances.
 const (
-	// KeyBound is the time after the revocation of a key from which no statement may
+	// KeyRevocationBound is the time after the revocation of a key from which no statement may
 	// run with it.
-	KeyBound = 3 * time.Second
+	KeyRevocationBound = 3 * time.Second
 	// QuotaWindow, QuotaOverage and QuotaSlack define how precisely quotas are
 	// enforced; see cwcatalogue.QuotaRule.
 	QuotaWindow  = 5 * time.Second
@@ -101,14 +101,14 @@
 	}
 }
 
-// checkKey checks that the key of a statement that ran was not revoked more than KeyBound
+// checkKey checks that the key of a statement that ran was not revoked more than KeyRevocationBound
 // before the statement was sent.
 func (env *environment) checkKey(key string, sent time.Time) {
 	env.access.mu.Lock()
 	at, ok := env.access.revokedAt[key]
 	env.access.mu.Unlock()
-	if late := sent.Sub(at); ok && late > KeyBound {
-		env.ledger.addViolation(Revoked, "a statement ran that was sent %v after its key was revoked", late)
+	if late := sent.Sub(at); ok && late > KeyRevocationBound {
+		env.ledger.addViolation(RevokedKeyAccepted, "a statement ran that was sent %v after its key was revoked", late)
 	}
 }
 
@@ -133,7 +133,7 @@
 			digits, _, _ := strings.Cut(strings.TrimPrefix(ran.ID, "c"), "-")
 			caller, err := strconv.Atoi(digits)
 			if err == nil && ran.Workspace != workspaceOf(caller) {
-				env.ledger.addViolation(Misbooked, "statement %s ran for workspace %q", ran.ID, ran.Workspace)
+				env.ledger.addViolation(WrongWorkspace, "statement %s ran for workspace %q", ran.ID, ran.Workspace)
 			}
 		}
 	}
@@ -149,7 +149,7 @@
 			}
 		}
 		if float64(n) > limit {
-			env.ledger.addViolation(OverQuota, "%d operations in one window, %.0f allowed", n, limit)
+			env.ledger.addViolation(QuotaExceeded, "%d operations in one window, %.0f allowed", n, limit)
 			return
 		}
 	}
--- a/internal/tool/cwsoak/caller.go
+++ b/internal/tool/cwsoak/caller.go
@@ -162,14 +162,14 @@
 	startCount, stopping := s.process.state()
 	planned := stopping || startCount != s.startCount
 	if planned && took > crossingWindow && took < answerTimeout && s.caller.env.undisturbedFor(minUndisturbed+took) {
-		s.caller.env.ledger.addViolation(Cut, "statement interrupted by %s after %v: %v", s.process.name, took, err)
+		s.caller.env.ledger.addViolation(StatementInterrupted, "statement interrupted by %s after %v: %v", s.process.name, took, err)
 	}
 }
 
 // checkProof checks that an answer belongs to the statement with the id.
 func (s *session) checkProof(a cwstatement.Response, id string) {
 	if a.Proof != "proof-"+id {
-		s.caller.env.ledger.addViolation(Mixed, "statement %s got proof %q", id, a.Proof)
+		s.caller.env.ledger.addViolation(MismatchedAnswer, "statement %s got proof %q", id, a.Proof)
 	}
 }
 
@@ -197,19 +197,19 @@
 // value stands for 0.
 func (s *session) checkValue(name string, a cwstatement.Response, floor int) {
 	if len(a.Rows) != 1 {
-		s.caller.env.ledger.addViolation(Mixed, "%d rows for item %s", len(a.Rows), name)
+		s.caller.env.ledger.addViolation(MismatchedAnswer, "%d rows for item %s", len(a.Rows), name)
 		return
 	}
 	n := 0
 	if a.Rows[0] != "" {
 		var err error
 		if n, err = strconv.Atoi(a.Rows[0]); err != nil {
-			s.caller.env.ledger.addViolation(Mixed, "value %q for item %s", a.Rows[0], name)
+			s.caller.env.ledger.addViolation(MismatchedAnswer, "value %q for item %s", a.Rows[0], name)
 			return
 		}
 	}
 	if n < floor {
-		s.caller.env.ledger.addViolation(Stale, "%s read of item %s at %s returned %d, must be at least %d", s.rule, name, s.process.name, n, floor)
+		s.caller.env.ledger.addViolation(StaleRead, "%s read of item %s at %s returned %d, must be at least %d", s.rule, name, s.process.name, n, floor)
 	}
 }
 
--- a/internal/tool/cwsoak/environment.go
+++ b/internal/tool/cwsoak/environment.go
@@ -301,7 +301,7 @@
 	env.restore(maxSnapshots, 0)
 	env.faultyStore.set(func(s *faultyStore) { s.down = false })
 	if err := env.writeDesiredState(); err != nil {
-		env.ledger.addViolation(Outdated, "%v", err)
+		env.ledger.addViolation(DesiredStateOutdated, "%v", err)
 		return
 	}
 	end := time.Now().Add(applyTimeout)
@@ -312,7 +312,7 @@
 				return
 			}
 			if time.Now().After(end) {
-				env.ledger.addViolation(Outdated, "%s does not have desired state %d", p.name, env.revision)
+				env.ledger.addViolation(DesiredStateOutdated, "%s does not have desired state %d", p.name, env.revision)
 				break
 			}
 		}
--- a/internal/tool/cwsoak/ledger.go
+++ b/internal/tool/cwsoak/ledger.go
@@ -9,47 +9,47 @@
 	"cicadawalk.example/cicadawalk/internal/standin/cwreplica"
 )
 
-// Kind is a guarantee that can be violated.
-type Kind string
+// Guarantee is a guarantee that can be violated.
+type Guarantee string
 
 // The guarantees, each named after its violation.
 const (
-	// Lost is an acknowledged record that the newest primary does not have.
-	Lost Kind = "lost"
-	// Doubled is a record that was written more than once.
-	Doubled Kind = "doubled"
-	// Stale is a read that did not see a write which its read rule requires.
-	Stale Kind = "stale"
-	// Mixed is an answer that belongs to another statement.
-	Mixed Kind = "mixed"
+	// LostRecord is an acknowledged record that the newest primary does not have.
+	LostRecord Guarantee = "lost"
+	// DuplicateRecord is a record that was written more than once.
+	DuplicateRecord Guarantee = "doubled"
+	// StaleRead is a read that did not see a write which its read rule requires.
+	StaleRead Guarantee = "stale"
+	// MismatchedAnswer is an answer that belongs to another statement.
+	MismatchedAnswer Guarantee = "mixed"
 	// FalseNotRun is a record that was written although its caller was told that
 	// the statement had no effect.
-	FalseNotRun Kind = "falseNotRun"
-	// Holders is two holders that promoted with the same fence, or a fence lower than
+	FalseNotRun Guarantee = "falseNotRun"
+	// ConflictingHolders is two holders that promoted with the same fence, or a fence lower than
 	// an earlier one.
-	Holders Kind = "holders"
-	// Reverted is an instance that returned to an older desired state.
-	Reverted Kind = "reverted"
-	// Cut is a statement that was interrupted by a planned stop of an instance.
-	Cut Kind = "cut"
-	// Revoked is a statement that ran more than KeyBound after its key was revoked.
-	Revoked Kind = "revoked"
-	// Misbooked is a statement that a target ran for the wrong workspace.
-	Misbooked Kind = "misbooked"
-	// OverQuota is a window in which a workspace ran more operations than its quota
+	ConflictingHolders Guarantee = "holders"
+	// DesiredStateReverted is an instance that returned to an older desired state.
+	DesiredStateReverted Guarantee = "reverted"
+	// StatementInterrupted is a statement that was interrupted by a planned stop of an instance.
+	StatementInterrupted Guarantee = "cut"
+	// RevokedKeyAccepted is a statement that ran more than KeyRevocationBound after its key was revoked.
+	RevokedKeyAccepted Guarantee = "revoked"
+	// WrongWorkspace is a statement that a target ran for the wrong workspace.
+	WrongWorkspace Guarantee = "misbooked"
+	// QuotaExceeded is a window in which a workspace ran more operations than its quota
 	// allows.
-	OverQuota Kind = "overQuota"
-	// Outdated is an instance that does not have a desired state in force within
+	QuotaExceeded Guarantee = "overQuota"
+	// DesiredStateOutdated is an instance that does not have a desired state in force within
 	// the time limit after it was acknowledged.
-	Outdated Kind = "outdated"
+	DesiredStateOutdated Guarantee = "outdated"
 	// NotRecovered is a group that is not served after all faults were removed.
-	NotRecovered Kind = "notRecovered"
+	NotRecovered Guarantee = "notRecovered"
 )
 
 // Violation is one violated guarantee, with a description of what was observed.
 type Violation struct {
-	Kind Kind
-	What string
+	Guarantee Guarantee
+	Detail    string
 }
 
 // item is a row that one caller writes, with ascending numbers as its values.
@@ -97,10 +97,10 @@
 }
 
 // addViolation records a violation.
-func (l *ledger) addViolation(k Kind, format string, args ...any) {
+func (l *ledger) addViolation(k Guarantee, format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.violations = append(l.violations, Violation{Kind: k, What: fmt.Sprintf(format, args...)})
+	l.violations = append(l.violations, Violation{Guarantee: k, Detail: fmt.Sprintf(format, args...)})
 }
 
 // addItem adds an item of a group.
@@ -169,7 +169,7 @@
 		for name, value := range writes {
 			n, err := strconv.Atoi(value)
 			if err != nil {
-				l.addViolation(Mixed, "item %s has value %q", name, value)
+				l.addViolation(MismatchedAnswer, "item %s has value %q", name, value)
 				continue
 			}
 			if seen[name] == nil {
@@ -194,12 +194,12 @@
 func (l *ledger) checkItem(name string, i *item, seen map[int]int) {
 	for _, a := range i.acked {
 		if seen[a.n] == 0 {
-			l.addViolation(Lost, "%s %s=%d", i.group, name, a.n)
+			l.addViolation(LostRecord, "%s %s=%d", i.group, name, a.n)
 		}
 	}
 	for n, times := range seen {
 		if times > 1 {
-			l.addViolation(Doubled, "%s %s=%d written %d times", i.group, name, n, times)
+			l.addViolation(DuplicateRecord, "%s %s=%d written %d times", i.group, name, n, times)
 		}
 		if i.notRun[n] {
 			l.addViolation(FalseNotRun, "%s %s=%d", i.group, name, n)
@@ -214,10 +214,10 @@
 	highest := uint64(0)
 	for _, p := range g.Promotions() {
 		if holder, ok := holders[p.Fence]; ok && holder != p.Holder {
-			l.addViolation(Holders, "%s: %s and %s promoted with fence %d", g.Service, holder, p.Holder, p.Fence)
+			l.addViolation(ConflictingHolders, "%s: %s and %s promoted with fence %d", g.Service, holder, p.Holder, p.Fence)
 		}
 		if p.Fence < highest {
-			l.addViolation(Holders, "%s: promotion with fence %d after fence %d", g.Service, p.Fence, highest)
+			l.addViolation(ConflictingHolders, "%s: promotion with fence %d after fence %d", g.Service, p.Fence, highest)
 		}
 		holders[p.Fence], highest = p.Holder, max(highest, p.Fence)
 	}
@@ -227,9 +227,9 @@
 func (l *ledger) report() Report {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r := Report{Refused: l.refused, Unresolved: l.unresolved, Reads: l.reads, Violations: l.violations}
+	r := Report{WithoutEffect: l.refused, Unresolved: l.unresolved, Reads: l.reads, Violations: l.violations}
 	for _, i := range l.items {
-		r.Acked += len(i.acked)
+		r.Acknowledged += len(i.acked)
 	}
 	return r
 }
--- a/internal/tool/cwsoak/reads.go
+++ b/internal/tool/cwsoak/reads.go
@@ -86,7 +86,7 @@
 	}
 	for k, n := range staleCounts {
 		l.violations = append(l.violations, Violation{
-			Kind: Stale, What: strconv.Itoa(n) + " " + string(k.rule) + " reads by " + k.instance + " at " + string(k.member) + ", the first " + firstReads[k],
+			Guarantee: StaleRead, Detail: strconv.Itoa(n) + " " + string(k.rule) + " reads by " + k.instance + " at " + string(k.member) + ", the first " + firstReads[k],
 		})
 	}
 }
--- a/internal/tool/cwsoak/soak.go
+++ b/internal/tool/cwsoak/soak.go
@@ -99,12 +99,12 @@
 	Seed uint64
 	// Faults is the number of injected faults.
 	Faults int
-	// Acked, Refused and Unresolved are the numbers of writes and transactions that
+	// Acknowledged, Refused and Unresolved are the numbers of writes and transactions that
 	// were acknowledged, that had no effect because they were refused, rolled back or
 	// interrupted before their COMMIT, and whose outcome is unknown.
-	Acked      int
-	Refused    int
-	Unresolved int
+	Acknowledged  int
+	WithoutEffect int
+	Unresolved    int
 	// Reads is the number of reads outside of transactions.
 	Reads      int
 	Violations []Violation
--- a/internal/tool/cwsoak/versions.go
+++ b/internal/tool/cwsoak/versions.go
@@ -65,7 +65,7 @@
 			}
 			if seen[i].revision > 0 && env.lacksRevision(ctx, p, seen[i].revision) {
 				if now, _ := p.state(); now == startCount {
-					env.ledger.addViolation(Reverted, "%s no longer has desired state %d", p.name, seen[i].revision)
+					env.ledger.addViolation(DesiredStateReverted, "%s no longer has desired state %d", p.name, seen[i].revision)
 				}
 			}
 			if env.hasRevision(ctx, p, env.revision) {
