--- a/cmd/cicadawalk/process_test.go
+++ b/cmd/cicadawalk/process_test.go
@@ -201,10 +201,10 @@
 			time.AfterFunc(time.Second, func() { tc.fault(d) })
 			rep, err := cwload.Run(context.Background(), cwload.Plan{
 				URLs: []string{d.url(0), d.url(1)}, Sessions: 8, Duration: 4 * time.Second,
-				WriteShare: 0.3, Rate: 300, RoamEvery: 15, Keys: true, Seed: 2, Table: "ronda",
+				WriteShare: 0.3, Rate: 300, SwitchProxyEvery: 15, RequestKeys: true, Seed: 2, Table: "ronda",
 			}, d.url(0))
 			d.c.Assert(err, qt.IsNil)
-			d.c.Check(rep.OK(), qt.IsTrue, qt.Commentf("%+v", rep))
+			d.c.Check(rep.NoViolations(), qt.IsTrue, qt.Commentf("%+v", rep))
 			d.c.Check(rep.Acknowledged > 0, qt.IsTrue)
 		})
 	}
--- a/internal/proxy/cwnode/bench_test.go
+++ b/internal/proxy/cwnode/bench_test.go
@@ -76,14 +76,14 @@
 func (b *bench) load(c *qt.C, d time.Duration, change func(*cwload.Plan), fault func()) *cwload.Report {
 	c.Helper()
 	plan := cwload.Plan{
-		URLs: b.urls(), Sessions: 8, Duration: d, WriteShare: 0.3, Rate: 400, RoamEvery: 15,
-		Keys: true, Seed: 1, Table: "ronda",
+		URLs: b.urls(), Sessions: 8, Duration: d, WriteShare: 0.3, Rate: 400, SwitchProxyEvery: 15,
+		RequestKeys: true, Seed: 1, Table: "ronda",
 	}
 	if change != nil {
 		change(&plan)
 	}
 	// A fault that comes while the table is made ready is none of the load.
-	plan.Begin = func() {
+	plan.OnStart = func() {
 		timer := time.AfterFunc(d/4, fault)
 		c.Cleanup(func() { timer.Stop() })
 	}
@@ -96,7 +96,7 @@
 func assertKept(c *qt.C, rep *cwload.Report) {
 	c.Helper()
 	c.Check(rep.Lost, qt.Equals, 0)
-	c.Check(rep.Doubled, qt.Equals, 0)
+	c.Check(rep.Duplicated, qt.Equals, 0)
 	c.Check(rep.StaleOwnReads, qt.Equals, 0)
 	c.Check(rep.FalseNotRun, qt.Equals, 0)
 	c.Check(rep.Acknowledged > 0, qt.IsTrue)
--- a/internal/proxy/cwnode/failure_test.go
+++ b/internal/proxy/cwnode/failure_test.go
@@ -119,7 +119,7 @@
 func TestLedgerWithoutKeys(t *testing.T) {
 	t.Parallel()
 	c, b := newBench(t, cwdemo.Options{})
-	rep := b.load(c, 4*time.Second, func(p *cwload.Plan) { p.Keys, p.DropToken = false, true }, func() {
+	rep := b.load(c, 4*time.Second, func(p *cwload.Plan) { p.RequestKeys, p.DropToken = false, true }, func() {
 		b.Databases[0].SetFaults(cwdatabase.Faults{LoseCommitAnswers: 5})
 		time.AfterFunc(time.Second, b.Databases[0].Stop)
 	})
--- a/internal/tool/cwcommand/load.go
+++ b/internal/tool/cwcommand/load.go
@@ -49,7 +49,7 @@
 			if err := printReport(cmd.OutOrStdout(), rep, output == "json"); err != nil {
 				return err
 			}
-			if !rep.OK() {
+			if !rep.NoViolations() {
 				return &ExitError{Code: ExitFailed, Err: &GuaranteeError{}}
 			}
 			return nil
@@ -62,9 +62,9 @@
 	fs.DurationVar(&p.Duration, "duration", 10*time.Second, "how long to run")
 	fs.Float64Var(&p.Rate, "rate", 0, "operations per second of all sessions, on a fixed schedule; 0 starts each operation when the last one ends")
 	fs.Float64Var(&p.WriteShare, "write-share", 0.1, "fraction of operations that write, 0 to 1")
-	fs.IntVar(&p.RoamEvery, "roam-every", 0, "number of operations after which a session moves to the next URL; 0 never")
+	fs.IntVar(&p.SwitchProxyEvery, "roam-every", 0, "number of operations after which a session moves to the next URL; 0 never")
 	fs.DurationVar(&p.MaxAge, "max-age", 0, "greatest age of the data that reads accept; 0 sets no limit")
-	fs.BoolVar(&p.Keys, "keys", false, "send a request key with each write, so that it can be retried safely")
+	fs.BoolVar(&p.RequestKeys, "keys", false, "send a request key with each write, so that it can be retried safely")
 	fs.BoolVar(&p.DropToken, "drop-token", false, "move between URLs without the session token")
 	fs.Uint64Var(&p.Seed, "seed", 1, "seed of the random number generator")
 	fs.StringVar(&p.Table, "table", "ronda", "table for the records; use a new one for each run")
@@ -114,7 +114,7 @@
 func printReport(w io.Writer, r *cwload.Report, asJSON bool) error {
 	b := reportBody{
 		Operations: r.Operations, Acknowledged: r.Acknowledged, Reads: r.Reads,
-		Lost: r.Lost, Doubled: r.Doubled, StaleOwnReads: r.StaleOwnReads, FalseNotRun: r.FalseNotRun,
+		Lost: r.Lost, Doubled: r.Duplicated, StaleOwnReads: r.StaleOwnReads, FalseNotRun: r.FalseNotRun,
 		NotRun: r.NotRun, Unknown: r.Unknown, Errors: r.Errors, FirstError: r.FirstError,
 		ElapsedMs: r.Elapsed.Milliseconds(), PerSecond: float64(r.Operations) / r.Elapsed.Seconds(),
 		LongestPauseMs: r.LongestPause().Milliseconds(),
--- a/internal/tool/cwdemo/scenario.go
+++ b/internal/tool/cwdemo/scenario.go
@@ -32,14 +32,14 @@
 	timer := time.AfterFunc(primaryStopDelay, func() { b.Databases[b.Primary()].Stop() })
 	defer timer.Stop()
 	rep, err := cwload.Run(ctx, cwload.Plan{
-		URLs:       []string{b.URL(0), b.URL(1)},
-		Sessions:   scenarioSessions,
-		Duration:   scenarioDuration,
-		WriteShare: 0.2,
-		Rate:       1200,
-		RoamEvery:  40,
-		Keys:       true,
-		Seed:       uint64(time.Now().UnixNano()),
+		URLs:             []string{b.URL(0), b.URL(1)},
+		Sessions:         scenarioSessions,
+		Duration:         scenarioDuration,
+		WriteShare:       0.2,
+		Rate:             1200,
+		SwitchProxyEvery: 40,
+		RequestKeys:      true,
+		Seed:             uint64(time.Now().UnixNano()),
 	}, b.URL(0))
 	if err != nil {
 		return err
@@ -60,7 +60,7 @@
 		{"acknowledged", rep.Acknowledged},
 		{"reads", rep.Reads},
 		{"lost", rep.Lost},
-		{"doubled", rep.Doubled},
+		{"doubled", rep.Duplicated},
 		{"staleOwnReads", rep.StaleOwnReads},
 		{"falseNotRun", rep.FalseNotRun},
 		{"notRun", rep.NotRun},
@@ -79,9 +79,9 @@
 	if rep.FirstError != "" {
 		fmt.Fprintf(w, "firstError=%q\n", rep.FirstError)
 	}
-	if !rep.OK() {
+	if !rep.NoViolations() {
 		return Error.New("a consistency guarantee was violated: %d records lost, %d duplicated, %d stale reads of own writes, %d wrong \"not run\" answers",
-			rep.Lost, rep.Doubled, rep.StaleOwnReads, rep.FalseNotRun)
+			rep.Lost, rep.Duplicated, rep.StaleOwnReads, rep.FalseNotRun)
 	}
 	return nil
 }
--- a/internal/tool/cwload/load.go
+++ b/internal/tool/cwload/load.go
@@ -43,15 +43,15 @@
 	// operation starts late because the one before it took long. Zero means that
 	// each session starts an operation when the last one ends.
 	Rate float64
-	// RoamEvery is the number of operations after which a session moves to the next
+	// SwitchProxyEvery is the number of operations after which a session moves to the next
 	// proxy; zero means never.
-	RoamEvery int
+	SwitchProxyEvery int
 	// MaxAge is the greatest age of data that reads accept; zero sets no limit, so that
 	// only the session token counts.
 	MaxAge time.Duration
-	// Keys makes each write carry a request key, so that a write with an unknown
+	// RequestKeys makes each write carry a request key, so that a write with an unknown
 	// outcome can be repeated.
-	Keys bool
+	RequestKeys bool
 	// DropToken makes sessions move between proxies without their session token.
 	DropToken bool
 	// Seed is the seed of the random choices.
@@ -59,9 +59,9 @@
 	// Table is the table for the records, "ronda" if empty. It is created if it does
 	// not exist, and must have no records.
 	Table string
-	// Begin is called when the table is ready, right before the sessions start; it may
+	// OnStart is called when the table is ready, right before the sessions start; it may
 	// be nil.
-	Begin func()
+	OnStart func()
 }
 
 // Report is the result of a load.
@@ -86,7 +86,7 @@
 	// and are missing, that are there more than once, and that are there although
 	// each answer said that the write did not run.
 	Lost        int
-	Doubled     int
+	Duplicated  int
 	FalseNotRun int
 	// Elapsed is the time from the start of the sessions to the end of the last one.
 	Elapsed time.Duration
@@ -94,15 +94,15 @@
 	// microseconds.
 	ReadLatency, WriteLatency *hdrhistogram.Histogram
 	// Acks are the acknowledged writes.
-	Acks []Ack
+	Acks []AcknowledgedWrite
 }
 
-// Ack is when an acknowledged write was started and when it was acknowledged.
-type Ack struct{ Began, Ended time.Time }
+// AcknowledgedWrite is when an acknowledged write was started and when it was acknowledged.
+type AcknowledgedWrite struct{ StartedAt, AckedAt time.Time }
 
-// OK reports whether no consistency guarantee was violated.
-func (r *Report) OK() bool {
-	return r.Lost == 0 && r.Doubled == 0 && r.StaleOwnReads == 0 && r.FalseNotRun == 0
+// NoViolations reports whether no consistency guarantee was violated.
+func (r *Report) NoViolations() bool {
+	return r.Lost == 0 && r.Duplicated == 0 && r.StaleOwnReads == 0 && r.FalseNotRun == 0
 }
 
 // LongestPause returns the longest time between two acknowledgements. It measures the
@@ -110,7 +110,7 @@
 func (r *Report) LongestPause() time.Duration {
 	ends := make([]time.Time, 0, len(r.Acks))
 	for _, a := range r.Acks {
-		ends = append(ends, a.Ended)
+		ends = append(ends, a.AckedAt)
 	}
 	slices.SortFunc(ends, time.Time.Compare)
 	var longest time.Duration
@@ -126,8 +126,8 @@
 
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxLatencyMicros, 3) }
 
-// Load runs a Plan.
-type Load struct {
+// Runner runs a Plan.
+type Runner struct {
 	plan Plan
 
 	mu     sync.Mutex
@@ -146,13 +146,13 @@
 	if len(p.URLs) == 0 || p.Sessions < 1 {
 		return nil, Error.New("a plan needs at least one URL and one session")
 	}
-	l := &Load{plan: p, ledger: make(map[int]*ledger)}
+	l := &Runner{plan: p, ledger: make(map[int]*ledger)}
 	l.report.ReadLatency, l.report.WriteLatency = newHistogram(), newHistogram()
 	if err := l.prepareTable(ctx); err != nil {
 		return nil, err
 	}
-	if p.Begin != nil {
-		p.Begin()
+	if p.OnStart != nil {
+		p.OnStart()
 	}
 	began := time.Now()
 	if err := l.runSessions(ctx); err != nil {
@@ -172,7 +172,7 @@
 // prepareTable creates the table. Like the sessions, it retries statements that were
 // refused as not run, after the delay that the answer specifies: proxies that have just
 // started refuse statements until they know their groups.
-func (l *Load) prepareTable(ctx context.Context) error {
+func (l *Runner) prepareTable(ctx context.Context) error {
 	end := time.Now().Add(prepareTimeout)
 	for {
 		err := l.createTable(ctx)
@@ -193,7 +193,7 @@
 }
 
 // createTable creates the table with its index and checks that it is empty.
-func (l *Load) createTable(ctx context.Context) error {
+func (l *Runner) createTable(ctx context.Context) error {
 	conn, err := pgx.Connect(ctx, l.plan.URLs[0])
 	if err != nil {
 		return Error.Wrap(err)
@@ -218,7 +218,7 @@
 }
 
 // runSessions runs the sessions for the plan's duration.
-func (l *Load) runSessions(ctx context.Context) error {
+func (l *Runner) runSessions(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, l.plan.Duration)
 	defer cancel()
 	g := &errgroup.Group{}
@@ -232,7 +232,7 @@
 }
 
 // checkRecords reads all records and compares them with the ledgers.
-func (l *Load) checkRecords(ctx context.Context, check string) error {
+func (l *Runner) checkRecords(ctx context.Context, check string) error {
 	conn, err := pgx.Connect(ctx, check)
 	if err != nil {
 		return Error.Wrap(err)
@@ -258,7 +258,7 @@
 			n := found[[2]int{id, seq}]
 			switch {
 			case n > 1:
-				l.report.Doubled++
+				l.report.Duplicated++
 			case o == acknowledged && n == 0:
 				l.report.Lost++
 			case o == notRun && n > 0:
--- a/internal/tool/cwload/session.go
+++ b/internal/tool/cwload/session.go
@@ -35,7 +35,7 @@
 
 // session is one caller.
 type session struct {
-	load   *Load
+	load   *Runner
 	id     int
 	ledger *ledger
 	rng    *rand.Rand
@@ -107,7 +107,7 @@
 // the plan's duration is over by then. intended is when the operation was scheduled.
 func (s *session) runOperation(intended time.Time) {
 	s.operationCount++
-	if r := s.load.plan.RoamEvery; r > 0 && s.operationCount%r == 0 {
+	if r := s.load.plan.SwitchProxyEvery; r > 0 && s.operationCount%r == 0 {
 		s.switchProxy()
 	}
 	if s.rng.Float64() < s.load.plan.WriteShare {
@@ -186,7 +186,7 @@
 		refused, pause := s.recordError(err)
 		if !refused {
 			result = unknown
-			if !s.load.plan.Keys {
+			if !s.load.plan.RequestKeys {
 				break
 			}
 		}
@@ -204,7 +204,7 @@
 	if err != nil {
 		return &notSentError{cause: err}
 	}
-	if s.load.plan.Keys {
+	if s.load.plan.RequestKeys {
 		key := fmt.Sprintf("SET cicadawalk.requestKey = '%s-%d-%d'", s.load.plan.Table, s.id, seq)
 		if _, err := conn.Exec(ctx, key); err != nil {
 			return &notSentError{cause: err}
@@ -231,7 +231,7 @@
 	defer l.mu.Unlock()
 	l.report.Operations++
 	l.report.Acknowledged++
-	l.report.Acks = append(l.report.Acks, Ack{Began: began, Ended: ended})
+	l.report.Acks = append(l.report.Acks, AcknowledgedWrite{StartedAt: began, AckedAt: ended})
 	_ = l.report.WriteLatency.RecordValue(min(ended.Sub(intended).Microseconds()+1, maxLatencyMicros))
 }
 
