--- a/internal/proxy/cwfront/bench_test.go
+++ b/internal/proxy/cwfront/bench_test.go
@@ -17,7 +17,7 @@
 
 // startBenchmark starts a demo cluster with a table of 100 rows. It returns a
 // connection to its proxy, one directly to the primary, and the cluster.
-func startBenchmark(b *testing.B) (proxy, direct *pgx.Conn, bench *cwdemo.Bench) {
+func startBenchmark(b *testing.B) (proxy, direct *pgx.Conn, bench *cwdemo.Cluster) {
 	b.Helper()
 	bench, err := cwdemo.Start(cwdemo.Options{Proxies: 1})
 	qt.Assert(b, err, qt.IsNil)
@@ -127,7 +127,7 @@
 	t.Cleanup(bench.Stop)
 	start, err := (&pgproto3.StartupMessage{
 		ProtocolVersion: pgproto3.ProtocolVersion30,
-		Parameters:      map[string]string{"user": "u", "database": cwdemo.Service},
+		Parameters:      map[string]string{"user": "u", "database": cwdemo.ServiceName},
 	}).Encode(nil)
 	qt.Assert(t, err, qt.IsNil)
 	connect := func(n int) {
--- a/internal/proxy/cwfront/consistency_test.go
+++ b/internal/proxy/cwfront/consistency_test.go
@@ -295,7 +295,7 @@
 	c.Assert(err, qt.IsNil)
 	defer nc.Close()
 	f := pgproto3.NewFrontend(nc, nc)
-	f.Send(&pgproto3.StartupMessage{ProtocolVersion: pgproto3.ProtocolVersion30, Parameters: map[string]string{"user": "u", "database": cwdemo.Service}})
+	f.Send(&pgproto3.StartupMessage{ProtocolVersion: pgproto3.ProtocolVersion30, Parameters: map[string]string{"user": "u", "database": cwdemo.ServiceName}})
 	f.Send(&pgproto3.Query{String: "INSERT INTO ronda VALUES ('" + strings.Repeat("x", 9<<20) + "') RETURNING note"})
 	c.Assert(f.Flush(), qt.IsNil)
 	for ready := 0; ready < 2; {
--- a/internal/proxy/cwfront/protocol_test.go
+++ b/internal/proxy/cwfront/protocol_test.go
@@ -30,7 +30,7 @@
 	started := func(c *qt.C) (net.Conn, *pgproto3.Frontend) {
 		nc := raw(c)
 		f := pgproto3.NewFrontend(nc, nc)
-		f.Send(&pgproto3.StartupMessage{ProtocolVersion: pgproto3.ProtocolVersion30, Parameters: map[string]string{"user": "u", "database": cwdemo.Service}})
+		f.Send(&pgproto3.StartupMessage{ProtocolVersion: pgproto3.ProtocolVersion30, Parameters: map[string]string{"user": "u", "database": cwdemo.ServiceName}})
 		c.Assert(f.Flush(), qt.IsNil)
 		for {
 			m, err := f.Receive()
@@ -124,7 +124,7 @@
 		return []pgproto3.FrontendMessage{&pgproto3.Parse{Query: sql}, &pgproto3.Bind{}, &pgproto3.Execute{}}
 	}
 	flush, sync := &pgproto3.Flush{}, &pgproto3.Sync{}
-	sendAndReadUntil(c, 'Z', &pgproto3.StartupMessage{ProtocolVersion: pgproto3.ProtocolVersion30, Parameters: map[string]string{"user": "u", "database": cwdemo.Service}})
+	sendAndReadUntil(c, 'Z', &pgproto3.StartupMessage{ProtocolVersion: pgproto3.ProtocolVersion30, Parameters: map[string]string{"user": "u", "database": cwdemo.ServiceName}})
 	for _, begin := range []bool{false, true} {
 		c.Run(fmt.Sprintf("in a transaction %t", begin), func(c *qt.C) {
 			idle, after := "ZI", "ZI"
--- a/internal/proxy/cwfront/session_test.go
+++ b/internal/proxy/cwfront/session_test.go
@@ -19,7 +19,7 @@
 // testProxies is a demo cluster of two proxies and a group of three databases. Its
 // links carry the traffic to each database, and tests can inject faults there.
 type testProxies struct {
-	*cwdemo.Bench
+	*cwdemo.Cluster
 	links map[cwgroup.MemberID]*cwlink.Link
 }
 
@@ -28,7 +28,7 @@
 	c.Helper()
 	b := &testProxies{links: make(map[cwgroup.MemberID]*cwlink.Link)}
 	opts.Proxies = 2
-	opts.Direct = func(id cwgroup.MemberID, addr string) string {
+	opts.RewriteAddress = func(id cwgroup.MemberID, addr string) string {
 		l, err := cwlink.Start("127.0.0.1:0", addr)
 		c.Assert(err, qt.IsNil)
 		c.Cleanup(l.Stop)
@@ -36,7 +36,7 @@
 		return l.Addr()
 	}
 	var err error
-	b.Bench, err = cwdemo.Start(opts)
+	b.Cluster, err = cwdemo.Start(opts)
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(b.Stop)
 	return b
@@ -177,7 +177,7 @@
 		c.Assert(br.Close(), qt.IsNil)
 	})
 	c.Run("wrong database", func(c *qt.C) {
-		cfg, err := pgx.ParseConfig(strings.Replace(b.URL(0), cwdemo.Service, "absent", 1))
+		cfg, err := pgx.ParseConfig(strings.Replace(b.URL(0), cwdemo.ServiceName, "absent", 1))
 		c.Assert(err, qt.IsNil)
 		_, err = pgx.ConnectConfig(testContext, cfg)
 		assertRefused(c, err, "3D000")
--- a/internal/proxy/cwnode/bench_test.go
+++ b/internal/proxy/cwnode/bench_test.go
@@ -22,7 +22,7 @@
 
 // bench is a running demo with a link before each database.
 type bench struct {
-	*cwdemo.Bench
+	*cwdemo.Cluster
 	links []*cwlink.Link
 }
 
@@ -33,7 +33,7 @@
 	if opts.Proxies == 0 {
 		opts.Proxies = 2
 	}
-	opts.Direct = func(_ cwgroup.MemberID, addr string) string {
+	opts.RewriteAddress = func(_ cwgroup.MemberID, addr string) string {
 		l, err := cwlink.Start("127.0.0.1:0", addr)
 		c.Assert(err, qt.IsNil)
 		c.Cleanup(l.Stop)
@@ -41,7 +41,7 @@
 		return l.Addr()
 	}
 	var err error
-	b.Bench, err = cwdemo.Start(opts)
+	b.Cluster, err = cwdemo.Start(opts)
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(b.Stop)
 	return c, b
--- a/internal/proxy/cwnode/failure_test.go
+++ b/internal/proxy/cwnode/failure_test.go
@@ -47,7 +47,7 @@
 			b.Databases[0].Stop()
 			time.AfterFunc(1200*time.Millisecond, func() { _ = b.Databases[0].Restart() })
 			time.AfterFunc(2000*time.Millisecond, func() {
-				if i := b.Primary(); i > 0 {
+				if i := b.PrimaryIndex(); i > 0 {
 					b.Databases[i].Stop()
 				}
 			})
@@ -370,7 +370,7 @@
 	conn := b.connect(c, 0)
 	exec(c, conn, "CREATE TABLE ronda (id bigint)")
 	b.links[0].SetFaults(cwlink.Faults{Cut: true})
-	waitFor(c, "another primary", func() bool { return b.Primary() > 0 })
+	waitFor(c, "another primary", func() bool { return b.PrimaryIndex() > 0 })
 	waitFor(c, "writes going on", func() bool {
 		_, err := conn.Exec(background, "INSERT INTO ronda VALUES (1)")
 		return err == nil
--- a/internal/proxy/cwnode/operator_test.go
+++ b/internal/proxy/cwnode/operator_test.go
@@ -28,7 +28,7 @@
 	base, err := store.Load(background)
 	c.Assert(err, qt.IsNil)
 	apply := func(cat cwcatalogue.Catalogue, who string, timeout time.Duration) error {
-		e, _ := cat.Entry(cwdemo.Service)
+		e, _ := cat.Entry(cwdemo.ServiceName)
 		e.Contract.StatementTimeout = timeout
 		_, err := store.Apply(background, cat.WithEntry(e), cwstore.Change{ID: who, Who: who, At: time.Now(), Summary: []string{"changed the time limit"}})
 		return err
@@ -114,7 +114,7 @@
 			})
 			assertKept(c, rep)
 			c.Check(rep.Unknown, qt.Equals, 0)
-			c.Check(b.Databases[b.Primary()].Status().Member, qt.Not(qt.Equals), id)
+			c.Check(b.Databases[b.PrimaryIndex()].Status().Member, qt.Not(qt.Equals), id)
 			busy := func() int {
 				n := 0
 				for _, p := range b.Proxies {
--- a/internal/tool/cwcommand/demo.go
+++ b/internal/tool/cwcommand/demo.go
@@ -32,7 +32,7 @@
 			}
 			logs := eventWriter(cmd, verbose)
 			if once {
-				return cwdemo.Once(cmd.Context(), cmd.OutOrStdout(), logs)
+				return cwdemo.RunScenario(cmd.Context(), cmd.OutOrStdout(), logs)
 			}
 			return cwdemo.Serve(cmd.Context(), cmd.OutOrStdout(), logs, listen)
 		},
--- a/internal/tool/cwdemo/cluster.go
+++ b/internal/tool/cwdemo/cluster.go
@@ -31,8 +31,8 @@
 // Error is the class of the demo's errors.
 var Error = errs.Class("demo")
 
-// Service is the name of the demo's database service.
-const Service = "libro-rondas"
+// ServiceName is the name of the demo's database service.
+const ServiceName = "libro-rondas"
 
 // hosts are the loopback addresses of the databases, one for each data centre.
 var hosts = []string{"127.0.1.1", "127.0.2.1", "127.0.3.1"}
@@ -55,9 +55,9 @@
 	Log io.Writer
 	// Groups is the number of groups of the service; zero means one.
 	Groups int
-	// Direct lets tests put a relay between proxies and databases: it returns the
+	// RewriteAddress lets tests put a relay between proxies and databases: it returns the
 	// address that the catalogue has for a database. It may be nil.
-	Direct func(id cwgroup.MemberID, address string) string
+	RewriteAddress func(id cwgroup.MemberID, address string) string
 }
 
 // DefaultContract returns the contract of the demo's catalogue entry.
@@ -75,8 +75,8 @@
 	}
 }
 
-// Bench is a running deployment. Make one with Start, and end it with Stop.
-type Bench struct {
+// Cluster is a running deployment. Make one with Start, and end it with Stop.
+type Cluster struct {
 	// Databases are the databases of all groups, three for each group.
 	Databases []*cwdatabase.RunningMember
 	Platform  *cwtable.Platform
@@ -99,14 +99,14 @@
 
 // Start starts the databases, the platform and the proxies, and waits up to 10 s until the
 // proxies are ready.
-func Start(opts Options) (*Bench, error) {
+func Start(opts Options) (*Cluster, error) {
 	if opts.Contract == (cwcatalogue.Contract{}) {
 		opts.Contract = DefaultContract()
 	}
 	if opts.Log == nil {
 		opts.Log = io.Discard
 	}
-	b := &Bench{opts: opts}
+	b := &Cluster{opts: opts}
 	if err := b.start(); err != nil {
 		b.Stop()
 		return nil, err
@@ -114,7 +114,7 @@
 	return b, nil
 }
 
-func (b *Bench) start() error {
+func (b *Cluster) start() error {
 	if err := b.startDatabases(); err != nil {
 		return err
 	}
@@ -133,10 +133,10 @@
 			return err
 		}
 	}
-	return b.AwaitReady(10 * time.Second)
+	return b.WaitReady(10 * time.Second)
 }
 
-func (b *Bench) startDatabases() error {
+func (b *Cluster) startDatabases() error {
 	for g := range max(1, b.opts.Groups) {
 		if err := b.startGroup(g); err != nil {
 			return err
@@ -146,7 +146,7 @@
 }
 
 // startGroup starts three databases; the first is the primary.
-func (b *Bench) startGroup(g int) error {
+func (b *Cluster) startGroup(g int) error {
 	prefix := "libro"
 	if g > 0 {
 		prefix = fmt.Sprintf("libro-g%d", g+1)
@@ -175,7 +175,7 @@
 }
 
 // Catalogue returns the demo's catalogue; its revision is 0.
-func (b *Bench) Catalogue() cwcatalogue.Catalogue {
+func (b *Cluster) Catalogue() cwcatalogue.Catalogue {
 	c := cwcatalogue.Catalogue{}
 	for i, dc := range dataCentres {
 		c.DataCentres = append(c.DataCentres, cwcatalogue.DataCentre{Name: dc, Region: "pampa-humeda"})
@@ -190,13 +190,13 @@
 		}
 		g := &groups[len(groups)-1]
 		id, addr := d.Status().Member, d.Addr()
-		if b.opts.Direct != nil {
-			addr = b.opts.Direct(id, addr)
+		if b.opts.RewriteAddress != nil {
+			addr = b.opts.RewriteAddress(id, addr)
 		}
 		g.Targets = append(g.Targets, cwcatalogue.Target{ID: id, DataCentre: dataCentres[i%len(hosts)], Address: addr})
 	}
 	return c.WithEntry(cwcatalogue.Entry{
-		Service:  Service,
+		Service:  ServiceName,
 		Title:    "libro central de rondas",
 		Owner:    "Cámara Argentina de Rondas de Casero para Estancias",
 		Contract: b.opts.Contract,
@@ -206,7 +206,7 @@
 
 // StartProxy starts the proxy with an index and adds it to the platform's list of
 // instances. It does not wait until the proxy is ready.
-func (b *Bench) StartProxy(i int) (*Proxy, error) {
+func (b *Cluster) StartProxy(i int) (*Proxy, error) {
 	listen := "127.0.0.1:0"
 	if i < len(b.opts.Listen) {
 		listen = b.opts.Listen[i]
@@ -233,12 +233,12 @@
 	p := &Proxy{Node: node, cancel: cancel}
 	p.eg.Go(func() error { return node.Run(ctx) })
 	b.Proxies = append(b.Proxies, p)
-	b.TellPlatform()
+	b.UpdateInstanceList()
 	return p, nil
 }
 
-// TellPlatform replaces the platform's list of instances by the current proxies.
-func (b *Bench) TellPlatform() {
+// UpdateInstanceList replaces the platform's list of instances by the current proxies.
+func (b *Cluster) UpdateInstanceList() {
 	var list []cwplatform.InstanceBody
 	for i, p := range b.Proxies {
 		list = append(list, cwplatform.InstanceBody{
@@ -251,8 +251,8 @@
 	b.Platform.SetInstances(list)
 }
 
-// AwaitReady waits until each proxy can serve writes. It fails after limit.
-func (b *Bench) AwaitReady(limit time.Duration) error {
+// WaitReady waits until each proxy can serve writes. It fails after limit.
+func (b *Cluster) WaitReady(limit time.Duration) error {
 	deadline := time.Now().Add(limit)
 	for {
 		if b.allReady() {
@@ -267,7 +267,7 @@
 
 // allReady reports whether each proxy serves all its groups and has a share of the
 // connections of each target.
-func (b *Bench) allReady() bool {
+func (b *Cluster) allReady() bool {
 	for _, p := range b.Proxies {
 		s := p.Status()
 		if !s.Ready || len(s.Groups) == 0 {
@@ -288,7 +288,7 @@
 }
 
 // URL returns the connection string of a proxy.
-func (b *Bench) URL(i int) string {
+func (b *Cluster) URL(i int) string {
 	return URL(b.Proxies[i].Addr())
 }
 
@@ -299,12 +299,12 @@
 	if err == nil && strings.HasPrefix(addr, "127.0.0.1:") {
 		host = fmt.Sprintf("127.0.0.1:%d", ap.Port())
 	}
-	return "postgres://casero@" + host + "/" + Service + "?sslmode=disable"
+	return "postgres://casero@" + host + "/" + ServiceName + "?sslmode=disable"
 }
 
-// Primary returns the index in Databases of the primary with the highest term in the
+// PrimaryIndex returns the index in Databases of the primary with the highest term in the
 // first group; -1 if there is none.
-func (b *Bench) Primary() int {
+func (b *Cluster) PrimaryIndex() int {
 	best, term := -1, cwgroup.Term(0)
 	for i, d := range b.Databases[:len(hosts)] {
 		if s := d.Status(); s.Role == cwgroup.RolePrimary && s.AdoptedTerm > term {
@@ -315,7 +315,7 @@
 }
 
 // Stop stops the proxies, the databases and the platform.
-func (b *Bench) Stop() {
+func (b *Cluster) Stop() {
 	for _, p := range b.Proxies {
 		_ = p.Stop()
 	}
--- a/internal/tool/cwdemo/scenario.go
+++ b/internal/tool/cwdemo/scenario.go
@@ -19,17 +19,17 @@
 	scenarioSessions = 12
 )
 
-// Once runs the failover scenario: sessions write, read and move between two proxies, and
+// RunScenario runs the failover scenario: sessions write, read and move between two proxies, and
 // the primary is stopped meanwhile. It prints one key=value line for each result to w, and
 // the log lines of the proxies to logs. It returns an error if a consistency guarantee was
 // violated.
-func Once(ctx context.Context, w, logs io.Writer) error {
+func RunScenario(ctx context.Context, w, logs io.Writer) error {
 	b, err := Start(Options{Proxies: 2, ListLag: 100 * time.Millisecond, Log: logs})
 	if err != nil {
 		return err
 	}
 	defer b.Stop()
-	timer := time.AfterFunc(primaryStopDelay, func() { b.Databases[b.Primary()].Stop() })
+	timer := time.AfterFunc(primaryStopDelay, func() { b.Databases[b.PrimaryIndex()].Stop() })
 	defer timer.Stop()
 	rep, err := cwload.Run(ctx, cwload.Plan{
 		URLs:             []string{b.URL(0), b.URL(1)},
