--- a/internal/core/cwproof/measure_test.go
+++ b/internal/core/cwproof/measure_test.go
@@ -44,10 +44,10 @@
 			}
 			slices.Sort(gaps)
 			t.Logf("%s over %d seeds: p50 %v p90 %v p99 %v max %v", name, n, gaps[n/2], gaps[n*9/10], gaps[n*99/100], gaps[n-1])
-			cwbound.Check(t, "failoverGapMedianMs/"+name, float64(gaps[n/2].Milliseconds()))
-			cwbound.Check(t, "failoverGapWorstMs/"+name, float64(gaps[n-1].Milliseconds()))
-			cwbound.Check(t, "tableWritesPerFailover/"+name, float64(writes)/float64(n))
-			cwbound.Check(t, "changesPerFailover/"+name, float64(changes)/float64(n))
+			cwbound.CheckBound(t, "failoverGapMedianMs/"+name, float64(gaps[n/2].Milliseconds()))
+			cwbound.CheckBound(t, "failoverGapWorstMs/"+name, float64(gaps[n-1].Milliseconds()))
+			cwbound.CheckBound(t, "tableWritesPerFailover/"+name, float64(writes)/float64(n))
+			cwbound.CheckBound(t, "changesPerFailover/"+name, float64(changes)/float64(n))
 		})
 	}
 }
@@ -68,7 +68,7 @@
 			worst = max(worst, w.longestPause())
 		}
 	}
-	cwbound.Check(t, "failoverGapWorstMs/any", float64(worst.Milliseconds()))
+	cwbound.CheckBound(t, "failoverGapWorstMs/any", float64(worst.Milliseconds()))
 }
 
 // TestSteadyStateWritesNothing counts the table's writes while nothing fails.
@@ -76,8 +76,8 @@
 	w := newWorld(1, checked)
 	w.every(10*time.Millisecond, w.ledger.write)
 	w.run(60 * time.Second)
-	cwbound.Check(t, "tableWritesPerMinuteSteady", float64(w.table.writes))
-	cwbound.Check(t, "changesPerMinuteSteady", float64(len(w.promoted)-1))
+	cwbound.CheckBound(t, "tableWritesPerMinuteSteady", float64(w.table.writes))
+	cwbound.CheckBound(t, "changesPerMinuteSteady", float64(len(w.promoted)-1))
 }
 
 // TestAcknowledgementRule compares acknowledging at the primary with
@@ -112,8 +112,8 @@
 		}
 	}
 	t.Logf("over %d seeds: majority lost %d, %v a write; primary alone lost %d, %v a write", n, lost[false], wait[0], lost[true], wait[1])
-	cwbound.Check(t, "lostAcknowledged/majority", float64(lost[false]))
-	cwbound.Check(t, "lostAcknowledged/primaryAlone", float64(lost[true]))
+	cwbound.CheckBound(t, "lostAcknowledged/majority", float64(lost[false]))
+	cwbound.CheckBound(t, "lostAcknowledged/primaryAlone", float64(lost[true]))
 }
 
 // session is a caller that reads and writes in turn.
@@ -147,7 +147,7 @@
 				name := fmt.Sprintf("replicaReadShare/%s/lag%dms/writes%.0f%%", policy.name, lag, writes*100)
 				t.Logf("%s = %.3f, waited %v a read", name, share, w.ledger.waited/time.Duration(w.ledger.reads))
 				if lag == 100 && writes == 0.1 {
-					cwbound.Check(t, name, share)
+					cwbound.CheckBound(t, name, share)
 				}
 			}
 		}
--- a/internal/proxy/cwfront/bench_test.go
+++ b/internal/proxy/cwfront/bench_test.go
@@ -115,7 +115,7 @@
 		})
 	}
 	direct, proxy := perRead(cwdemo.URL(bench.Databases[0].Addr())), perRead(bench.URL(0))
-	cwbound.Check(t, "allocationsPerForwardedStatement", proxy-direct)
+	cwbound.CheckBound(t, "allocationsPerForwardedStatement", proxy-direct)
 }
 
 // TestMemoryOfAnIdleClient bounds the heap and stack memory of an idle client
@@ -153,5 +153,5 @@
 	before := inUse()
 	const callers = 2000
 	connect(callers)
-	cwbound.Check(t, "bytesPerIdleCaller", (inUse()-before)/callers)
+	cwbound.CheckBound(t, "bytesPerIdleCaller", (inUse()-before)/callers)
 }
--- a/internal/tool/cwbound/bound.go
+++ b/internal/tool/cwbound/bound.go
@@ -14,8 +14,8 @@
 //go:embed bounds.json
 var boundsJSON []byte
 
-// T is the part of testing.TB that Check uses.
-type T interface {
+// TestReporter is the part of testing.TB that Check uses.
+type TestReporter interface {
 	Helper()
 	Logf(format string, args ...any)
 	Errorf(format string, args ...any)
@@ -35,9 +35,9 @@
 	return m, err
 })
 
-// Check logs a value, and fails the test if the value is outside of the bound with that
+// CheckBound logs a value, and fails the test if the value is outside of the bound with that
 // name, or if there is no such bound.
-func Check(t T, name string, value float64) {
+func CheckBound(t TestReporter, name string, value float64) {
 	t.Helper()
 	m, err := loadBounds()
 	if err != nil {
--- a/internal/wire/cwstore/store_test.go
+++ b/internal/wire/cwstore/store_test.go
@@ -96,11 +96,11 @@
 	same, err := s.Refresh(background, known)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, same.Entries, qt.HasLen, 2)
-	cwbound.Check(t, "tableReadsPerChange", float64(table.reads))
+	cwbound.CheckBound(t, "tableReadsPerChange", float64(table.reads))
 	table.reads = 0
 	_, err = s.Refresh(background, same)
 	qt.Assert(t, err, qt.IsNil)
-	cwbound.Check(t, "tableReadsPerIdlePoll", float64(table.reads))
+	cwbound.CheckBound(t, "tableReadsPerIdlePoll", float64(table.reads))
 
 	t.Run("a removed entry goes", func(t *testing.T) {
 		gone := same
