--- a/cmd/cicadasoak/soak_test.go
+++ b/cmd/cicadasoak/soak_test.go
@@ -63,7 +63,7 @@
 }
 
 // Invalid flags must end the command with an exit code before anything is started.
-func TestBadFlags(t *testing.T) {
+func TestInvalidFlags(t *testing.T) {
 	root := cwcommand.SoakCommand()
 	root.SetArgs([]string{"--seeds", "0"})
 	err := root.Execute()
