--- a/cmd/cicadawalk/process_test.go
+++ b/cmd/cicadawalk/process_test.go
@@ -213,7 +213,7 @@
 // The commands of operators: status reports that all is well, an invalid file is refused
 // with line and field, a concurrent change names its author, and a proxy exits with code
 // 0 after SIGTERM.
-func TestOperators(t *testing.T) {
+func TestOperatorCommands(t *testing.T) {
 	d := startDeployment(t)
 	c := d.c
 	waitFor(c, "status to report that all is well", func() bool {
--- a/cmd/cicadawalk/serve_test.go
+++ b/cmd/cicadawalk/serve_test.go
@@ -16,7 +16,7 @@
 
 // A SIGHUP that arrives shortly after SIGTERM must not end the process. It did when the
 // handler of SIGHUP was removed at the start of a shutdown, and sessions were interrupted.
-func TestReloadDuringAShutdownCutsNothing(t *testing.T) {
+func TestReloadDuringShutdownKeepsSessions(t *testing.T) {
 	c := qt.New(t)
 	text, err := os.ReadFile("../../platform/testdata/node.json")
 	c.Assert(err, qt.IsNil)
