--- a/internal/proxy/cwfront/consistency_test.go
+++ b/internal/proxy/cwfront/consistency_test.go
@@ -23,7 +23,7 @@
 // Guards against stale reads after a client reconnects through another proxy,
 // while the replicas lag by 400 ms. The second proxy must return the client's own
 // writes with or without a session token.
-func TestReadsOwnWritesAfterRoaming(t *testing.T) {
+func TestReadYourWritesThroughAnotherProxy(t *testing.T) {
 	c := qt.New(t)
 	b := startProxies(c, cwdemo.Options{})
 	conn := b.connect(c, 0)
@@ -48,7 +48,7 @@
 
 // Guards against a read that waits forever: a forged token names a log position
 // far beyond the end of the group's log. It must be refused.
-func TestTokenFromTheFuture(t *testing.T) {
+func TestTokenAheadOfGroupIsRefused(t *testing.T) {
 	c := qt.New(t)
 	b := startProxies(c, cwdemo.Options{})
 	conn := b.connect(c, 0)
@@ -107,7 +107,7 @@
 
 // Guards against a response that reaches the wrong client: eight clients share a
 // small connection pool, and each must get the response to its own query.
-func TestEachCallerGetsItsOwnAnswer(t *testing.T) {
+func TestEachClientGetsItsOwnResponse(t *testing.T) {
 	c := qt.New(t)
 	contract := cwdemo.DefaultContract()
 	contract.Connections = 6
@@ -170,7 +170,7 @@
 
 // Guards against a response that arrives after its statement timed out and is then
 // given to the next client on the same pooled connection.
-func TestLateAnswerIsNobodysElse(t *testing.T) {
+func TestLateResponseReachesNoOtherClient(t *testing.T) {
 	c := qt.New(t)
 	contract := cwdemo.DefaultContract()
 	contract.Connections, contract.StatementTimeout = 6, 300*time.Millisecond
@@ -284,7 +284,7 @@
 // Guards against a write that is reported as successful and only then as failed,
 // because a long response was streamed to the client before a majority had
 // acknowledged the write.
-func TestNoSuccessBeforeTheAcknowledgement(t *testing.T) {
+func TestNoSuccessBeforeAcknowledgement(t *testing.T) {
 	c := qt.New(t)
 	contract := cwdemo.DefaultContract()
 	contract.AckTimeout = 200 * time.Millisecond
--- a/internal/proxy/cwfront/fuzz_test.go
+++ b/internal/proxy/cwfront/fuzz_test.go
@@ -50,11 +50,11 @@
 	start := encode(&pgproto3.StartupMessage{ProtocolVersion: pgproto3.ProtocolVersion30, Parameters: map[string]string{"user": "u", "database": "s"}})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		server := &Server{
-			Services: noGroupServices{},
-			Clock:    clockwork.NewRealClock(),
-			Log:      log.New(io.Discard),
-			Metrics:  NewMetrics(metrics.NewSet()),
-			Version:  "16",
+			Proxy:   noGroupServices{},
+			Clock:   clockwork.NewRealClock(),
+			Log:     log.New(io.Discard),
+			Metrics: NewMetrics(metrics.NewSet()),
+			Version: "16",
 		}
 		clientConn, proxyConn := net.Pipe()
 		done := make(chan struct{})
--- a/internal/proxy/cwfront/output.go
+++ b/internal/proxy/cwfront/output.go
@@ -72,9 +72,9 @@
 	if r := cwrefusal.As(err); r != nil {
 		e.Code, e.Message, e.Hint, e.Detail = string(r.Code), r.Message, r.Hint, r.Detail()
 		if r.NotRun {
-			s.server.Metrics.NotRun.Inc()
+			s.server.Metrics.NotRunRefusals.Inc()
 		} else {
-			s.server.Metrics.Unknown.Inc()
+			s.server.Metrics.UnknownRefusals.Inc()
 		}
 	}
 	s.send(e)
--- a/internal/proxy/cwfront/protocol_test.go
+++ b/internal/proxy/cwfront/protocol_test.go
@@ -16,7 +16,7 @@
 
 // Clients that send malformed or oversized messages, or disconnect in the middle of
 // a transaction or statement, must not affect other clients.
-func TestBadCallers(t *testing.T) {
+func TestMisbehavingClients(t *testing.T) {
 	c := qt.New(t)
 	b := startProxies(c, cwdemo.Options{})
 	conn := b.connect(c, 0)
--- a/internal/proxy/cwfront/request.go
+++ b/internal/proxy/cwfront/request.go
@@ -254,7 +254,7 @@
 		r.member, r.primary, r.term = p.Member, true, p.AdoptedTerm
 		endWrite = s.group.BeginWrite()
 	}
-	pool, ok := s.server.Services.Pool(r.member)
+	pool, ok := s.server.Proxy.Pool(r.member)
 	if !ok {
 		endWrite()
 		return r, nil, cwrefusal.NotRun(cwrefusal.CannotConnectNow, time.Second, "the database is being set up at this proxy")
--- a/internal/proxy/cwfront/server.go
+++ b/internal/proxy/cwfront/server.go
@@ -37,8 +37,8 @@
 	"cicadawalk.example/cicadawalk/internal/wire/cwsql"
 )
 
-// Services gives sessions access to the rest of the proxy.
-type Services interface {
+// Proxy gives sessions access to the rest of the proxy.
+type Proxy interface {
 	// Ready reports whether the proxy has a catalogue that it may serve clients
 	// from.
 	Ready() bool
@@ -54,14 +54,14 @@
 	// does not have it yet.
 	Pool(id cwgroup.MemberID) (*cwpool.Pool, bool)
 	// ForwardCancel forwards a cancel request to the proxies whose tag is in the
-	// process id; see TagOf.
+	// process id; see InstanceTag.
 	ForwardCancel(pid uint32, secret []byte)
 }
 
 // Limits on what is read from clients.
 const (
-	// MaxMessage is the largest message accepted after the handshake, in bytes.
-	MaxMessage = 64 << 20
+	// MaxMessageSize is the largest message accepted after the handshake, in bytes.
+	MaxMessageSize = 64 << 20
 	// maxStartupMessage is the largest start-up message accepted, in bytes.
 	maxStartupMessage = 16 << 10
 	// HandshakeTimeout bounds the whole handshake, from accepting the connection
@@ -74,34 +74,34 @@
 
 // Metrics holds the metrics of all sessions of a Server.
 type Metrics struct {
-	Statements, ReplicaReads, PrimaryReads, Writes *metrics.Counter
-	NotRun, Unknown, Retries, Replays              *metrics.Counter
-	AckWait                                        *metrics.Histogram
+	Statements, ReplicaReads, PrimaryReads, Writes    *metrics.Counter
+	NotRunRefusals, UnknownRefusals, Retries, Replays *metrics.Counter
+	AckWait                                           *metrics.Histogram
 }
 
 // NewMetrics creates the metrics and registers them in s.
 func NewMetrics(s *metrics.Set) *Metrics {
 	return &Metrics{
-		Statements:   s.NewCounter("cicadawalk_statements_total"),
-		ReplicaReads: s.NewCounter(`cicadawalk_reads_total{at="replica"}`),
-		PrimaryReads: s.NewCounter(`cicadawalk_reads_total{at="primary"}`),
-		Writes:       s.NewCounter("cicadawalk_writes_total"),
-		NotRun:       s.NewCounter(`cicadawalk_refusals_total{outcome="notRun"}`),
-		Unknown:      s.NewCounter(`cicadawalk_refusals_total{outcome="unknown"}`),
-		Retries:      s.NewCounter("cicadawalk_retries_total"),
-		Replays:      s.NewCounter("cicadawalk_replays_total"),
-		AckWait:      s.NewHistogram("cicadawalk_ack_wait_seconds"),
+		Statements:      s.NewCounter("cicadawalk_statements_total"),
+		ReplicaReads:    s.NewCounter(`cicadawalk_reads_total{at="replica"}`),
+		PrimaryReads:    s.NewCounter(`cicadawalk_reads_total{at="primary"}`),
+		Writes:          s.NewCounter("cicadawalk_writes_total"),
+		NotRunRefusals:  s.NewCounter(`cicadawalk_refusals_total{outcome="notRun"}`),
+		UnknownRefusals: s.NewCounter(`cicadawalk_refusals_total{outcome="unknown"}`),
+		Retries:         s.NewCounter("cicadawalk_retries_total"),
+		Replays:         s.NewCounter("cicadawalk_replays_total"),
+		AckWait:         s.NewHistogram("cicadawalk_ack_wait_seconds"),
 	}
 }
 
 // Server accepts client connections. Set the exported fields before Run.
 type Server struct {
-	Services Services
-	Clock    clockwork.Clock
-	Log      *log.Logger
-	Metrics  *Metrics
-	// Tag identifies this proxy in the process ids of its sessions; see TagOf.
-	Tag uint16
+	Proxy   Proxy
+	Clock   clockwork.Clock
+	Log     *log.Logger
+	Metrics *Metrics
+	// InstanceTag identifies this proxy in the process ids of its sessions; see InstanceTag.
+	InstanceTag uint16
 	// Version is reported to clients as server_version.
 	Version string
 
@@ -187,8 +187,8 @@
 // Draining reports whether Drain was called; new clients are then refused.
 func (srv *Server) Draining() bool { return srv.draining.Load() }
 
-// Sessions returns the number of clients that have completed the handshake.
-func (srv *Server) Sessions() int {
+// SessionCount returns the number of clients that have completed the handshake.
+func (srv *Server) SessionCount() int {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
 	return len(srv.sessions)
@@ -208,24 +208,24 @@
 	tagMask  = 0x7fff
 )
 
-// TagOf returns the tag of an instance, a 15-bit hash of its id. The platform's
+// InstanceTag returns the tag of an instance, a 15-bit hash of its id. The platform's
 // load balancer may route a CancelRequest to any proxy; the tag in its process
 // id tells which proxy to forward it to. Two instances can have the same tag;
 // the request is then forwarded to both.
-func TagOf(instance string) uint16 {
+func InstanceTag(instance string) uint16 {
 	h := fnv.New32a()
 	h.Write([]byte(instance))
 	sum := h.Sum32()
 	return uint16(sum^sum>>16) & tagMask
 }
 
-// TagOfPID returns the proxy tag contained in a session's process id.
-func TagOfPID(pid uint32) uint16 { return uint16(pid>>tagShift) & tagMask }
+// ProcessIDTag returns the proxy tag contained in a session's process id.
+func ProcessIDTag(pid uint32) uint16 { return uint16(pid>>tagShift) & tagMask }
 
-// CancelLocal cancels the statement that a session of this proxy is running, if
+// CancelSession cancels the statement that a session of this proxy is running, if
 // any. It reports whether this proxy has a session with that process id and
 // secret.
-func (srv *Server) CancelLocal(pid uint32, secret []byte) bool {
+func (srv *Server) CancelSession(pid uint32, secret []byte) bool {
 	if len(secret) != 4 {
 		return false
 	}
--- a/internal/proxy/cwfront/session.go
+++ b/internal/proxy/cwfront/session.go
@@ -56,7 +56,7 @@
 	portals  map[string]*preparedStatement
 	batch    batch
 
-	// mu guards the fields that Drain and CancelLocal use.
+	// mu guards the fields that Drain and CancelSession use.
 	mu          sync.Mutex
 	activeLease *cwpool.Lease
 	idle        bool
@@ -65,7 +65,7 @@
 func newSession(srv *Server, conn net.Conn) *session {
 	b := pgproto3.NewBackend(conn, conn)
 	b.SetMaxBodyLen(maxStartupMessage)
-	return &session{server: srv, conn: conn, backend: b, cancelKey: newCancelKey(srv.Tag)}
+	return &session{server: srv, conn: conn, backend: b, cancelKey: newCancelKey(srv.InstanceTag)}
 }
 
 // selectGroup sets the group that has the client's data: the entry's only group,
@@ -81,7 +81,7 @@
 		}
 		name = cwplace.Order(s.proxySettings.shard, names)[0]
 	}
-	g, ok := s.server.Services.Group(name)
+	g, ok := s.server.Proxy.Group(name)
 	if !ok {
 		return cwrefusal.NotRun(cwrefusal.CannotConnectNow, time.Second, "the database is being set up at this proxy")
 	}
@@ -92,11 +92,11 @@
 // refreshEntry reloads the entry and the group if the catalogue has changed, so
 // that changes also apply to open connections.
 func (s *session) refreshEntry() error {
-	rev := s.server.Services.Revision()
+	rev := s.server.Proxy.Revision()
 	if rev == s.revision {
 		return nil
 	}
-	entry, ok := s.server.Services.Entry(s.entry.Service)
+	entry, ok := s.server.Proxy.Entry(s.entry.Service)
 	if !ok {
 		return cwrefusal.NotRun(cwrefusal.UndefinedDatabase, 0, "database %q does not exist any more", s.entry.Service)
 	}
@@ -173,7 +173,7 @@
 	case errors.As(err, &ne) && ne.Timeout() && s.server.draining.Load():
 		s.sendError("FATAL", cwrefusal.NotRun("57P01", time.Second, "this proxy is shutting down; connect again"))
 	case isMessageTooLong(err):
-		s.sendError("FATAL", cwrefusal.NotRun(cwrefusal.LimitExceeded, 0, "message longer than %d bytes", MaxMessage))
+		s.sendError("FATAL", cwrefusal.NotRun(cwrefusal.LimitExceeded, 0, "message longer than %d bytes", MaxMessageSize))
 	case isDisconnect(err):
 		return
 	default:
--- a/internal/proxy/cwfront/session_test.go
+++ b/internal/proxy/cwfront/session_test.go
@@ -237,7 +237,7 @@
 
 // Guards against settings that leak between clients: one session changes a setting,
 // and its pooled connection is then used by a session that did not.
-func TestSettingsStayWithTheirSession(t *testing.T) {
+func TestSettingsDoNotLeakBetweenSessions(t *testing.T) {
 	c := qt.New(t)
 	contract := cwdemo.DefaultContract()
 	contract.Connections = 6 // one connection for each proxy
--- a/internal/proxy/cwfront/startup.go
+++ b/internal/proxy/cwfront/startup.go
@@ -20,8 +20,8 @@
 	}
 	switch m := msg.(type) {
 	case *pgproto3.CancelRequest:
-		if !s.server.CancelLocal(m.ProcessID, m.SecretKey) {
-			s.server.Services.ForwardCancel(m.ProcessID, m.SecretKey)
+		if !s.server.CancelSession(m.ProcessID, m.SecretKey) {
+			s.server.Proxy.ForwardCancel(m.ProcessID, m.SecretKey)
 		}
 		return false
 	case *pgproto3.StartupMessage:
@@ -36,7 +36,7 @@
 		return false
 	}
 	_ = s.conn.SetDeadline(time.Time{})
-	s.backend.SetMaxBodyLen(MaxMessage)
+	s.backend.SetMaxBodyLen(MaxMessageSize)
 	return true
 }
 
@@ -66,18 +66,18 @@
 	if s.server.draining.Load() {
 		return cwrefusal.NotRun(cwrefusal.CannotConnectNow, time.Second, "this proxy is shutting down")
 	}
-	if !s.server.Services.Ready() {
+	if !s.server.Proxy.Ready() {
 		return cwrefusal.NotRun(cwrefusal.CannotConnectNow, time.Second, "this proxy is starting")
 	}
 	name := params["database"]
 	if name == "" {
 		name = params["user"]
 	}
-	entry, ok := s.server.Services.Entry(name)
+	entry, ok := s.server.Proxy.Entry(name)
 	if !ok {
 		return cwrefusal.NotRun(cwrefusal.UndefinedDatabase, 0, "database %q does not exist", name)
 	}
-	s.entry, s.revision = entry, s.server.Services.Revision()
+	s.entry, s.revision = entry, s.server.Proxy.Revision()
 	if err := s.selectGroup(); err != nil {
 		return err
 	}
--- a/internal/proxy/cwnode/node.go
+++ b/internal/proxy/cwnode/node.go
@@ -128,12 +128,12 @@
 	n.journal = newJournal(n.store, cfg)
 	n.gap = n.set.NewHistogram("cicadawalk_failover_gap_seconds")
 	n.server = &cwfront.Server{
-		Services: n,
-		Clock:    cfg.Clock,
-		Log:      cfg.Log,
-		Metrics:  cwfront.NewMetrics(n.set),
-		Version:  serverVersion,
-		Tag:      cwfront.TagOf(cfg.Instance),
+		Proxy:       n,
+		Clock:       cfg.Clock,
+		Log:         cfg.Log,
+		Metrics:     cwfront.NewMetrics(n.set),
+		Version:     serverVersion,
+		InstanceTag: cwfront.InstanceTag(cfg.Instance),
 	}
 	n.registerGauges()
 	for _, l := range []struct {
@@ -188,7 +188,7 @@
 		"listen", n.Addr(), "peerListen", n.PeerAddr(), "httpListen", n.HTTPAddr())
 
 	err := n.server.Run(ctx, n.ln)
-	n.cfg.Log.Info("draining", "instance", n.cfg.Instance, "callers", n.server.Sessions())
+	n.cfg.Log.Info("draining", "instance", n.cfg.Instance, "callers", n.server.SessionCount())
 	drainCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), n.cfg.DrainTimeout)
 	defer cancel()
 	drained := n.server.Drain(drainCtx)
@@ -226,7 +226,7 @@
 	}
 }
 
-// Entry implements cwfront.Services.
+// Entry implements cwfront.Proxy.
 func (n *Node) Entry(service string) (cwcatalogue.Entry, bool) {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
@@ -234,16 +234,16 @@
 	return e, ok
 }
 
-// Revision implements cwfront.Services.
+// Revision implements cwfront.Proxy.
 func (n *Node) Revision() uint64 { return n.revision.Load() }
 
-// Ready implements cwfront.Services. A node is ready once it has the highest
+// Ready implements cwfront.Proxy. A node is ready once it has the highest
 // revision of the table and the partners that answer; a proxy that started
 // while the table was away must not serve by a catalogue that others have left
 // behind.
 func (n *Node) Ready() bool { return n.synced.Load() && n.revision.Load() > 0 }
 
-// Group implements cwfront.Services.
+// Group implements cwfront.Proxy.
 func (n *Node) Group(name string) (*cwwatch.Group, bool) {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
@@ -254,7 +254,7 @@
 	return g.Group, true
 }
 
-// Pool implements cwfront.Services.
+// Pool implements cwfront.Proxy.
 func (n *Node) Pool(id cwgroup.MemberID) (*cwpool.Pool, bool) {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
--- a/internal/proxy/cwnode/peers.go
+++ b/internal/proxy/cwnode/peers.go
@@ -152,7 +152,7 @@
 }
 
 // Cancel implements cwpeer.Handler.
-func (n *Node) Cancel(pid uint32, secret []byte) { n.server.CancelLocal(pid, secret) }
+func (n *Node) Cancel(pid uint32, secret []byte) { n.server.CancelSession(pid, secret) }
 
 // Admits implements cwpeer.Handler: only instances that the platform lists may
 // speak to this proxy. Before the first list everybody may, so that proxies
@@ -166,13 +166,13 @@
 	return slices.ContainsFunc(n.instances, func(i cwplatform.Instance) bool { return i.ID == string(id) })
 }
 
-// ForwardCancel implements cwfront.Services. The other proxy need not be a
+// ForwardCancel implements cwfront.Proxy. The other proxy need not be a
 // partner; it is called over a connection of its own.
 func (n *Node) ForwardCancel(pid uint32, secret []byte) {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
 	for _, i := range n.instances {
-		if i.ID == n.cfg.Instance || i.Peer == "" || cwfront.TagOf(i.ID) != cwfront.TagOfPID(pid) {
+		if i.ID == n.cfg.Instance || i.Peer == "" || cwfront.InstanceTag(i.ID) != cwfront.ProcessIDTag(pid) {
 			continue
 		}
 		go n.runCancel(&cwpeer.Partner{Self: n.instanceID(), Address: i.Peer}, pid, secret)
--- a/internal/proxy/cwnode/status.go
+++ b/internal/proxy/cwnode/status.go
@@ -59,7 +59,7 @@
 }
 
 func (n *Node) registerGauges() {
-	n.set.NewGauge("cicadawalk_callers", func() float64 { return float64(n.server.Sessions()) })
+	n.set.NewGauge("cicadawalk_callers", func() float64 { return float64(n.server.SessionCount()) })
 	n.set.NewGauge("cicadawalk_catalogue_revision", func() float64 { return float64(n.revision.Load()) })
 }
 
@@ -96,7 +96,7 @@
 		DataCentre: n.cfg.DataCentre,
 		Ready:      n.Ready(),
 		Revision:   n.revision.Load(),
-		Callers:    n.server.Sessions(),
+		Callers:    n.server.SessionCount(),
 		Groups:     []GroupBody{},
 		Targets:    []TargetBody{},
 	}
