--- a/internal/core/cwcatalogue/catalogue.go
+++ b/internal/core/cwcatalogue/catalogue.go
@@ -29,29 +29,29 @@
 
 // Service classes.
 const (
-	// ClassReads prefers replicas for reads: a read may wait until a replica
+	// ClassReplicaReads prefers replicas for reads: a read may wait until a replica
 	// has caught up.
-	ClassReads Class = "replicaReads"
-	// ClassWrites prefers low latency: a read goes to the primary at once
+	ClassReplicaReads Class = "replicaReads"
+	// ClassFastWrites prefers low latency: a read goes to the primary at once
 	// instead of waiting for a replica.
-	ClassWrites Class = "fastWrites"
+	ClassFastWrites Class = "fastWrites"
 )
 
-// ReadRule is the read consistency of an entry: which data a read may see.
-type ReadRule string
+// ReadConsistency is the read consistency of an entry: which data a read may see.
+type ReadConsistency string
 
 // Read consistency levels.
 const (
 	// ReadByCaller leaves the choice to the caller's session settings.
-	ReadByCaller ReadRule = ""
-	// ReadNewest requires a read to see every write that was acknowledged
+	ReadByCaller ReadConsistency = ""
+	// ReadLatest requires a read to see every write that was acknowledged
 	// before the read.
-	ReadNewest ReadRule = "newest"
-	// ReadAged allows data that is stale by at most the contract's MaxAge.
-	ReadAged ReadRule = "aged"
-	// ReadOwnWrites allows data that is stale by at most the contract's MaxAge
+	ReadLatest ReadConsistency = "newest"
+	// ReadBoundedStaleness allows data that is stale by at most the contract's MaxAge.
+	ReadBoundedStaleness ReadConsistency = "aged"
+	// ReadYourWrites allows data that is stale by at most the contract's MaxAge
 	// and contains the session's own writes.
-	ReadOwnWrites ReadRule = "ownWrites"
+	ReadYourWrites ReadConsistency = "ownWrites"
 )
 
 // DataCentre is a failure domain: the network can cut it off from the other
@@ -127,9 +127,9 @@
 	// unavailable. It requires ChecksTerm.
 	FailoverWithoutTable bool
 	// Reads is the consistency level of reads.
-	Reads ReadRule
-	// MaxAge is the maximum staleness of data under ReadAged and
-	// ReadOwnWrites.
+	Reads ReadConsistency
+	// MaxAge is the maximum staleness of data under ReadBoundedStaleness and
+	// ReadYourWrites.
 	MaxAge time.Duration
 	// Aim is the latency objective for a whole operation; zero if there is
 	// none.
@@ -174,12 +174,12 @@
 	return names
 }
 
-// Stop is a planned stop of a target. Until it is withdrawn, the target gets
+// PlannedStop is a planned stop of a target. Until it is withdrawn, the target gets
 // no new work.
-type Stop struct {
+type PlannedStop struct {
 	Target cwgroup.MemberID
-	// By is the operator who planned the stop; Note is the reason.
-	By, Note string
+	// PlannedBy is the operator who planned the stop; Note is the reason.
+	PlannedBy, Note string
 	// PlannedAt is when the stop was planned, not when it takes place.
 	PlannedAt time.Time
 }
@@ -191,14 +191,14 @@
 	DataCentres []DataCentre
 	Links       []Link
 	Entries     []Entry
-	// Table replaces Entries in catalogues that can have tens of thousands of
+	// EntryTable replaces Entries in catalogues that can have tens of thousands of
 	// entries; nil in others.
-	Table *Table
-	Stops []Stop
-	// Keyed is true if callers must present a key, which identifies their
+	EntryTable   *EntryTable
+	PlannedStops []PlannedStop
+	// KeyRequired is true if callers must present a key, which identifies their
 	// workspace, except for public entries.
-	Keyed      bool
-	Workspaces []Workspace
+	KeyRequired bool
+	Workspaces  []Workspace
 }
 
 // Entry returns the entry of the service, or false if Entries has none. It
@@ -211,9 +211,9 @@
 	return c.Entries[i], true
 }
 
-// Stopping reports whether the catalogue has a planned stop of the target.
-func (c Catalogue) Stopping(id cwgroup.MemberID) bool {
-	return slices.ContainsFunc(c.Stops, func(s Stop) bool { return s.Target == id })
+// HasPlannedStop reports whether the catalogue has a planned stop of the target.
+func (c Catalogue) HasPlannedStop(id cwgroup.MemberID) bool {
+	return slices.ContainsFunc(c.PlannedStops, func(s PlannedStop) bool { return s.Target == id })
 }
 
 // HasTarget reports whether any group in Entries has the target.
@@ -228,9 +228,9 @@
 	return false
 }
 
-// Distance returns the one-way delay between two data centres, zero within one,
-// and FarAway if the catalogue has no link between them.
-func (c Catalogue) Distance(a, b string) time.Duration {
+// LinkDelay returns the one-way delay between two data centres, zero within one,
+// and MaxLinkDelay if the catalogue has no link between them.
+func (c Catalogue) LinkDelay(a, b string) time.Duration {
 	if a == b {
 		return 0
 	}
@@ -239,12 +239,12 @@
 			return l.Delay
 		}
 	}
-	return FarAway
+	return MaxLinkDelay
 }
 
-// FarAway is the one-way delay assumed between data centres without a link,
+// MaxLinkDelay is the one-way delay assumed between data centres without a link,
 // and the longest delay that a link may have.
-const FarAway = time.Second
+const MaxLinkDelay = time.Second
 
 // WithRevision returns a copy with the revision.
 func (c Catalogue) WithRevision(r Revision) Catalogue {
@@ -260,19 +260,19 @@
 	return c
 }
 
-// WithStop returns a copy with the planned stop. If the target already has a
+// WithPlannedStop returns a copy with the planned stop. If the target already has a
 // planned stop, that one is kept unchanged.
-func (c Catalogue) WithStop(s Stop) Catalogue {
-	if c.Stopping(s.Target) {
+func (c Catalogue) WithPlannedStop(s PlannedStop) Catalogue {
+	if c.HasPlannedStop(s.Target) {
 		return c
 	}
-	c.Stops = append(slices.Clone(c.Stops), s)
+	c.PlannedStops = append(slices.Clone(c.PlannedStops), s)
 	return c
 }
 
-// WithoutStop returns a copy without the planned stop of the target.
-func (c Catalogue) WithoutStop(id cwgroup.MemberID) Catalogue {
-	c.Stops = slices.DeleteFunc(slices.Clone(c.Stops), func(s Stop) bool { return s.Target == id })
+// WithoutPlannedStop returns a copy without the planned stop of the target.
+func (c Catalogue) WithoutPlannedStop(id cwgroup.MemberID) Catalogue {
+	c.PlannedStops = slices.DeleteFunc(slices.Clone(c.PlannedStops), func(s PlannedStop) bool { return s.Target == id })
 	return c
 }
 
--- a/internal/core/cwcatalogue/catalogue_test.go
+++ b/internal/core/cwcatalogue/catalogue_test.go
@@ -19,7 +19,7 @@
 		Entries: []Entry{{
 			Service: "hire-ledger", Owner: "Margalla",
 			Contract: Contract{
-				Class: ClassWrites, Connections: 35, Slots: 3, QueueLimit: 10,
+				Class: ClassFastWrites, Connections: 35, Slots: 3, QueueLimit: 10,
 				StatementTimeout: time.Second, AckTimeout: time.Second, ChecksTerm: true,
 			},
 			Groups: []Group{{Name: "hire-1", Targets: []Target{
@@ -30,7 +30,7 @@
 	}
 }
 
-func invalidPaths(faults []Fault) string {
+func invalidPaths(faults []InvalidField) string {
 	var out []string
 	for _, f := range faults {
 		out = append(out, f.Path)
@@ -39,7 +39,7 @@
 }
 
 func TestAllInvalidFieldsAreReported(t *testing.T) {
-	qt.Assert(t, Check(validCatalogue()), qt.HasLen, 0)
+	qt.Assert(t, Validate(validCatalogue()), qt.HasLen, 0)
 	c := validCatalogue()
 	e := &c.Entries[0]
 	e.Owner = ""
@@ -49,8 +49,8 @@
 	e.Groups[0].Targets[0].DataCentre = "nowhere"
 	e.Groups[0].Targets[1].ID = "hire-1-1"
 	e.Groups[0].Targets[1].Address = "localhost"
-	c.Stops = []Stop{{Target: "absent"}}
-	qt.Assert(t, invalidPaths(Check(c)), qt.Equals, "entries[0].owner entries[0].contract.class "+
+	c.PlannedStops = []PlannedStop{{Target: "absent"}}
+	qt.Assert(t, invalidPaths(Validate(c)), qt.Equals, "entries[0].owner entries[0].contract.class "+
 		"entries[0].contract.connections entries[0].contract.slots entries[0].contract.failoverWithoutTable "+
 		"entries[0].groups[0].targets[0].dataCentre entries[0].groups[0].targets[1].id "+
 		"entries[0].groups[0].targets[1].address stops[0].target")
@@ -61,7 +61,7 @@
 	qt.Assert(t, Diff(a, b), qt.HasLen, 0)
 	b.Entries[0].Contract.Connections = 20
 	b.Entries[0].Groups[0].Targets = b.Entries[0].Groups[0].Targets[:1]
-	b = b.WithStop(Stop{Target: "hire-1-1"})
+	b = b.WithPlannedStop(PlannedStop{Target: "hire-1-1"})
 	text := fmt.Sprint(Diff(a, b))
 	for _, want := range []string{"contract changes", "refused sooner", "hire-1-2 leaves group", "is interrupted", "left in peace"} {
 		qt.Assert(t, text, qt.Contains, want)
@@ -76,11 +76,11 @@
 }
 
 func TestPlannedStops(t *testing.T) {
-	c := validCatalogue().WithStop(Stop{Target: "hire-1-1", By: "ana"})
-	again := c.WithStop(Stop{Target: "hire-1-1", By: "jorge"})
-	qt.Assert(t, again.Stops, qt.HasLen, 1)
-	qt.Assert(t, again.Stops[0].By, qt.Equals, "ana")
-	qt.Assert(t, again.WithoutStop("hire-1-1").Stopping(cwgroup.MemberID("hire-1-1")), qt.IsFalse)
-	qt.Assert(t, c.Distance("isb-a", "isb-b"), qt.Equals, time.Millisecond)
-	qt.Assert(t, c.Distance("isb-a", "elsewhere"), qt.Equals, FarAway)
+	c := validCatalogue().WithPlannedStop(PlannedStop{Target: "hire-1-1", PlannedBy: "ana"})
+	again := c.WithPlannedStop(PlannedStop{Target: "hire-1-1", PlannedBy: "jorge"})
+	qt.Assert(t, again.PlannedStops, qt.HasLen, 1)
+	qt.Assert(t, again.PlannedStops[0].PlannedBy, qt.Equals, "ana")
+	qt.Assert(t, again.WithoutPlannedStop("hire-1-1").HasPlannedStop(cwgroup.MemberID("hire-1-1")), qt.IsFalse)
+	qt.Assert(t, c.LinkDelay("isb-a", "isb-b"), qt.Equals, time.Millisecond)
+	qt.Assert(t, c.LinkDelay("isb-a", "elsewhere"), qt.Equals, MaxLinkDelay)
 }
--- a/internal/core/cwcatalogue/check.go
+++ b/internal/core/cwcatalogue/check.go
@@ -23,8 +23,8 @@
 	MaxReadWait         = 5 * time.Second
 )
 
-// Fault is one invalid field of a catalogue.
-type Fault struct {
+// InvalidField is one invalid field of a catalogue.
+type InvalidField struct {
 	// Path locates the field, as in entries[0].groups[1].targets[2].address.
 	Path string
 	// Value is the invalid value.
@@ -34,7 +34,7 @@
 }
 
 // String formats the fault as a message for an operator.
-func (f Fault) String() string {
+func (f InvalidField) String() string {
 	return fmt.Sprintf("%s: %q is not allowed; %s", f.Path, f.Value, f.Allowed)
 }
 
@@ -42,16 +42,16 @@
 // must be unique to the path of the field that has it.
 type checker struct {
 	catalogue    Catalogue
-	faults       []Fault
+	faults       []InvalidField
 	targetPaths  map[cwgroup.MemberID]string
 	addressPaths map[string]string
 	groupPaths   map[string]string
 }
 
-// Check returns every invalid field of the catalogue: first data centres and
+// Validate returns every invalid field of the catalogue: first data centres and
 // links, then entries, then planned stops, each in their order. The result is
 // empty if the catalogue is valid. Entries of Table are not checked.
-func Check(c Catalogue) []Fault {
+func Validate(c Catalogue) []InvalidField {
 	k := &checker{
 		catalogue:    c,
 		targetPaths:  make(map[cwgroup.MemberID]string),
@@ -69,7 +69,7 @@
 		k.checkContract(path+".contract", e.Contract)
 		k.checkGroups(path, e)
 	}
-	for i, s := range c.Stops {
+	for i, s := range c.PlannedStops {
 		path := fmt.Sprintf("stops[%d].target", i)
 		k.require(c.HasTarget(s.Target), path, string(s.Target), "the id of a target of some entry")
 	}
@@ -79,7 +79,7 @@
 // require records a fault if ok is false.
 func (k *checker) require(ok bool, path, value, allowed string) {
 	if !ok {
-		k.faults = append(k.faults, Fault{Path: path, Value: value, Allowed: allowed})
+		k.faults = append(k.faults, InvalidField{Path: path, Value: value, Allowed: allowed})
 	}
 }
 
@@ -113,7 +113,7 @@
 		path := fmt.Sprintf("links[%d]", i)
 		k.checkDataCentre(path+".a", l.A)
 		k.checkDataCentre(path+".b", l.B)
-		k.checkDuration(path+".delayMs", l.Delay, 0, FarAway)
+		k.checkDuration(path+".delayMs", l.Delay, 0, MaxLinkDelay)
 	}
 }
 
@@ -124,7 +124,7 @@
 }
 
 func (k *checker) checkContract(path string, c Contract) {
-	k.require(c.Class == ClassReads || c.Class == ClassWrites, path+".class", string(c.Class), "replicaReads or fastWrites")
+	k.require(c.Class == ClassReplicaReads || c.Class == ClassFastWrites, path+".class", string(c.Class), "replicaReads or fastWrites")
 	k.checkRange(path+".connections", c.Connections, MinConnections, MaxConnections)
 	k.checkRange(path+".slots", c.Slots, 1, c.Connections)
 	k.checkRange(path+".queueLimit", c.QueueLimit, 0, 100000)
--- a/internal/core/cwcatalogue/diff.go
+++ b/internal/core/cwcatalogue/diff.go
@@ -11,8 +11,8 @@
 type Difference struct {
 	// Text says what changes. It is stored in the history of the catalogue.
 	Text string
-	// Traffic describes the effect on callers; it is empty if there is none.
-	Traffic string
+	// CallerImpact describes the effect on callers; it is empty if there is none.
+	CallerImpact string
 }
 
 // Diff returns the differences between catalogue a and its successor b. It
@@ -20,7 +20,7 @@
 func Diff(a, b Catalogue) []Difference {
 	var out []Difference
 	add := func(traffic, format string, args ...any) {
-		out = append(out, Difference{Text: fmt.Sprintf(format, args...), Traffic: traffic})
+		out = append(out, Difference{Text: fmt.Sprintf(format, args...), CallerImpact: traffic})
 	}
 	for _, e := range b.Entries {
 		if old, ok := a.Entry(e.Service); ok {
@@ -34,13 +34,13 @@
 			add("all callers of "+e.Service+" are refused", "service %s is removed", e.Service)
 		}
 	}
-	for _, s := range b.Stops {
-		if !a.Stopping(s.Target) {
+	for _, s := range b.PlannedStops {
+		if !a.HasPlannedStop(s.Target) {
 			add("", "database %s is to be left in peace: it gets no new work", s.Target)
 		}
 	}
-	for _, s := range a.Stops {
-		if !b.Stopping(s.Target) {
+	for _, s := range a.PlannedStops {
+		if !b.HasPlannedStop(s.Target) {
 			add("", "database %s takes work again", s.Target)
 		}
 	}
@@ -53,7 +53,7 @@
 func diffEntry(a, b Entry) []Difference {
 	var out []Difference
 	add := func(traffic, format string, args ...any) {
-		out = append(out, Difference{Text: b.Service + ": " + fmt.Sprintf(format, args...), Traffic: traffic})
+		out = append(out, Difference{Text: b.Service + ": " + fmt.Sprintf(format, args...), CallerImpact: traffic})
 	}
 	if a.Owner != b.Owner || a.Title != b.Title {
 		add("", "owner or title changes (owner %s, title %s)", b.Owner, b.Title)
@@ -92,16 +92,16 @@
 			out = append(out, Difference{Text: fmt.Sprintf("%s: database %s joins group %s", service, t.ID, b.Name)})
 		case old != t:
 			out = append(out, Difference{
-				Text:    fmt.Sprintf("%s: database %s moves from %s (%s) to %s (%s)", service, t.ID, old.Address, old.DataCentre, t.Address, t.DataCentre),
-				Traffic: "work in progress at " + string(t.ID) + " is interrupted",
+				Text:         fmt.Sprintf("%s: database %s moves from %s (%s) to %s (%s)", service, t.ID, old.Address, old.DataCentre, t.Address, t.DataCentre),
+				CallerImpact: "work in progress at " + string(t.ID) + " is interrupted",
 			})
 		}
 	}
 	for _, t := range a.Targets {
 		if _, ok := b.Target(t.ID); !ok {
 			out = append(out, Difference{
-				Text:    fmt.Sprintf("%s: database %s leaves group %s", service, t.ID, b.Name),
-				Traffic: "work in progress at " + string(t.ID) + " is interrupted; plan a stop of it first",
+				Text:         fmt.Sprintf("%s: database %s leaves group %s", service, t.ID, b.Name),
+				CallerImpact: "work in progress at " + string(t.ID) + " is interrupted; plan a stop of it first",
 			})
 		}
 	}
--- a/internal/core/cwcatalogue/table.go
+++ b/internal/core/cwcatalogue/table.go
@@ -1,11 +1,11 @@
 package cwcatalogue
 
-// Table holds the entries of a large catalogue by service name. Tens of
+// EntryTable holds the entries of a large catalogue by service name. Tens of
 // thousands of names share a few groups and contracts, so entries that differ
 // only in their name share one template: 20,000 entries take 1.0 MB instead of
-// 6.1 MB (BenchmarkTable). The zero value is an empty table. A nil *Table can
+// 6.1 MB (BenchmarkEntryTable). The zero value is an empty table. A nil *EntryTable can
 // be read, and has no entries.
-type Table struct {
+type EntryTable struct {
 	// templates are the distinct entries without their names.
 	templates []Entry
 	// templateIndex maps the key of a template to its index in templates.
@@ -23,10 +23,10 @@
 	public       bool
 }
 
-// TableOf returns a table of the entries. Each entry must have exactly one
+// NewEntryTable returns a table of the entries. Each entry must have exactly one
 // group.
-func TableOf(entries ...Entry) *Table {
-	t := &Table{}
+func NewEntryTable(entries ...Entry) *EntryTable {
+	t := &EntryTable{}
 	for _, e := range entries {
 		t.Add(e)
 	}
@@ -35,7 +35,7 @@
 
 // Add adds an entry or replaces the one with the same name. The entry must
 // have exactly one group.
-func (t *Table) Add(e Entry) {
+func (t *EntryTable) Add(e Entry) {
 	if t.templateOf == nil {
 		t.templateIndex, t.templateOf = make(map[templateKey]uint32), make(map[string]uint32)
 	}
@@ -53,7 +53,7 @@
 }
 
 // Entry returns the entry of the service, or false if there is none.
-func (t *Table) Entry(service string) (Entry, bool) {
+func (t *EntryTable) Entry(service string) (Entry, bool) {
 	if t == nil {
 		return Entry{}, false
 	}
@@ -65,17 +65,17 @@
 }
 
 // Len returns the number of entries.
-func (t *Table) Len() int {
+func (t *EntryTable) Len() int {
 	if t == nil {
 		return 0
 	}
 	return len(t.templateOf)
 }
 
-// Shapes returns the templates: entries without a name, one for each distinct
+// Templates returns the templates: entries without a name, one for each distinct
 // combination of contract, title, owner, group and access. Callers must not
 // change the slice.
-func (t *Table) Shapes() []Entry {
+func (t *EntryTable) Templates() []Entry {
 	if t == nil {
 		return nil
 	}
--- a/internal/core/cwcatalogue/table_test.go
+++ b/internal/core/cwcatalogue/table_test.go
@@ -15,7 +15,7 @@
 
 func TestTable(t *testing.T) {
 	a, b, c := namedEntry("a", "g", time.Second), namedEntry("b", "g", time.Second), namedEntry("c", "h", time.Minute)
-	table := TableOf(a, b, c)
+	table := NewEntryTable(a, b, c)
 	for _, want := range []Entry{a, b, c} {
 		got, ok := table.Entry(want.Service)
 		qt.Assert(t, ok, qt.IsTrue)
@@ -24,19 +24,19 @@
 	_, ok := table.Entry("")
 	qt.Assert(t, ok, qt.IsFalse)
 	qt.Assert(t, table.Len(), qt.Equals, 3)
-	qt.Assert(t, table.Shapes(), qt.HasLen, 2)
+	qt.Assert(t, table.Templates(), qt.HasLen, 2)
 	table.Add(namedEntry("a", "h", time.Minute))
 	got, _ := table.Entry("a")
 	qt.Assert(t, got.Groups[0].Name, qt.Equals, "h")
 	qt.Assert(t, table.Len(), qt.Equals, 3)
-	var none *Table
+	var none *EntryTable
 	_, ok = none.Entry("a")
-	qt.Assert(t, ok || none.Len() > 0 || none.Shapes() != nil, qt.IsFalse)
+	qt.Assert(t, ok || none.Len() > 0 || none.Templates() != nil, qt.IsFalse)
 }
 
-// BenchmarkTable reports the heap in bytes of 20,000 entries in 40 groups, as a
+// BenchmarkEntryTable reports the heap in bytes of 20,000 entries in 40 groups, as a
 // map of entries and as a Table.
-func BenchmarkTable(b *testing.B) {
+func BenchmarkEntryTable(b *testing.B) {
 	const entries, groups = 20_000, 40
 	for name, build := range map[string]func() any{
 		"one by one": func() any {
@@ -48,7 +48,7 @@
 			return all
 		},
 		"table": func() any {
-			t := &Table{}
+			t := &EntryTable{}
 			for i := range entries {
 				t.Add(namedEntry(strconv.Itoa(i), strconv.Itoa(i%groups), time.Second))
 			}
--- a/internal/core/cwcatalogue/workspace.go
+++ b/internal/core/cwcatalogue/workspace.go
@@ -41,10 +41,10 @@
 	Quota Quota
 }
 
-// QuotaRule is how accurately quotas are enforced: in any interval of length
+// QuotaTolerance is how accurately quotas are enforced: in any interval of length
 // Window, at most (rate*Window + burst) * (1 + Overage) + Slack operations of a
 // workspace run.
-type QuotaRule struct {
+type QuotaTolerance struct {
 	Window time.Duration
 	// Overage is a fraction, as in 0.1 for 10 %.
 	Overage float64
--- a/internal/core/cwquota/quota.go
+++ b/internal/core/cwquota/quota.go
@@ -42,7 +42,7 @@
 // BucketParamsFor returns the bucket parameters of each shard of a quota. Even if
 // every issuer is replaced once per window of the rule, all shards together issue
 // at most what the rule allows.
-func BucketParamsFor(q cwcatalogue.Quota, r cwcatalogue.QuotaRule, shards int) BucketParams {
+func BucketParamsFor(q cwcatalogue.Quota, r cwcatalogue.QuotaTolerance, shards int) BucketParams {
 	n := float64(max(1, shards))
 	return BucketParams{
 		Rate:    (1 + r.Overage) * q.Rate / n,
--- a/internal/core/cwquota/quota_test.go
+++ b/internal/core/cwquota/quota_test.go
@@ -12,7 +12,7 @@
 
 var (
 	start = time.Unix(1000, 0)
-	rule  = cwcatalogue.QuotaRule{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
+	rule  = cwcatalogue.QuotaTolerance{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
 )
 
 // allowed returns the number of operations that the rule allows in one window.
@@ -105,7 +105,7 @@
 		qt.Assert(t, float64(n) <= allowed(lower), qt.IsTrue, qt.Commentf("%d", n))
 	})
 	t.Run("quota with a rate of zero", func(t *testing.T) {
-		s := NewShard(BucketParamsFor(cwcatalogue.Quota{Burst: 1}, cwcatalogue.QuotaRule{Window: time.Second}, 1), start, true)
+		s := NewShard(BucketParamsFor(cwcatalogue.Quota{Burst: 1}, cwcatalogue.QuotaTolerance{Window: time.Second}, 1), start, true)
 		qt.Assert(t, drain(s, start), qt.Equals, 1)
 		_, wait := s.Take(start.Add(time.Hour))
 		qt.Assert(t, wait, qt.Equals, zeroRateWait)
--- a/internal/proxy/cwengine/access.go
+++ b/internal/proxy/cwengine/access.go
@@ -31,7 +31,7 @@
 
 func newAccessRules(c cwcatalogue.Catalogue) accessRules {
 	a := accessRules{
-		keysRequired:   c.Keyed,
+		keysRequired:   c.KeyRequired,
 		workspaceByKey: make(map[cwcatalogue.KeyDigest]string),
 		quotas:         make(map[string]cwcatalogue.Quota, len(c.Workspaces)),
 	}
--- a/internal/proxy/cwengine/access_test.go
+++ b/internal/proxy/cwengine/access_test.go
@@ -27,7 +27,7 @@
 }
 
 func newKeyedEnv(t *testing.T) *keyedEnv {
-	env := &keyedEnv{testEnv: newTestEnv(t, cwcatalogue.ReadNewest), revision: 1}
+	env := &keyedEnv{testEnv: newTestEnv(t, cwcatalogue.ReadLatest), revision: 1}
 	env.engine = env.engineWithConfig("front", env.configureKeys)
 	env.setKeys(map[string][]string{"north": {"n1", "n2"}, "south": {"s1"}})
 	env.waitForPrimary(env.engine)
@@ -47,7 +47,7 @@
 // setKeys puts a catalogue with workspaces and their keys in force.
 func (env *keyedEnv) setKeys(keys map[string][]string) {
 	env.revision++
-	c := cwcatalogue.Catalogue{Revision: env.revision, Entries: []cwcatalogue.Entry{env.entry}, Keyed: true}
+	c := cwcatalogue.Catalogue{Revision: env.revision, Entries: []cwcatalogue.Entry{env.entry}, KeyRequired: true}
 	for name, list := range keys {
 		w := cwcatalogue.Workspace{Name: name}
 		for _, k := range list {
@@ -232,7 +232,7 @@
 
 // Guards against a deadlock between a probe and a change of the list of targets.
 func TestProbeDoesNotDeadlockWithTargetChanges(t *testing.T) {
-	env := newTestEnv(t, cwcatalogue.ReadNewest)
+	env := newTestEnv(t, cwcatalogue.ReadLatest)
 	var mu sync.Mutex
 	e := env.engineWithConfig("x", func(cfg *Config) {
 		cfg.KeyRevocationBound = time.Hour
@@ -242,7 +242,7 @@
 			return env.clock.Now()
 		}
 	})
-	e.SetCatalogue(cwcatalogue.Catalogue{Revision: 2, Keyed: true, Entries: []cwcatalogue.Entry{env.entry}})
+	e.SetCatalogue(cwcatalogue.Catalogue{Revision: 2, KeyRequired: true, Entries: []cwcatalogue.Entry{env.entry}})
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
--- a/internal/proxy/cwengine/engine.go
+++ b/internal/proxy/cwengine/engine.go
@@ -103,7 +103,7 @@
 	era        uint64
 	eraKnown   bool
 	restoredAt time.Time
-	entries    *cwcatalogue.Table
+	entries    *cwcatalogue.EntryTable
 	access     accessRules
 	listings   targetList
 	// memberships has the number of members of each service's group. absentListings
@@ -192,14 +192,14 @@
 	if c.Revision <= e.revision {
 		return
 	}
-	e.cfg.Log.Info("catalogueInForce", "revision", c.Revision, "before", e.revision, "entries", len(c.Entries)+c.Table.Len())
+	e.cfg.Log.Info("catalogueInForce", "revision", c.Revision, "before", e.revision, "entries", len(c.Entries)+c.EntryTable.Len())
 	if e.revision == 0 {
 		close(e.catalogueLoaded)
 	}
 	e.revision = c.Revision
-	e.entries = c.Table
+	e.entries = c.EntryTable
 	if e.entries == nil {
-		e.entries = cwcatalogue.TableOf(c.Entries...)
+		e.entries = cwcatalogue.NewEntryTable(c.Entries...)
 	}
 	before := e.access
 	e.access = newAccessRules(c)
--- a/internal/proxy/cwengine/failover_test.go
+++ b/internal/proxy/cwengine/failover_test.go
@@ -40,7 +40,7 @@
 // writes. The replaced primary still accepts transactions. Only reads outside transactions
 // used to be checked against the current primary.
 func TestReplacedPrimaryServesNoReads(t *testing.T) {
-	for _, rule := range []cwcatalogue.ReadRule{cwcatalogue.ReadNewest, cwcatalogue.ReadAged, cwcatalogue.ReadOwnWrites} {
+	for _, rule := range []cwcatalogue.ReadConsistency{cwcatalogue.ReadLatest, cwcatalogue.ReadBoundedStaleness, cwcatalogue.ReadYourWrites} {
 		t.Run(string(rule), func(t *testing.T) {
 			env := newTestEnv(t, rule)
 			cut, whole := env.engine("x"), env.engine("y")
@@ -79,7 +79,7 @@
 // although other data centres could serve them. Their instance stayed ready and kept their
 // connections.
 func TestIsolatedInstanceClosesIdleSessions(t *testing.T) {
-	env := newTestEnv(t, cwcatalogue.ReadNewest)
+	env := newTestEnv(t, cwcatalogue.ReadLatest)
 	e := env.engine("x")
 	env.waitForPrimary(e)
 	s := env.session(e)
@@ -101,7 +101,7 @@
 // Guards against an instance that reports itself isolated when one replica of three is lost.
 // The majority is still reachable, and sending callers away would help none of them.
 func TestLostReplicaIsNotIsolation(t *testing.T) {
-	env := newTestEnv(t, cwcatalogue.ReadNewest)
+	env := newTestEnv(t, cwcatalogue.ReadLatest)
 	e := env.engine("x")
 	env.waitForPrimary(e)
 	s := env.session(e)
@@ -117,7 +117,7 @@
 // member; until that member leads, the others promoted again, one after the other, and the
 // holders acted in turns.
 func TestPrimaryIsReplacedOnce(t *testing.T) {
-	env := newTestEnv(t, cwcatalogue.ReadNewest)
+	env := newTestEnv(t, cwcatalogue.ReadLatest)
 	env.group.SetPromotionDelay(time.Second, env.clock)
 	var engines []*Engine
 	for _, name := range []string{"x", "y", "z"} {
@@ -141,7 +141,7 @@
 // for the whole time limit of the first statement before the primary was even suspected;
 // with a limit of 60 s, for a minute.
 func TestUnresponsivePrimaryIsSuspectedEarly(t *testing.T) {
-	env := newTestEnv(t, cwcatalogue.ReadNewest)
+	env := newTestEnv(t, cwcatalogue.ReadLatest)
 	env.entry.Contract.StatementTimeout = time.Minute
 	e := env.engine("x")
 	env.waitForPrimary(e)
@@ -159,7 +159,7 @@
 // newSessionBeforeLostPrimary returns a session on a group whose primary has just been cut
 // off.
 func newSessionBeforeLostPrimary(t *testing.T) (*testEnv, *testCaller) {
-	env := newTestEnv(t, cwcatalogue.ReadNewest)
+	env := newTestEnv(t, cwcatalogue.ReadLatest)
 	e := env.engine("x")
 	env.waitForPrimary(e)
 	s := env.session(e)
@@ -204,7 +204,7 @@
 // a statement had timed out. One unanswered statement, while nothing arrives from other data
 // centres, must be enough to report it, and two probes to close idle sessions.
 func TestSilentDataCentresAreDetectedEarly(t *testing.T) {
-	env := newTestEnv(t, cwcatalogue.ReadNewest)
+	env := newTestEnv(t, cwcatalogue.ReadLatest)
 	e := env.engine("x")
 	env.waitForPrimary(e)
 	s, resting := env.session(e), env.session(e)
--- a/internal/proxy/cwengine/fallback_test.go
+++ b/internal/proxy/cwengine/fallback_test.go
@@ -38,7 +38,7 @@
 
 // newFallbackSession returns a caller's session at an instance x that holds the group.
 // Another holder, y, is available to x as a fallback.
-func newFallbackSession(t *testing.T, rule cwcatalogue.ReadRule) (*testEnv, *fallbackCaller) {
+func newFallbackSession(t *testing.T, rule cwcatalogue.ReadConsistency) (*testEnv, *fallbackCaller) {
 	env := newTestEnv(t, rule)
 	y := &testHolder{name: "y", engine: env.engine("y")}
 	x := env.engineWithHolders("x", &fallbackHolders{self: "x", list: []*testHolder{y}})
@@ -96,7 +96,7 @@
 // refuses its callers for as long as that lasts, although another instance that it
 // knows reaches every member. Such an instance must forward statements to the other one.
 func TestInstanceForwardsWithoutPathToPrimary(t *testing.T) {
-	for _, rule := range []cwcatalogue.ReadRule{cwcatalogue.ReadNewest, cwcatalogue.ReadOwnWrites} {
+	for _, rule := range []cwcatalogue.ReadConsistency{cwcatalogue.ReadLatest, cwcatalogue.ReadYourWrites} {
 		t.Run(string(rule), func(t *testing.T) {
 			env, s := newFallbackSession(t, rule)
 			env.keepWriting(s.helper)
@@ -116,7 +116,7 @@
 // also closes its idle sessions; each step therefore has a session of its own. Callers
 // must be served until they have left.
 func TestIsolatedInstanceForwardsStatements(t *testing.T) {
-	env, s := newFallbackSession(t, cwcatalogue.ReadNewest)
+	env, s := newFallbackSession(t, cwcatalogue.ReadLatest)
 	e := s.engine
 	for _, member := range []string{"a", "b"} {
 		env.group.Cut("x", member, true)
@@ -137,7 +137,7 @@
 // instance reaches the primary but no other member, and knows it, so no member can
 // acknowledge the write.
 func TestWriteIsRefusedWithoutAMajority(t *testing.T) {
-	env := newTestEnv(t, cwcatalogue.ReadNewest)
+	env := newTestEnv(t, cwcatalogue.ReadLatest)
 	e := env.engine("x")
 	env.waitForPrimary(e)
 	g, _ := e.Group(testService)
--- a/internal/proxy/cwengine/groups.go
+++ b/internal/proxy/cwengine/groups.go
@@ -34,7 +34,7 @@
 func (e *Engine) updateGroups() {
 	previous := e.plans
 	e.plans = make(map[string]*groupPlan, len(previous))
-	for _, entry := range e.entries.Shapes() {
+	for _, entry := range e.entries.Templates() {
 		service := entry.Groups[0].Name
 		p := &groupPlan{contract: entry.Contract}
 		if old := previous[service]; old != nil {
--- a/internal/proxy/cwengine/groups_test.go
+++ b/internal/proxy/cwengine/groups_test.go
@@ -27,7 +27,7 @@
 // a caller uses it, and starts no others. A group that starts must know the claim that
 // was reported before.
 func TestGroupsStartOnFirstUse(t *testing.T) {
-	env := newTestEnv(t, cwcatalogue.ReadNewest)
+	env := newTestEnv(t, cwcatalogue.ReadLatest)
 	front := env.engineWithHolders("front", &forwardingHolders{})
 	c := cwcatalogue.Catalogue{Revision: 2, Entries: []cwcatalogue.Entry{env.entry}}
 	for i := range 2 * cwholder.ManyGroupsThreshold {
@@ -60,7 +60,7 @@
 // Guards against an instance that starts a group only to forward its statements. Callers
 // may use hundreds of groups that other instances hold.
 func TestForwardingStartsNoGroup(t *testing.T) {
-	env := newTestEnv(t, cwcatalogue.ReadNewest)
+	env := newTestEnv(t, cwcatalogue.ReadLatest)
 	h := &testHolder{name: "holder", engine: env.engine("holder")}
 	env.waitForPrimary(h.engine)
 	front := env.engineWithHolders("front", &forwardingHolders{list: []*testHolder{h}})
@@ -82,7 +82,7 @@
 
 // Guards against groups that are held on the basis of a demand that is not known yet.
 func TestNoGroupIsHeldBeforeItsDemandIsKnown(t *testing.T) {
-	env := newTestEnv(t, cwcatalogue.ReadNewest)
+	env := newTestEnv(t, cwcatalogue.ReadLatest)
 	env.listed = nil
 	h := &holdsAllGroups{}
 	front := env.engineWithHolders("front", h)
@@ -119,7 +119,7 @@
 // Guards against a change of one target that updates all of a thousand groups.
 func TestTargetChangeUpdatesOnlyItsGroup(t *testing.T) {
 	const groups = 1000
-	env := newTestEnv(t, cwcatalogue.ReadNewest)
+	env := newTestEnv(t, cwcatalogue.ReadLatest)
 	env.listed = nil
 	h := &countingHolders{}
 	front := env.engineWithHolders("front", h)
@@ -151,7 +151,7 @@
 
 // Guards against an instance that never stops a group of which it has run a statement.
 func TestIdleGroupIsStopped(t *testing.T) {
-	env := newTestEnv(t, cwcatalogue.ReadNewest)
+	env := newTestEnv(t, cwcatalogue.ReadLatest)
 	front := env.engineWithHolders("front", &forwardingHolders{})
 	c := cwcatalogue.Catalogue{Revision: 2, Entries: []cwcatalogue.Entry{env.entry}}
 	for i := range cwholder.ManyGroupsThreshold {
--- a/internal/proxy/cwengine/handover_test.go
+++ b/internal/proxy/cwengine/handover_test.go
@@ -62,7 +62,7 @@
 
 // newForwardingSession returns a caller's session at an instance that forwards every
 // statement to one holder, and that holder.
-func newForwardingSession(t *testing.T, rule cwcatalogue.ReadRule) (*testEnv, *testCaller, *testHolder) {
+func newForwardingSession(t *testing.T, rule cwcatalogue.ReadConsistency) (*testEnv, *testCaller, *testHolder) {
 	env := newTestEnv(t, rule)
 	h := &testHolder{name: "holder", engine: env.engine("holder")}
 	env.waitForPrimary(h.engine)
@@ -76,7 +76,7 @@
 
 func TestForwardedStatements(t *testing.T) {
 	t.Run("a session reads what it wrote", func(t *testing.T) {
-		env, s, _ := newForwardingSession(t, cwcatalogue.ReadOwnWrites)
+		env, s, _ := newForwardingSession(t, cwcatalogue.ReadYourWrites)
 		env.group.SetReceiveStopped("b", true)
 		for _, v := range []string{"1", "2", "3"} {
 			assertOK(env.c, s.ask(cwstatement.Write, "WRITE i "+v))
@@ -84,7 +84,7 @@
 		}
 	})
 	t.Run("a transaction", func(t *testing.T) {
-		env, s, h := newForwardingSession(t, cwcatalogue.ReadNewest)
+		env, s, h := newForwardingSession(t, cwcatalogue.ReadLatest)
 		assertOK(env.c, s.ask(cwstatement.Begin, "BEGIN"))
 		assertOK(env.c, s.ask(cwstatement.Write, "WRITE i 1"))
 		assertRead(env.c, s.ask(cwstatement.Read, "READ i"), "1")
@@ -94,7 +94,7 @@
 		env.c.Assert(h.engine.SessionCount(), qt.Equals, 0)
 	})
 	t.Run("a transaction that is rolled back", func(t *testing.T) {
-		env, s, h := newForwardingSession(t, cwcatalogue.ReadNewest)
+		env, s, h := newForwardingSession(t, cwcatalogue.ReadLatest)
 		assertOK(env.c, s.ask(cwstatement.Begin, "BEGIN"))
 		assertOK(env.c, s.ask(cwstatement.Write, "WRITE i 1"))
 		assertOK(env.c, s.ask(cwstatement.Rollback, "ROLLBACK"))
@@ -102,7 +102,7 @@
 		assertRead(env.c, s.ask(cwstatement.Read, "READ i"), "")
 	})
 	t.Run("settings and prepared statements", func(t *testing.T) {
-		env, s, _ := newForwardingSession(t, cwcatalogue.ReadNewest)
+		env, s, _ := newForwardingSession(t, cwcatalogue.ReadLatest)
 		assertOK(env.c, s.send(cwstatement.Statement{Verb: cwstatement.Set, Name: "lang", Args: "es"}))
 		assertOK(env.c, s.send(cwstatement.Statement{Verb: cwstatement.Prepare, Name: "p", Args: "q1", Writes: true}))
 		assertOK(env.c, s.send(execute("e1", "p", "i 1")))
@@ -121,7 +121,7 @@
 		env.c.Assert(env.group.Value("i"), qt.Equals, "2")
 	})
 	t.Run("an unknown prepared statement ends the transaction", func(t *testing.T) {
-		env, s, h := newForwardingSession(t, cwcatalogue.ReadNewest)
+		env, s, h := newForwardingSession(t, cwcatalogue.ReadLatest)
 		assertOK(env.c, s.ask(cwstatement.Begin, "BEGIN"))
 		assertOK(env.c, s.ask(cwstatement.Write, "WRITE i 1"))
 		a := s.send(execute("e", "none", "i"))
@@ -136,7 +136,7 @@
 // Guards against a write that runs twice: it ran at the holder, and the holder failed
 // before it answered. The caller must be told that the outcome is unknown.
 func TestForwardedWriteIsNotRetried(t *testing.T) {
-	env, s, h := newForwardingSession(t, cwcatalogue.ReadNewest)
+	env, s, h := newForwardingSession(t, cwcatalogue.ReadLatest)
 	h.startDroppingAnswers()
 	a := s.ask(cwstatement.Write, "WRITE i 1")
 	env.c.Assert(a.Code, qt.Equals, cwstatement.Unresolved)
@@ -147,7 +147,7 @@
 // kept, and the caller may retry it at once; after that, the outcome is unknown.
 func TestLostAnswerOfForwardedTransaction(t *testing.T) {
 	t.Run("before the commit", func(t *testing.T) {
-		env, s, h := newForwardingSession(t, cwcatalogue.ReadNewest)
+		env, s, h := newForwardingSession(t, cwcatalogue.ReadLatest)
 		assertOK(env.c, s.ask(cwstatement.Begin, "BEGIN"))
 		assertOK(env.c, s.ask(cwstatement.Write, "WRITE i 1"))
 		h.startDroppingAnswers()
@@ -157,7 +157,7 @@
 		env.c.Assert(env.group.Value("i"), qt.Equals, "")
 	})
 	t.Run("at the commit", func(t *testing.T) {
-		env, s, h := newForwardingSession(t, cwcatalogue.ReadNewest)
+		env, s, h := newForwardingSession(t, cwcatalogue.ReadLatest)
 		assertOK(env.c, s.ask(cwstatement.Begin, "BEGIN"))
 		assertOK(env.c, s.ask(cwstatement.Write, "WRITE i 1"))
 		h.startDroppingAnswers()
@@ -170,7 +170,7 @@
 // down, or cut off from the targets, although other holders can serve them.
 func TestAnotherHolderTakesOver(t *testing.T) {
 	serve := func(t *testing.T, disrupt func(env *testEnv, first *Engine)) {
-		env := newTestEnv(t, cwcatalogue.ReadNewest)
+		env := newTestEnv(t, cwcatalogue.ReadLatest)
 		first := &testHolder{name: "first", engine: env.engine("first")}
 		second := &testHolder{name: "second", engine: env.engine("second")}
 		env.waitForPrimary(first.engine)
@@ -194,7 +194,7 @@
 		})
 	})
 	t.Run("nobody else holds the group", func(t *testing.T) {
-		env, s, h := newForwardingSession(t, cwcatalogue.ReadNewest)
+		env, s, h := newForwardingSession(t, cwcatalogue.ReadLatest)
 		go h.engine.Drain()
 		env.eventually("a write is served here", func() bool { return s.ask(cwstatement.Write, "WRITE i 2").Code == cwstatement.OK })
 	})
@@ -203,7 +203,7 @@
 // Guards against a forwarded transaction that holds its connection to the target for good
 // after the caller's instance has lost power, which nothing reports.
 func TestIdleForwardedTransactionIsRolledBack(t *testing.T) {
-	env := newTestEnv(t, cwcatalogue.ReadNewest)
+	env := newTestEnv(t, cwcatalogue.ReadLatest)
 	env.entry.Contract.IdleTransaction = time.Second
 	h := &testHolder{name: "holder", engine: env.engine("holder")}
 	env.waitForPrimary(h.engine)
@@ -233,7 +233,7 @@
 // Checks that a forwarded transaction is rolled back when the connection of the caller's
 // instance ends.
 func TestForwardedTransactionEndsWithItsConnection(t *testing.T) {
-	env, s, h := newForwardingSession(t, cwcatalogue.ReadNewest)
+	env, s, h := newForwardingSession(t, cwcatalogue.ReadLatest)
 	assertOK(env.c, s.ask(cwstatement.Begin, "BEGIN"))
 	assertOK(env.c, s.ask(cwstatement.Write, "WRITE i 1"))
 	h.engine.Left(h)
@@ -248,7 +248,7 @@
 // themselves, so they counted none as lost and refused callers for as long as the cut
 // lasted.
 func TestIsolationBehindHolders(t *testing.T) {
-	env := newTestEnv(t, cwcatalogue.ReadNewest)
+	env := newTestEnv(t, cwcatalogue.ReadLatest)
 	h := &testHolder{name: "holder", engine: env.engine("holder")}
 	env.waitForPrimary(h.engine)
 	front := env.engineWithHolders("front", &forwardingHolders{list: []*testHolder{h}})
@@ -269,7 +269,7 @@
 // instance contacted the third member, whose loss alone shows that a majority is
 // unreachable.
 func TestIsolationWithThePrimary(t *testing.T) {
-	env := newTestEnv(t, cwcatalogue.ReadNewest)
+	env := newTestEnv(t, cwcatalogue.ReadLatest)
 	front := env.engine("front")
 	for _, id := range []string{"b", "c"} {
 		env.group.Cut("front", id, true)
@@ -285,7 +285,7 @@
 // detects it after a second. An instance that forwards statements to it had to detect it
 // by itself, on paths where nothing is refused or answered, and reported it seconds later.
 func TestIsolationIsLearnedFromTheHolder(t *testing.T) {
-	env := newTestEnv(t, cwcatalogue.ReadNewest)
+	env := newTestEnv(t, cwcatalogue.ReadLatest)
 	h := &testHolder{name: "holder", engine: env.engine("holder")}
 	env.waitForPrimary(h.engine)
 	front := env.engineWithHolders("front", &forwardingHolders{list: []*testHolder{h}})
--- a/internal/proxy/cwengine/harness_test.go
+++ b/internal/proxy/cwengine/harness_test.go
@@ -43,7 +43,7 @@
 	testDatabase = "bookings"
 )
 
-func newTestEnv(t *testing.T, rule cwcatalogue.ReadRule) *testEnv {
+func newTestEnv(t *testing.T, rule cwcatalogue.ReadConsistency) *testEnv {
 	c := qt.New(t)
 	env := &testEnv{
 		c: c, clock: clockwork.NewFakeClockAt(time.Unix(1000, 0)),
--- a/internal/proxy/cwengine/members_test.go
+++ b/internal/proxy/cwengine/members_test.go
@@ -78,7 +78,7 @@
 // Guards against commits at a replaced primary that are confirmed by a member which lost
 // its fence in a restart.
 func TestRowShowsReplacedPrimary(t *testing.T) {
-	env := newTestEnv(t, cwcatalogue.ReadNewest)
+	env := newTestEnv(t, cwcatalogue.ReadLatest)
 	x, y := env.engine("x"), env.engine("y")
 	env.waitForPrimary(x)
 	env.group.Cut("x", "b", true)
@@ -104,7 +104,7 @@
 // Guards against an instance that starts while one member is listed and takes it for the
 // whole group.
 func TestRowHasGroupSize(t *testing.T) {
-	env := newTestEnv(t, cwcatalogue.ReadNewest)
+	env := newTestEnv(t, cwcatalogue.ReadLatest)
 	replacePrimaryBehindPartition(env, env.engine("y"))
 	env.table.mu.Lock()
 	env.table.unavailable = true
@@ -129,7 +129,7 @@
 		leads    bool
 	}{{"somebody knows of more members", 3, false}, {"nobody knows of any", 0, true}} {
 		t.Run(tc.name, func(t *testing.T) {
-			env := newTestEnv(t, cwcatalogue.ReadNewest)
+			env := newTestEnv(t, cwcatalogue.ReadLatest)
 			env.listed = []string{"a"}
 			var recorded atomic.Int64
 			e := env.engineWithConfig("x", func(cfg *Config) {
@@ -149,7 +149,7 @@
 
 // Guards against a majority of four members after a new member has replaced one of three.
 func TestNewMemberReplacesLapsedMember(t *testing.T) {
-	env := newTestEnv(t, cwcatalogue.ReadNewest)
+	env := newTestEnv(t, cwcatalogue.ReadLatest)
 	e := env.engine("x")
 	listing := func(id string, lapsed bool) cwport.Listing {
 		return cwport.Listing{ID: memberID(id), Service: testService, Address: id, DataCentre: "dc-" + id, Slots: 3, Lapsed: lapsed}
--- a/internal/proxy/cwengine/outcome_test.go
+++ b/internal/proxy/cwengine/outcome_test.go
@@ -12,7 +12,7 @@
 
 // newSettledSession returns a session at an engine that knows its primary.
 func newSettledSession(t *testing.T) (*testEnv, *testCaller) {
-	env := newTestEnv(t, cwcatalogue.ReadNewest)
+	env := newTestEnv(t, cwcatalogue.ReadLatest)
 	e := env.engine("x")
 	env.waitForPrimary(e)
 	return env, env.session(e)
@@ -74,7 +74,7 @@
 // Guards against sessions that see each other's state on shared connections. Two callers
 // use the same name for different prepared statements, and have different settings.
 func TestSessionsOnSharedConnections(t *testing.T) {
-	env := newTestEnv(t, cwcatalogue.ReadNewest)
+	env := newTestEnv(t, cwcatalogue.ReadLatest)
 	env.group.LimitConnections("a", 2)
 	e := env.engine("x")
 	env.waitForPrimary(e)
--- a/internal/proxy/cwengine/probe_load_test.go
+++ b/internal/proxy/cwengine/probe_load_test.go
@@ -18,7 +18,7 @@
 // Before answers to ordinary statements counted as confirmations, a group received 13
 // status requests a second and two more for each commit.
 func TestStatusRequestsUnderTraffic(t *testing.T) {
-	env := newTestEnv(t, cwcatalogue.ReadOwnWrites)
+	env := newTestEnv(t, cwcatalogue.ReadYourWrites)
 	e := env.engine("x")
 	env.waitForPrimary(e)
 	s := env.session(e)
@@ -39,7 +39,7 @@
 // connections. It had as many connections as it accepts, and refused the new one with
 // which it was probed.
 func TestFullTargetIsNotLost(t *testing.T) {
-	env := newTestEnv(t, cwcatalogue.ReadNewest)
+	env := newTestEnv(t, cwcatalogue.ReadLatest)
 	e := env.engine("x")
 	env.waitForPrimary(e)
 	s := env.session(e)
--- a/internal/proxy/cwengine/quorum_test.go
+++ b/internal/proxy/cwengine/quorum_test.go
@@ -10,11 +10,11 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwstatement"
 )
 
-var readRules = []cwcatalogue.ReadRule{cwcatalogue.ReadNewest, cwcatalogue.ReadAged, cwcatalogue.ReadOwnWrites}
+var readRules = []cwcatalogue.ReadConsistency{cwcatalogue.ReadLatest, cwcatalogue.ReadBoundedStaleness, cwcatalogue.ReadYourWrites}
 
 // newSessionWithoutStore returns a caller's session at an instance whose table is then made
 // unavailable. A primary that the test cuts off afterwards cannot be replaced.
-func newSessionWithoutStore(t *testing.T, rule cwcatalogue.ReadRule) (*testEnv, *Engine, *testCaller) {
+func newSessionWithoutStore(t *testing.T, rule cwcatalogue.ReadConsistency) (*testEnv, *Engine, *testCaller) {
 	env := newTestEnv(t, rule)
 	e := env.engine("x")
 	env.waitForPrimary(e)
@@ -65,7 +65,7 @@
 // Checks that a read is refused at once when the primary and the replica with the newest write
 // are lost together. Whether the last member has every write cannot be known.
 func TestReadWithoutAQuorumIsRefused(t *testing.T) {
-	env, e, s := newSessionWithoutStore(t, cwcatalogue.ReadNewest)
+	env, e, s := newSessionWithoutStore(t, cwcatalogue.ReadLatest)
 	env.group.SetReceiveStopped("b", true)
 	assertOK(env.c, s.ask(cwstatement.Write, "WRITE i 2"))
 	env.group.Cut("x", "a", true)
--- a/internal/proxy/cwengine/run.go
+++ b/internal/proxy/cwengine/run.go
@@ -261,7 +261,7 @@
 	switch {
 	case writes:
 		return requirePrimary
-	case t.entry.Contract.Reads == cwcatalogue.ReadNewest:
+	case t.entry.Contract.Reads == cwcatalogue.ReadLatest:
 		return requireNewest
 	}
 	return requireAged
--- a/internal/proxy/cwengine/session.go
+++ b/internal/proxy/cwengine/session.go
@@ -315,11 +315,11 @@
 
 // readRequirement returns how new the data must be that a read of the session sees.
 func (s *session) readRequirement(e cwcatalogue.Entry, began time.Time) cwlead.Read {
-	if e.Contract.Reads == cwcatalogue.ReadNewest {
+	if e.Contract.Reads == cwcatalogue.ReadLatest {
 		return cwlead.Read{ArrivedAt: began}
 	}
 	rd := cwlead.Read{ArrivedAt: began, MaxAge: e.Contract.MaxAge}
-	if e.Contract.Reads == cwcatalogue.ReadOwnWrites {
+	if e.Contract.Reads == cwcatalogue.ReadYourWrites {
 		rd.LastWrite = s.lastWrites[e.Groups[0].Name]
 	}
 	return rd
--- a/internal/proxy/cwengine/start_test.go
+++ b/internal/proxy/cwengine/start_test.go
@@ -16,7 +16,7 @@
 // final.
 func TestCallersWaitForTheFirstCatalogue(t *testing.T) {
 	t.Run("it comes", func(t *testing.T) {
-		env := newTestEnv(t, cwcatalogue.ReadOwnWrites)
+		env := newTestEnv(t, cwcatalogue.ReadYourWrites)
 		e := New(Config{Clock: env.clock})
 		got := make(chan cwstatement.Response, 1)
 		go func() { got <- e.admit(cwport.Startup{Database: "no such database"}) }()
@@ -27,7 +27,7 @@
 		qt.Assert(t, a.Code, qt.Equals, cwstatement.NoDatabase)
 	})
 	t.Run("it does not come", func(t *testing.T) {
-		env := newTestEnv(t, cwcatalogue.ReadOwnWrites)
+		env := newTestEnv(t, cwcatalogue.ReadYourWrites)
 		e := New(Config{Clock: env.clock})
 		began := env.clock.Now()
 		a := e.admit(cwport.Startup{Database: testDatabase})
@@ -36,7 +36,7 @@
 		qt.Assert(t, env.clock.Since(began) < 2*time.Second, qt.IsTrue, qt.Commentf("callers give up after two seconds"))
 	})
 	t.Run("a session opens", func(t *testing.T) {
-		env := newTestEnv(t, cwcatalogue.ReadOwnWrites)
+		env := newTestEnv(t, cwcatalogue.ReadYourWrites)
 		e := env.engine("front-1")
 		env.waitForPrimary(e)
 		qt.Assert(t, e.admit(cwport.Startup{Database: testDatabase}).Code, qt.Equals, cwstatement.OK)
--- a/internal/proxy/cwinstance/fleet_test.go
+++ b/internal/proxy/cwinstance/fleet_test.go
@@ -104,7 +104,7 @@
 	for g := range f.groups {
 		c.Entries = append(c.Entries, cwcatalogue.Entry{
 			Service: fmt.Sprintf("books%04d", g), Groups: []cwcatalogue.Group{{Name: groupName(g)}},
-			Contract: cwcatalogue.Contract{Connections: 278, StatementTimeout: 800 * time.Millisecond, Aim: 150 * time.Millisecond, Reads: cwcatalogue.ReadNewest},
+			Contract: cwcatalogue.Contract{Connections: 278, StatementTimeout: 800 * time.Millisecond, Aim: 150 * time.Millisecond, Reads: cwcatalogue.ReadLatest},
 		})
 	}
 	return c
--- a/internal/proxy/cwinstance/instance.go
+++ b/internal/proxy/cwinstance/instance.go
@@ -73,7 +73,7 @@
 	// DataCentres is how many data centres there are, Quota how exactly quotas
 	// are kept, and FirstStart true if no instance was there before.
 	DataCentres int
-	Quota       cwcatalogue.QuotaRule
+	Quota       cwcatalogue.QuotaTolerance
 	FirstStart  bool
 }
 
--- a/internal/proxy/cwmeter/meter.go
+++ b/internal/proxy/cwmeter/meter.go
@@ -38,7 +38,7 @@
 // Meter implements cwport.Meter and cwport.QuotaTeller. Set the fields before
 // use.
 type Meter struct {
-	Rule  cwcatalogue.QuotaRule
+	Rule  cwcatalogue.QuotaTolerance
 	Peers cwport.QuotaIssuers
 	Clock clockwork.Clock
 	Log   *log.Logger
--- a/internal/proxy/cwmeter/meter_test.go
+++ b/internal/proxy/cwmeter/meter_test.go
@@ -44,7 +44,7 @@
 	f.asked = make(map[string]int)
 	clock := clockwork.NewFakeClock()
 	m := &Meter{
-		Rule:  cwcatalogue.QuotaRule{Window: 5 * time.Second, Overage: 0.1, Slack: 20},
+		Rule:  cwcatalogue.QuotaTolerance{Window: 5 * time.Second, Overage: 0.1, Slack: 20},
 		Peers: f, Clock: clock, Log: log.New(io.Discard), DataCentres: 1,
 		Quota: func(w string) (cwcatalogue.Quota, bool) {
 			return cwcatalogue.Quota{Rate: 100, Burst: 100}, w == workspace
--- a/internal/proxy/cwnode/catalogue.go
+++ b/internal/proxy/cwnode/catalogue.go
@@ -238,7 +238,7 @@
 func (n *Node) placeGroup(c cwcatalogue.Catalogue, e cwcatalogue.Entry, g cwcatalogue.Group) func() {
 	var stopping []cwgroup.MemberID
 	for _, t := range g.Targets {
-		if c.Stopping(t.ID) {
+		if c.HasPlannedStop(t.ID) {
 			stopping = append(stopping, t.ID)
 		}
 	}
@@ -276,7 +276,7 @@
 func (n *Node) distance(dc string) time.Duration {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
-	return n.catalogue.Distance(n.cfg.DataCentre, dc)
+	return n.catalogue.LinkDelay(n.cfg.DataCentre, dc)
 }
 
 // loopShares keeps this proxy's shares of the targets' connections.
@@ -319,7 +319,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for id, p := range n.pools {
-		stopping := n.catalogue.Stopping(id)
+		stopping := n.catalogue.HasPlannedStop(id)
 		if !stopping || p.drained {
 			p.drained = stopping && p.drained
 			continue
--- a/internal/proxy/cwnode/operator_test.go
+++ b/internal/proxy/cwnode/operator_test.go
@@ -104,10 +104,10 @@
 				for range 2 { // two operators plan the same stop
 					cat, err := b.store().Load(background)
 					c.Check(err, qt.IsNil)
-					if cat.Stopping(id) {
+					if cat.HasPlannedStop(id) {
 						continue
 					}
-					_, err = b.store().Apply(background, cat.WithStop(cwcatalogue.Stop{Target: id, By: "ana"}),
+					_, err = b.store().Apply(background, cat.WithPlannedStop(cwcatalogue.PlannedStop{Target: id, PlannedBy: "ana"}),
 						cwstore.Change{ID: fmt.Sprint(time.Now()), Who: "ana", At: time.Now()})
 					c.Check(err, qt.IsNil)
 				}
--- a/internal/proxy/cwnode/status.go
+++ b/internal/proxy/cwnode/status.go
@@ -120,7 +120,7 @@
 	b := TargetBody{
 		Target: string(id), Group: v.Name(), Role: r.Role.String(),
 		Reachable: r.Reachable && n.cfg.Clock.Since(r.At) <= cwroute.MaxReportAge,
-		Stopping:  n.catalogue.Stopping(id),
+		Stopping:  n.catalogue.HasPlannedStop(id),
 		Mark:      r.Durable.String(), Applied: r.Applied.String(),
 	}
 	if p, ok := n.pools[id]; ok {
@@ -140,7 +140,7 @@
 		if !ok || !r.Reachable || now.Sub(r.At) > cwroute.MaxReportAge {
 			away = append(away, string(id))
 		}
-		if n.catalogue.Stopping(id) {
+		if n.catalogue.HasPlannedStop(id) {
 			stopping = append(stopping, string(id))
 		}
 	}
--- a/internal/proxy/cwwatch/place.go
+++ b/internal/proxy/cwwatch/place.go
@@ -132,7 +132,7 @@
 // decideRead places a read by the policy of the group's contract. The caller holds mu.
 func (g *Group) decideRead(rd cwroute.Read, now time.Time) cwroute.Decision {
 	cands := g.candidates(rd, now)
-	if g.contract.Class == cwcatalogue.ClassReads && g.contract.ReadWait > 0 {
+	if g.contract.Class == cwcatalogue.ClassReplicaReads && g.contract.ReadWait > 0 {
 		r := cwroute.Router[cwroute.BoundedWait]{Policy: cwroute.BoundedWait{Bound: g.contract.ReadWait}}
 		return r.Route(g.sup.View(), cands, rd, now)
 	}
--- a/internal/tool/cwcommand/catalogue.go
+++ b/internal/tool/cwcommand/catalogue.go
@@ -212,8 +212,8 @@
 	for _, d := range diffs {
 		summary = append(summary, d.Text)
 		fmt.Fprintln(out, "-", d.Text)
-		if d.Traffic != "" {
-			fmt.Fprintln(out, "    callers may notice:", d.Traffic)
+		if d.CallerImpact != "" {
+			fmt.Fprintln(out, "    callers may notice:", d.CallerImpact)
 		}
 	}
 	if !confirmed {
--- a/internal/tool/cwcommand/soak.go
+++ b/internal/tool/cwcommand/soak.go
@@ -122,7 +122,7 @@
 func soakBounds() platform.StandinBounds {
 	return platform.StandinBounds{
 		DataCentres: cwsoak.DataCentres(), KeyBound: cwsoak.KeyRevocationBound,
-		Quota: cwcatalogue.QuotaRule{Window: cwsoak.QuotaWindow, Overage: cwsoak.QuotaOverage, Slack: cwsoak.QuotaSlack},
+		Quota: cwcatalogue.QuotaTolerance{Window: cwsoak.QuotaWindow, Overage: cwsoak.QuotaOverage, Slack: cwsoak.QuotaSlack},
 	}
 }
 
--- a/internal/tool/cwcommand/stop.go
+++ b/internal/tool/cwcommand/stop.go
@@ -16,10 +16,10 @@
 	cmd := &cobra.Command{Use: "stop", Short: "Plan the shutdown of databases"}
 	cmd.AddCommand(
 		stopChangeCommand("plan", "Send no more work to a database, so that it can be stopped", func(c cwcatalogue.Catalogue, id cwgroup.MemberID, o *platformFlags) cwcatalogue.Catalogue {
-			return c.WithStop(cwcatalogue.Stop{Target: id, By: o.author, Note: o.note, PlannedAt: time.Now().UTC()})
+			return c.WithPlannedStop(cwcatalogue.PlannedStop{Target: id, PlannedBy: o.author, Note: o.note, PlannedAt: time.Now().UTC()})
 		}),
 		stopChangeCommand("cancel", "Send work to a database again", func(c cwcatalogue.Catalogue, id cwgroup.MemberID, _ *platformFlags) cwcatalogue.Catalogue {
-			return c.WithoutStop(id)
+			return c.WithoutPlannedStop(id)
 		}),
 		stopListCommand(),
 	)
@@ -79,8 +79,8 @@
 		if err != nil {
 			return err
 		}
-		for _, s := range c.Stops {
-			fmt.Fprintf(cmd.OutOrStdout(), "%s  planned by %s at %s  %s\n", s.Target, s.By, s.PlannedAt.Format(time.RFC3339), s.Note)
+		for _, s := range c.PlannedStops {
+			fmt.Fprintf(cmd.OutOrStdout(), "%s  planned by %s at %s  %s\n", s.Target, s.PlannedBy, s.PlannedAt.Format(time.RFC3339), s.Note)
 		}
 		return nil
 	})
--- a/internal/tool/cwdemo/cluster.go
+++ b/internal/tool/cwdemo/cluster.go
@@ -63,7 +63,7 @@
 // DefaultContract returns the contract of the demo's catalogue entry.
 func DefaultContract() cwcatalogue.Contract {
 	return cwcatalogue.Contract{
-		Class:                cwcatalogue.ClassReads,
+		Class:                cwcatalogue.ClassReplicaReads,
 		Connections:          25,
 		Slots:                8,
 		QueueLimit:           256,
--- a/internal/tool/cwsoak/access.go
+++ b/internal/tool/cwsoak/access.go
@@ -29,7 +29,7 @@
 	// run with it.
 	KeyRevocationBound = 3 * time.Second
 	// QuotaWindow, QuotaOverage and QuotaSlack define how precisely quotas are
-	// enforced; see cwcatalogue.QuotaRule.
+	// enforced; see cwcatalogue.QuotaTolerance.
 	QuotaWindow  = 5 * time.Second
 	QuotaOverage = 0.1
 	QuotaSlack   = 20
--- a/internal/tool/cwsoak/caller.go
+++ b/internal/tool/cwsoak/caller.go
@@ -84,7 +84,7 @@
 	caller  *caller
 	target  cwport.Target
 	process *process
-	rule    cwcatalogue.ReadRule
+	rule    cwcatalogue.ReadConsistency
 	key     string
 	// startCount is the number of starts of the process when the session began.
 	startCount int
@@ -148,7 +148,7 @@
 	}
 	c := s.caller
 	r := sentRead{group: c.group.Service, instance: s.process.name, rule: s.rule, startedAt: began}
-	if s.rule == cwcatalogue.ReadOwnWrites && s.ackedNumber > 0 {
+	if s.rule == cwcatalogue.ReadYourWrites && s.ackedNumber > 0 {
 		r.item, r.ackedNumber = c.item, s.ackedNumber
 	}
 	c.env.ledger.recordRead(id, r)
@@ -177,11 +177,11 @@
 func (s *session) read(name string) bool {
 	l := s.caller.env.ledger
 	age := maxAge
-	if s.rule == cwcatalogue.ReadNewest {
+	if s.rule == cwcatalogue.ReadLatest {
 		age = 0
 	}
 	floor := l.minVisible(name, age)
-	if s.rule == cwcatalogue.ReadOwnWrites && name == s.caller.item {
+	if s.rule == cwcatalogue.ReadYourWrites && name == s.caller.item {
 		floor = max(floor, s.ackedNumber)
 	}
 	a, id, ok := s.execute(cwstatement.Read, "READ "+name)
--- a/internal/tool/cwsoak/environment.go
+++ b/internal/tool/cwsoak/environment.go
@@ -254,11 +254,11 @@
 // readRules are the databases that each group has, one for each read rule.
 var readRules = []struct {
 	prefix string
-	rule   cwcatalogue.ReadRule
+	rule   cwcatalogue.ReadConsistency
 }{
-	{"newest-", cwcatalogue.ReadNewest},
-	{"aged-", cwcatalogue.ReadAged},
-	{"own-", cwcatalogue.ReadOwnWrites},
+	{"newest-", cwcatalogue.ReadLatest},
+	{"aged-", cwcatalogue.ReadBoundedStaleness},
+	{"own-", cwcatalogue.ReadYourWrites},
 }
 
 // takeSnapshots takes snapshots of the store until ctx ends.
--- a/internal/tool/cwsoak/reads.go
+++ b/internal/tool/cwsoak/reads.go
@@ -14,7 +14,7 @@
 type sentRead struct {
 	group    string
 	instance string
-	rule     cwcatalogue.ReadRule
+	rule     cwcatalogue.ReadConsistency
 	// startedAt is when the read was sent or, inside a transaction, its BEGIN.
 	startedAt time.Time
 	// ackedNumber is the highest number of item that was acknowledged in the read's
@@ -56,7 +56,7 @@
 type staleReadKey struct {
 	instance string
 	member   cwgroup.MemberID
-	rule     cwcatalogue.ReadRule
+	rule     cwcatalogue.ReadConsistency
 }
 
 // checkGroupReads checks the reads of one group. The caller holds mu.
@@ -72,7 +72,7 @@
 			continue
 		}
 		age := maxAge
-		if r.rule == cwcatalogue.ReadNewest {
+		if r.rule == cwcatalogue.ReadLatest {
 			age = 0
 		}
 		required := max(requiredLength(commits, r.startedAt.Add(-age)), lengths[itemWrite{r.item, r.ackedNumber}])
--- a/internal/tool/cwsoak/versions.go
+++ b/internal/tool/cwsoak/versions.go
@@ -20,7 +20,7 @@
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	next := env.revision + 1
-	c := cwcatalogue.Catalogue{Revision: cwcatalogue.Revision(next), Keyed: !env.cfg.Keyless}
+	c := cwcatalogue.Catalogue{Revision: cwcatalogue.Revision(next), KeyRequired: !env.cfg.Keyless}
 	keys, revoked := env.access.nextKeys(next)
 	for _, name := range workspaces {
 		ws := cwcatalogue.Workspace{Name: name}
--- a/internal/wire/cwcodec/codec_test.go
+++ b/internal/wire/cwcodec/codec_test.go
@@ -84,7 +84,7 @@
 	for i := range n {
 		name := fmt.Sprintf("service-%d", i)
 		e := cwcatalogue.Entry{Service: name, Owner: "o", Contract: cwcatalogue.Contract{
-			Class: cwcatalogue.ClassReads, Connections: 25, Slots: 3, QueueLimit: 200,
+			Class: cwcatalogue.ClassReplicaReads, Connections: 25, Slots: 3, QueueLimit: 200,
 			StatementTimeout: time.Second, AckTimeout: time.Second,
 		}}
 		g := cwcatalogue.Group{Name: name}
--- a/internal/wire/cwcodec/document.go
+++ b/internal/wire/cwcodec/document.go
@@ -98,8 +98,8 @@
 	for _, e := range c.Entries {
 		d.Entries = append(d.Entries, entryToBody(e))
 	}
-	for _, s := range c.Stops {
-		d.Stops = append(d.Stops, stopBody{Target: string(s.Target), By: s.By, Note: s.Note, PlannedAt: s.PlannedAt})
+	for _, s := range c.PlannedStops {
+		d.Stops = append(d.Stops, stopBody{Target: string(s.Target), By: s.PlannedBy, Note: s.Note, PlannedAt: s.PlannedAt})
 	}
 	return d
 }
@@ -145,7 +145,7 @@
 	}
 	c := fromBody(d)
 	faults := unknown
-	for _, f := range cwcatalogue.Check(c) {
+	for _, f := range cwcatalogue.Validate(c) {
 		faults = append(faults, LineFault{Line: lines.of(f.Path), Fault: f})
 	}
 	if len(faults) > 0 {
@@ -166,7 +166,7 @@
 		c.Entries = append(c.Entries, entryFromBody(e))
 	}
 	for _, s := range d.Stops {
-		c.Stops = append(c.Stops, cwcatalogue.Stop{Target: cwgroup.MemberID(s.Target), By: s.By, Note: s.Note, PlannedAt: s.PlannedAt})
+		c.PlannedStops = append(c.PlannedStops, cwcatalogue.PlannedStop{Target: cwgroup.MemberID(s.Target), PlannedBy: s.By, Note: s.Note, PlannedAt: s.PlannedAt})
 	}
 	return c
 }
@@ -211,7 +211,7 @@
 	if err := add(PartPlaces, cwcatalogue.Catalogue{DataCentres: c.DataCentres, Links: c.Links}); err != nil {
 		return nil, err
 	}
-	if err := add(PartStops, cwcatalogue.Catalogue{Stops: c.Stops}); err != nil {
+	if err := add(PartStops, cwcatalogue.Catalogue{PlannedStops: c.PlannedStops}); err != nil {
 		return nil, err
 	}
 	for _, e := range c.Entries {
--- a/internal/wire/cwcodec/locate.go
+++ b/internal/wire/cwcodec/locate.go
@@ -18,7 +18,7 @@
 // the field is missing altogether.
 type LineFault struct {
 	Line  int
-	Fault cwcatalogue.Fault
+	Fault cwcatalogue.InvalidField
 }
 
 // String formats the fault for an operator.
@@ -38,7 +38,7 @@
 func oneFault(text []byte, offset int64, path, value, allowed string) error {
 	return &DocumentError{Faults: []LineFault{{
 		Line:  lineAt(text, offset),
-		Fault: cwcatalogue.Fault{Path: path, Value: value, Allowed: allowed},
+		Fault: cwcatalogue.InvalidField{Path: path, Value: value, Allowed: allowed},
 	}}}
 }
 
@@ -158,11 +158,11 @@
 		}
 		line := l.here()
 		if _, twice := l.lines[child]; twice {
-			l.unknown = append(l.unknown, LineFault{Line: line, Fault: cwcatalogue.Fault{Path: child, Value: name, Allowed: "each field once"}})
+			l.unknown = append(l.unknown, LineFault{Line: line, Fault: cwcatalogue.InvalidField{Path: child, Value: name, Allowed: "each field once"}})
 		}
 		l.lines[child] = line
 		if !knownPaths[indexes.ReplaceAllString(child, "")] {
-			l.unknown = append(l.unknown, LineFault{Line: line, Fault: cwcatalogue.Fault{Path: child, Value: name, Allowed: "no such field"}})
+			l.unknown = append(l.unknown, LineFault{Line: line, Fault: cwcatalogue.InvalidField{Path: child, Value: name, Allowed: "no such field"}})
 		}
 		if err := l.value(child); err != nil {
 			return err
--- a/internal/wire/cwhandover/handover.go
+++ b/internal/wire/cwhandover/handover.go
@@ -151,7 +151,7 @@
 		Service: b.Service,
 		Groups:  []cwcatalogue.Group{{Name: b.Group}},
 		Contract: cwcatalogue.Contract{
-			Reads: cwcatalogue.ReadRule(b.Reads), StatementTimeout: micros(b.TimeoutUS), MaxAge: micros(b.MaxAgeUS),
+			Reads: cwcatalogue.ReadConsistency(b.Reads), StatementTimeout: micros(b.TimeoutUS), MaxAge: micros(b.MaxAgeUS),
 			Aim: micros(b.AimUS), Priority: b.Priority, Synchronous: b.Synchronous, IdleTransaction: micros(b.IdleUS),
 		},
 	}
--- a/internal/wire/cwhandover/handover_test.go
+++ b/internal/wire/cwhandover/handover_test.go
@@ -26,7 +26,7 @@
 		Entry: cwcatalogue.Entry{
 			Service: "bookings", Groups: []cwcatalogue.Group{{Name: "ledger"}},
 			Contract: cwcatalogue.Contract{
-				Reads: cwcatalogue.ReadOwnWrites, StatementTimeout: time.Second, MaxAge: 1500 * time.Millisecond,
+				Reads: cwcatalogue.ReadYourWrites, StatementTimeout: time.Second, MaxAge: 1500 * time.Millisecond,
 				Aim: 200 * time.Millisecond, Priority: 2, Synchronous: true, IdleTransaction: 5 * time.Second,
 			},
 		},
