--- a/internal/tool/cwcommand/soak.go
+++ b/internal/tool/cwcommand/soak.go
@@ -119,8 +119,8 @@
 }
 
 // soakBounds returns the limits that the soak checks, for the instances' settings.
-func soakBounds() platform.StandinBounds {
-	return platform.StandinBounds{
+func soakBounds() platform.StandinOptions {
+	return platform.StandinOptions{
 		DataCentres: cwsoak.DataCentres(), KeyBound: cwsoak.KeyRevocationBound,
 		Quota: cwcatalogue.QuotaTolerance{Window: cwsoak.QuotaWindow, Overage: cwsoak.QuotaOverage, Slack: cwsoak.QuotaSlack},
 	}
@@ -134,7 +134,7 @@
 		ServeTarget: func(id cwgroup.MemberID, d cwport.Dialer, conn net.Conn) {
 			platform.StandinDatabase{ID: id, Dialer: d}.Serve(conn)
 		},
-		Caller: platform.Dialer{Who: "soak"},
+		Caller: platform.Dialer{InstanceName: "soak"},
 		Settings: func(a cwsoak.Addresses) []byte {
 			return platform.StandinSettings(a.Instance, a.DataCentre, a.Callers, a.Ready, a.Peers, a.Store, soakBounds())
 		},
