--- a/internal/tool/cwsoak/entries.go
+++ b/internal/tool/cwsoak/entries.go
@@ -37,7 +37,7 @@
 	if !changed {
 		return nil
 	}
-	return env.store.List(l)
+	return env.store.PutEntry(l)
 }
 
 // runRoleReports makes the targets report changes of their role until ctx ends.
@@ -57,7 +57,7 @@
 // target write it again.
 func (env *environment) lapseEntry(g *group, id cwgroup.MemberID) (writeAgain func()) {
 	env.setLapsed(g, id, true)
-	env.store.Unlist(string(id))
+	env.store.RemoveEntry(string(id))
 	return func() { env.setLapsed(g, id, false) }
 }
 
--- a/internal/tool/cwsoak/environment.go
+++ b/internal/tool/cwsoak/environment.go
@@ -264,7 +264,7 @@
 // takeSnapshots takes snapshots of the store until ctx ends.
 func (env *environment) takeSnapshots(ctx context.Context) error {
 	for sleep(ctx, snapshotInterval) {
-		c := env.store.Copy()
+		c := env.store.Snapshot()
 		env.mu.Lock()
 		env.snapshots = append(env.snapshots, c)
 		if len(env.snapshots) > maxSnapshots {
--- a/internal/tool/cwsoak/faults.go
+++ b/internal/tool/cwsoak/faults.go
@@ -221,7 +221,7 @@
 		{name: "storeSlow", begin: set(func(s *faultyStore) { s.delay = storeDelay }, func(s *faultyStore) { s.delay = 0 })},
 		{name: "storeLosesWrites", begin: set(func(s *faultyStore) { s.loseWrites = true }, func(s *faultyStore) { s.loseWrites = false })},
 		{name: "storeForgets", begin: func() (string, func()) {
-			f.env.store.DropHistory()
+			f.env.store.DropChangeHistory()
 			return "store's history", nil
 		}},
 	}
--- a/internal/tool/cwsoak/soak.go
+++ b/internal/tool/cwsoak/soak.go
@@ -41,19 +41,19 @@
 // duties such as promotions.
 type Store interface {
 	http.Handler
-	// List writes a target's entry.
-	List(l cwport.Listing) error
-	// Unlist removes a target's entry, as if it had lapsed.
-	Unlist(id string)
-	// Desire writes a desired state, with the keys of each workspace by its name.
-	Desire(c cwcatalogue.Catalogue, keys map[string][]string) error
-	// DropHistory forgets all changes so far, so that clients have to read
+	// PutEntry writes a target's entry.
+	PutEntry(l cwport.Listing) error
+	// RemoveEntry removes a target's entry, as if it had lapsed.
+	RemoveEntry(id string)
+	// SetDesiredState writes a desired state, with the keys of each workspace by its name.
+	SetDesiredState(c cwcatalogue.Catalogue, keys map[string][]string) error
+	// DropChangeHistory forgets all changes so far, so that clients have to read
 	// everything again.
-	DropHistory()
-	// Copy takes a snapshot of all rows. Calling restore goes back to the snapshot
+	DropChangeHistory()
+	// Snapshot takes a snapshot of all rows. Calling restore goes back to the snapshot
 	// and loses later changes; calling writeAgain then writes the lost rows of the
 	// operator and the targets again.
-	Copy() (restore func() (writeAgain func()))
+	Snapshot() (restore func() (writeAgain func()))
 }
 
 // Addresses is the part of an instance's settings that differs between instances: its
--- a/internal/tool/cwsoak/versions.go
+++ b/internal/tool/cwsoak/versions.go
@@ -42,7 +42,7 @@
 	for v := 1; v <= next; v++ {
 		c.Entries = append(c.Entries, cwcatalogue.Entry{Service: revisionDatabase(v), Groups: []cwcatalogue.Group{{Name: env.groups[0].Service}}, Contract: contract})
 	}
-	if err := env.store.Desire(c, keys); err != nil {
+	if err := env.store.SetDesiredState(c, keys); err != nil {
 		return err
 	}
 	env.access.recordRevoked(revoked)
