--- a/internal/proxy/cwport/feed.go
+++ b/internal/proxy/cwport/feed.go
@@ -8,61 +8,65 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwfeed"
 )
 
-// Topics lists all topics.
+// Topics lists all topics, in the order in which messages between instances carry them.
 var Topics = [...]Topic{Desired, Targets, Own}
 
-// TopicCount is how many topics there are.
+// TopicCount is the number of topics.
 const TopicCount = len(Topics)
 
-// NewsQuestion asks another instance what the platform's store has told.
+// NewsQuestion is a request to another instance for changes of the platform's
+// store: a long poll.
 type NewsQuestion struct {
-	// After is the version up to which the asker knows each topic; zero if it has read
-	// nothing of it, and NotAsked if it wants to be told nothing.
+	// After is the version up to which the requesting instance knows each topic: zero if
+	// it has read nothing of the topic, NotAsked if it wants no rows of it.
 	After [TopicCount]cwfeed.Version
-	// Wait is how long the answer may be held while there is nothing to tell.
+	// Wait is how long the answer may be delayed while there are no changes.
 	Wait time.Duration
 }
 
-// NotAsked stands for a topic of which nothing is to be told.
+// NotAsked is the version to request for a topic of which no rows are wanted.
 const NotAsked cwfeed.Version = math.MaxUint64
 
-// News is what an instance has learnt from the platform's store, directly or
-// from other instances.
+// News is the answer to a NewsQuestion: the rows of the platform's store that an
+// instance has received, from the store itself or from another instance.
 type News struct {
 	Topics [TopicCount]TopicNews
-	// Held is how long the question was held.
+	// Held is how long the answering instance delayed its answer.
 	Held time.Duration
-	// TargetsAway is true while the store does not tell about targets.
+	// TargetsAway is true while the store doesn't answer requests for the list of targets.
 	TargetsAway bool
-	// TargetsUnsettled is true while the teller counts targets whose entries are missing,
-	// or may soon: its rows are no first list for who has never seen those.
+	// TargetsUnsettled is true while the answering instance uses targets whose entries are
+	// missing from the list, or may soon be missing. An instance that has never seen those
+	// targets must not take the rows as its first list.
 	TargetsUnsettled bool
 }
 
-// TopicNews is what an instance has learnt of one topic.
+// TopicNews is the part of News about one topic.
 type TopicNews struct {
-	// Version is up to where the rows go.
+	// Version is the version up to which Rows are complete.
 	Version cwfeed.Version
-	// Whole is true if these are all rows there are, not changes alone.
+	// Whole is true if Rows are all rows of the topic, false if they are only the changes
+	// after the requested version.
 	Whole bool
 	Rows  []Row
-	// Age is how long before the answer the store had confirmed that there was
-	// nothing more.
+	// Age is the time between the store's last confirmation that there were no newer
+	// changes and the answer.
 	Age time.Duration
 }
 
-// NewsTeller tells other instances the news of the store.
+// NewsTeller answers requests of other instances for changes of the store.
 type NewsTeller interface {
-	// TellNews answers as soon as there is something to tell, or a newer
-	// confirmation of the store. The error is a *NoNewsError if this instance
-	// knows nothing itself.
+	// TellNews answers as soon as there are changes after the versions in q or
+	// the store has confirmed the known state anew, and otherwise after q.Wait.
+	// The error is a *NoNewsError if this instance hasn't read every topic yet.
 	TellNews(ctx context.Context, q NewsQuestion) (News, error)
 }
 
-// NoNewsError reports an instance that answers and has nothing to tell, because
-// it has not read every topic yet.
+// NoNewsError reports that an instance is reachable but can't answer a
+// NewsQuestion, because it hasn't read every topic yet.
 type NoNewsError struct {
-	// Cause is what a remote instance said; nil here.
+	// Cause is the error message of a remote instance; nil if the error comes from this
+	// instance.
 	Cause error
 }
 
@@ -73,26 +77,29 @@
 	return "no news: the store's rows are not read yet"
 }
 
-// Unwrap returns the cause.
+// Unwrap returns Cause.
 func (e *NoNewsError) Unwrap() error { return e.Cause }
 
-// Feeder is another instance that tells this one the news of the store.
+// Feeder is the parent of this instance in the distribution tree (see cwfeed):
+// the instance from which it requests changes of the store.
 type Feeder interface {
 	// Name returns the instance's name.
 	Name() string
 	NewsTeller
 }
 
-// Feeders tells whom this instance asks for news of the store.
+// Feeders selects the source from which this instance requests changes of the
+// store.
 type Feeders interface {
-	// Feeder returns whom to ask now; nil if there is nobody yet. root is true
-	// if this instance asks the store.
+	// Feeder returns the instance to ask now; nil if none is known or connected
+	// yet. root is true if this instance is a root of the tree and asks the store
+	// itself.
 	Feeder() (f Feeder, root bool)
 }
 
-// Decoder reads rows of the store as they are.
+// Decoder decodes rows in the store's own format.
 type Decoder interface {
-	// Decode reads rows of a topic. One that cannot be read is a fault of the
-	// batch.
+	// Decode decodes rows of a topic up to a version. Rows that can't be decoded
+	// are reported in the batch's Faults.
 	Decode(t Topic, version cwfeed.Version, rows []Row) Batch
 }
--- a/internal/proxy/cwport/handover.go
+++ b/internal/proxy/cwport/handover.go
@@ -10,45 +10,50 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwstatement"
 )
 
-// Handover is one statement that an instance hands to a holder of its group,
-// with all that the holder needs of the caller's session.
+// Handover is one statement that an instance forwards to a holder of its group,
+// with the state of the caller's session that the holder needs to run it.
 type Handover struct {
-	// Transaction names the caller's transaction; empty for a statement by
-	// itself. It is unique among all instances.
+	// Transaction identifies the caller's transaction, uniquely among all
+	// instances; empty for a statement outside a transaction.
 	Transaction string
-	// Begin is the verb that opened the transaction, in its first statement;
-	// Unknown after that.
+	// Begin is the verb that opened the transaction, set with its first statement
+	// only; Unknown otherwise.
 	Begin cwstatement.Verb
-	// Entry is what the caller's own instance knows of the entry, so that a
-	// holder with an older catalogue serves it no other way. It has one group.
+	// Entry is the catalogue entry as the caller's instance knows it, so that a
+	// holder with an older catalogue applies the same contract. It has one group.
 	Entry cwcatalogue.Entry
-	// Workspace is the caller's, which its own instance knows by its key; empty
-	// if it has none.
+	// Workspace is the caller's workspace, which the caller's instance has
+	// determined from the caller's key; empty if the caller has none.
 	Workspace string
 	Statement cwstatement.Statement
-	// Prepared is what an Execute names; nil for others.
+	// Prepared is the prepared statement that an Execute refers to; nil for other
+	// verbs.
 	Prepared *Prepared
 	// Values are the session's settings.
 	Values map[string]string
-	// Seen is what the session has written in the group.
+	// Seen is the log position of the session's last write to the group; zero if
+	// it has written nothing there.
 	Seen cwgroup.Mark
-	// Elapsed is how long ago the statement came.
+	// Elapsed is the time since the caller's instance received the statement.
 	Elapsed time.Duration
 }
 
 // Prepared is a prepared statement of a session.
 type Prepared struct {
-	Shape  string
+	// Shape is the text that was prepared.
+	Shape string
+	// Writes is true if the statement is a write.
 	Writes bool
 }
 
-// Handed is what a holder answers.
+// Handed is a holder's answer to a Handover.
 type Handed struct {
 	Answer cwstatement.Answer
-	// Wrote is the mark of a commit of this statement; zero if it was none.
+	// Wrote is the log position of the commit that this statement made; zero if it
+	// committed nothing.
 	Wrote cwgroup.Mark
-	// Elsewhere is true if nothing ran because of the holder's own state, and
-	// another one may serve the statement.
+	// Elsewhere is true if nothing ran because of the holder's own state, so that
+	// another holder may be able to run the statement.
 	Elsewhere bool
 }
 
@@ -56,26 +61,30 @@
 type Holder interface {
 	// Name returns the instance's name.
 	Name() string
-	// Hand runs a statement there. A *LostError means that there is no answer.
+	// Hand forwards a statement and waits for the answer. The error is a
+	// *LostError if no answer came.
 	Hand(ctx context.Context, h Handover) (Handed, error)
 }
 
-// Holders tells who holds groups.
+// Holders selects the instances that run the statements of a group.
 type Holders interface {
-	// Holder returns who runs a group's statements, except those tried; false
-	// if this instance does.
+	// Holder returns the instance to forward a group's statement to, other than
+	// those in tried; false if this instance runs it itself.
 	Holder(group string, d cwholder.Demand, tried []string) (Holder, bool)
-	// Connect gets ready to hand over a group's statements.
+	// Connect opens connections to the group's holders before a statement is to be
+	// forwarded.
 	Connect(group string, d cwholder.Demand)
-	// Holds reports whether this instance holds the group, and its place among
-	// the holders.
+	// Holds returns this instance's rank among the group's holders; false if it
+	// doesn't hold the group.
 	Holds(group string, d cwholder.Demand) (place int, ok bool)
 }
 
-// LostError reports a statement that was handed over and got no answer. It may
+// LostError reports a forwarded statement without an answer. The statement may
 // have run unless NotSent is true.
 type LostError struct {
-	Holder  string
+	// Holder is the name of the instance that it was forwarded to.
+	Holder string
+	// NotSent is true if the statement certainly didn't run.
 	NotSent bool
 	Cause   error
 }
@@ -84,5 +93,5 @@
 	return "no answer from holder " + e.Holder + ": " + e.Cause.Error()
 }
 
-// Unwrap returns the cause.
+// Unwrap returns Cause.
 func (e *LostError) Unwrap() error { return e.Cause }
--- a/internal/proxy/cwport/port.go
+++ b/internal/proxy/cwport/port.go
@@ -1,6 +1,10 @@
-// Package cwport names what the engine needs from the outside: callers,
-// targets, the order to promote, and the news of routes and targets. Each
-// protocol brings an adapter; none of them decides anything.
+// Package cwport defines the interfaces between the proxy's engine and the
+// protocols around it, and the types that cross them: connections of callers,
+// connections to targets, promotions, the platform's store as a source of the
+// catalogue and of the list of targets, and the exchange with other instances.
+//
+// Each protocol has an adapter that implements these interfaces. An adapter
+// translates messages and makes no decisions of its own.
 package cwport
 
 import (
@@ -16,76 +20,77 @@
 
 // Caller is the connection of one caller's session.
 type Caller interface {
-	// Startup reads what the caller wants.
+	// Startup reads the caller's startup message.
 	Startup() (Startup, error)
-	// Accept answers a startup that succeeded.
+	// Accept answers the startup message with success.
 	Accept() error
-	// Refuse answers a startup that failed.
+	// Refuse answers the startup message with an error.
 	Refuse(cwstatement.Answer) error
 	// Next reads the next statement. The error is io.EOF once the caller has
 	// ended the session.
 	Next() (cwstatement.Statement, error)
 	// Reply writes the answer to a statement.
 	Reply(cwstatement.Answer) error
-	// SetReadTimeout bounds the wait for the next statement; zero means no
+	// SetReadTimeout bounds the wait for the next statement; zero removes the
 	// bound.
 	SetReadTimeout(time.Duration) error
 	Close() error
 }
 
-// Startup is what a caller says of itself.
+// Startup is the content of a caller's startup message.
 type Startup struct {
-	// Database is the entry that it wants.
+	// Database is the service name of the catalogue entry to use.
 	Database string
-	// Key shows to which workspace it belongs.
+	// Key is the digest of the caller's API key, which identifies its workspace.
 	Key cwcatalogue.KeyDigest
 }
 
-// Endpoint says where a target is and who is expected there.
+// Endpoint is the address of a target and the identity expected there.
 type Endpoint struct {
-	// ID is checked by the target, since addresses are used again.
+	// ID is sent to the target, which refuses the connection if it has another one:
+	// addresses are reused.
 	ID      cwgroup.MemberID
 	Service string
 	// Address is IP:port.
 	Address string
 }
 
-// Target is a connection to a target. It is used by one goroutine at a time.
+// Target is a connection to a target. It is not safe for concurrent use.
 type Target interface {
-	// Send queues a command. Flush tells whether it could be sent.
+	// Send buffers a command. An error is reported by Flush.
 	Send(cwstatement.Command)
-	// Flush sends what was queued.
+	// Flush sends the buffered commands.
 	Flush() error
-	// Receive reads the answer to the oldest command without one.
+	// Receive reads the answer to the oldest command that has none yet.
 	Receive() (cwstatement.Answer, error)
-	// Health asks the target about itself.
+	// Health asks the target for its replication status and load.
 	Health() (cwstatement.Health, error)
-	// Fence makes a replica stop receiving until it learns of a primary in the
-	// term or later.
+	// Fence makes a replica stop replicating until it learns of a primary in the
+	// given term or a later one.
 	Fence(cwgroup.Term) (cwstatement.Health, error)
-	// Unfence lets a replica receive again.
+	// Unfence makes a fenced replica replicate again.
 	Unfence() error
-	// Demote makes a primary of an earlier term a replica.
+	// Demote turns a primary of a term before the given one into a replica.
 	Demote(cwgroup.Term) (cwstatement.Health, error)
-	// SetTimeout bounds everything that follows; zero means no bound.
+	// SetTimeout bounds the total time of all following operations; zero removes
+	// the bound.
 	SetTimeout(time.Duration) error
-	// Silent reports whether nothing has arrived since the last answer. A
-	// connection that the target has closed, or on which it spoke unasked, is
-	// not silent.
+	// Silent reports whether nothing has arrived since the last answer. It returns
+	// false if the target has closed the connection or sent an unsolicited message.
 	Silent() bool
 	Close() error
 }
 
-// Dialer opens connections to targets. A refusal by the target is a
-// *RefusedError.
+// Dialer opens connections to targets.
 type Dialer interface {
-	// Dial opens a connection on which statements of one workspace run, or
-	// those of the product itself and of callers without a workspace if it is
-	// empty. A target does not change what a connection was opened for.
+	// Dial opens a connection for the statements of one workspace, or, if workspace
+	// is empty, for the proxy's own statements and those of callers without a
+	// workspace. A target can't change the workspace of an open connection. The
+	// error is a *RefusedError if the target refused the connection.
 	Dial(ctx context.Context, to Endpoint, workspace string) (Target, error)
 }
 
-// RefusedError reports a target that refused a connection or an order.
+// RefusedError reports that a target refused a connection or a command.
 type RefusedError struct {
 	Code   cwstatement.Code
 	Detail string
@@ -95,88 +100,94 @@
 	return "refused by the target: " + e.Code.String() + " " + e.Detail
 }
 
-// Promotion is the order to make a target the primary of the next term.
+// Promotion is a request to make a target the primary of the next term.
 type Promotion struct {
 	Service string
-	ID      cwgroup.MemberID
-	// Holder is the instance that gives the order.
+	// ID is the target to promote.
+	ID cwgroup.MemberID
+	// Holder is the instance that makes the request and holds the claim for it.
 	Holder string
-	// Fence grows with each change of holder.
+	// Fence is the fencing token, which increases with each change of the claim's
+	// holder.
 	Fence uint64
 }
 
 // Promoter carries out promotions.
 type Promoter interface {
+	// Promote makes the target the primary of the next term.
 	Promote(ctx context.Context, p Promotion) error
 }
 
-// Leadership is how a target sees itself in the list of targets.
+// Leadership is the role that a target reports in its entry in the list of
+// targets.
 type Leadership uint8
 
-// The leaderships.
+// The values of Leadership.
 const (
 	LeadershipUnknown Leadership = iota
 	LeadershipReplica
 	LeadershipPrimary
 )
 
-// Listing is one target in the platform's list.
+// Listing is the entry of one target in the platform's list.
 type Listing struct {
 	ID         cwgroup.MemberID
 	Service    string
 	Address    string
 	DataCentre string
-	// Slots is the number of statements that it runs at once.
+	// Slots is the number of statements that the target runs concurrently.
 	Slots int
-	// Leaving is true once the target has announced that it ends.
+	// Leaving is true once the target has announced that it is shutting down.
 	Leaving bool
-	// Lapsed is true while the list lacks its entry. It is used all the same until it
-	// is sure that the entry stays away.
+	// Lapsed is true while the entry is missing from the list. The target is still used
+	// until it is certain that the entry will not return.
 	Lapsed bool
 	Role   Leadership
-	// Born is when the target started, by its own clock; zero if it does not
-	// tell. A target that starts again under its id has another one, which can
-	// be an earlier one where that clock was set back.
+	// Born is the target's start time by its own clock; zero if it reports none. After a
+	// restart under the same id the time differs, and is earlier if the clock was set
+	// back.
 	Born time.Time
 }
 
-// Topic is something that a Source tells about.
+// Topic is a part of the platform's store that can be followed by itself.
 type Topic uint8
 
 // The topics.
 const (
-	// Desired is what operators want: the catalogue, without targets.
+	// Desired is the desired state as set by operators: the catalogue without targets.
 	Desired Topic = iota
 	// Targets is the platform's list of targets.
 	Targets
-	// Own is the rows that the product keeps itself.
+	// Own is the rows that the proxy's instances write themselves.
 	Own
 )
 
-// String names the topic for logs.
+// String returns the topic's name for logs.
 func (t Topic) String() string { return [...]string{"desired", "targets", "own"}[t] }
 
-// Batch is news of one topic.
+// Batch is the decoded rows of one topic: a snapshot, or the changes after a
+// version.
 type Batch struct {
-	// Version is where to go on from.
+	// Version is the version up to which the batch is complete; later changes are
+	// requested after it.
 	Version cwfeed.Version
-	// Catalogue is the newest desired state, if the batch has one.
+	// Catalogue is the newest desired state; nil if the batch has none.
 	Catalogue *cwcatalogue.Catalogue
 	// Listed are targets that are new or changed.
 	Listed []Listing
-	// Removed are targets that the list no longer has.
+	// Removed are targets that are no longer in the list.
 	Removed []cwgroup.MemberID
-	// Rows are rows of the product's own that are new, changed or removed.
+	// Rows are own rows (topic Own) that are new, changed or removed.
 	Rows []Row
-	// Raw are all rows of the batch as the store told them, to be passed on to
+	// Raw are all rows of the batch in the store's format, to be passed on to
 	// other instances.
 	Raw []Row
-	// Faults are parts of the batch that could not be read. They are left out;
-	// what was known before stays.
+	// Faults are the rows that could not be decoded. They are left out of the batch, and
+	// what was known of them before stays in force.
 	Faults []RowFault
 }
 
-// RowFault is a row that could not be read.
+// RowFault reports a row that could not be decoded.
 type RowFault struct {
 	Key     string
 	Version cwfeed.Version
@@ -187,10 +198,10 @@
 	return "row " + f.Key + " version " + f.Version.String() + ": " + f.Cause.Error()
 }
 
-// Unwrap returns the cause.
+// Unwrap returns Cause.
 func (f RowFault) Unwrap() error { return f.Cause }
 
-// Changed reports whether the batch brings any news.
+// Changed reports whether the batch has a catalogue, target or own row.
 func (b Batch) Changed() bool {
 	return b.Catalogue != nil || len(b.Listed)+len(b.Removed)+len(b.Rows) > 0
 }
@@ -200,18 +211,18 @@
 	Key     string
 	Value   []byte
 	Version cwfeed.Version
-	// Removed is true if the table no longer has it.
+	// Removed is true if the store no longer has the row.
 	Removed bool
-	// Garbled is true if the store's text of the value cannot be read; the value
+	// Garbled is true if the store's encoding of the value could not be decoded; Value
 	// is empty then.
 	Garbled bool
-	// Packed is the value compressed, of large ones that came from another
-	// instance or are kept for others; then Value may be empty.
+	// Packed is the compressed value. It is set only for large values that came from
+	// another instance or are kept for other instances; Value may be empty then.
 	Packed []byte
 }
 
-// Tag returns the row's tag for a condition of a change; empty if the row is not
-// there.
+// Tag returns the row's entity tag (ETag), by which a conditional write requires
+// that the row has not changed; empty if the row does not exist.
 func (r Row) Tag() string {
 	if r.Removed {
 		return ""
@@ -219,18 +230,19 @@
 	return strconv.FormatUint(uint64(r.Version), 10)
 }
 
-// Source tells about topics.
+// Source reads topics from the platform's store.
 type Source interface {
-	// Snapshot returns everything about a topic.
+	// Snapshot returns all rows of a topic.
 	Snapshot(ctx context.Context, t Topic) (Batch, error)
-	// Changes returns what changed after a version, as soon as there is
-	// anything, or an empty batch after wait. The error is a *HistoryError if a
-	// new snapshot is needed: the changes are no longer kept, or the store is in a
-	// later era.
+	// Changes returns the changes of a topic after a version as soon as there are
+	// any, or an empty batch after wait. The error is a *HistoryError if a new
+	// snapshot is needed because the changes are no longer kept, or the store is in
+	// a later era than the version (it was restored from an older copy).
 	Changes(ctx context.Context, t Topic, after cwfeed.Version, wait time.Duration) (Batch, error)
 }
 
-// HistoryError reports that the changes asked for are no longer kept.
+// HistoryError reports that the store no longer keeps the changes after a
+// version.
 type HistoryError struct{ After cwfeed.Version }
 
 func (e *HistoryError) Error() string {
--- a/internal/proxy/cwport/quota.go
+++ b/internal/proxy/cwport/quota.go
@@ -5,39 +5,44 @@
 	"time"
 )
 
-// Meter keeps the quotas of workspaces over all instances.
+// Meter enforces the quotas of workspaces across all instances.
 type Meter interface {
-	// Take asks for one operation of a workspace.
+	// Take requests quota for one operation of a workspace.
 	Take(workspace string) Verdict
 }
 
-// Verdict is whether an operation is within its workspace's quota.
+// Verdict is the answer to a request for quota.
 type Verdict struct {
+	// Allowed is true if the operation is within the workspace's quota.
 	Allowed bool
-	// RetryAfter is when there is quota again, if there is none now.
+	// RetryAfter is the time until quota is available again, if Allowed is false.
 	RetryAfter time.Duration
-	// Unknown is true if nobody could tell.
+	// Unknown is true if no issuer of the quota could answer.
 	Unknown bool
 }
 
-// QuotaIssuer is an instance that keeps a part of a workspace's quota.
+// QuotaIssuer is an instance that issues a part (a shard) of a workspace's
+// quota.
 type QuotaIssuer struct {
+	// Name is the instance's name.
 	Name string
-	// Ask asks it for one operation; nil if it is this instance. An error means
-	// that there is no answer; the operation may be counted all the same.
+	// Ask requests quota for one operation; nil if the issuer is this instance. An
+	// error means that no answer came; the issuer may still have counted the
+	// operation.
 	Ask func(ctx context.Context, workspace string) (Verdict, error)
 }
 
-// QuotaIssuers tells who keeps quotas.
+// QuotaIssuers selects the issuers of a workspace's quota.
 type QuotaIssuers interface {
-	// QuotaIssuers returns the issuers of a workspace's quota that can be asked
-	// now, in the order in which this instance asks them: those of its own data
-	// centre, or the others if far is true.
-	QuotaIssuers(workspace string, far bool) []QuotaIssuer
+	// QuotaIssuers returns the reachable issuers of a workspace's quota, in the
+	// order in which this instance asks them: those of its own data centre, or
+	// those of the others if remote is true.
+	QuotaIssuers(workspace string, remote bool) []QuotaIssuer
 }
 
-// QuotaTeller answers for the part of a workspace's quota that this instance
-// keeps.
+// QuotaTeller answers requests for the part of a workspace's quota that this
+// instance issues.
 type QuotaTeller interface {
+	// TellQuota requests quota for one operation from this instance's part.
 	TellQuota(workspace string) Verdict
 }
