--- a/internal/proxy/cwpool/pool.go
+++ b/internal/proxy/cwpool/pool.go
@@ -1,10 +1,11 @@
-// Package cwpool keeps the connections of one proxy to one target.
+// Package cwpool implements a proxy's connection pool for one target that speaks
+// the PostgreSQL protocol.
 //
-// A Pool admits statements by a gate, whose limit is this proxy's share of the
-// target's connections, and lends each admitted statement or transaction a
-// connection. A connection goes back only if its last answer was read to the
-// end and no transaction is open on it; otherwise it is closed, so that no
-// caller ever meets what another one left behind.
+// A Pool limits the statements and transactions in progress to this proxy's share
+// of the target's connections, queues the others, and lends each admitted one a
+// connection. A connection is reused only if its last answer was read to the end
+// and no transaction is open on it; otherwise it is closed, so that no caller sees
+// the session state of another.
 package cwpool
 
 import (
@@ -21,33 +22,33 @@
 	"cicadawalk.example/cicadawalk/internal/wire/cwtarget"
 )
 
-// Times of a pool.
+// Timeouts and limits of a pool.
 const (
-	// DialTimeout bounds a new connection.
+	// DialTimeout bounds opening a connection, including the startup messages.
 	DialTimeout = time.Second
-	// pingAfter is how long a connection may have been idle before it is tried
-	// with an empty exchange; one that went silent would swallow a write.
-	pingAfter = 500 * time.Millisecond
-	// pingTimeout bounds that exchange.
+	// pingIdleAfter is the idle time after which a connection is pinged before it is
+	// lent. On a connection that no longer delivers data, a write would get no answer.
+	pingIdleAfter = 500 * time.Millisecond
+	// pingTimeout bounds a ping.
 	pingTimeout = 200 * time.Millisecond
-	// dialRetryAfter is what a caller is told whose target took no connection.
+	// dialRetryAfter is the time after which a refused caller is told to retry.
 	dialRetryAfter = 200 * time.Millisecond
-	// maxPrepared is the number of statements kept prepared on a connection.
+	// maxPrepared is the maximum number of prepared statements on a connection.
 	maxPrepared = 128
 )
 
-// Conn is a connection to a target with what is known of its session.
+// Conn is a connection to a target and the state of its session.
 type Conn struct {
 	*cwtarget.Conn
-	// Applied holds the settings that differ from the target's defaults.
+	// Applied holds the session's settings that differ from the target's defaults.
 	Applied map[string]string
 	// Prepared holds the names of the prepared statements, oldest first.
 	Prepared []string
-	// Broken is set if the connection must not be lent again.
+	// Broken is true if the connection must be closed instead of lent again.
 	Broken bool
 
-	born time.Time
-	used time.Time
+	openedAt time.Time
+	lastUsed time.Time
 }
 
 // HasPrepared reports whether a statement is prepared on the connection.
@@ -60,8 +61,9 @@
 	return false
 }
 
-// Remember records a prepared statement. If there are too many it returns the
-// name of one to be closed.
+// Remember records that a statement was prepared on the connection. If there are
+// now more than maxPrepared, it forgets the oldest and returns its name, for the
+// caller to close it at the target; otherwise it returns "".
 func (c *Conn) Remember(name string) (evicted string) {
 	c.Prepared = append(c.Prepared, name)
 	if len(c.Prepared) <= maxPrepared {
@@ -72,7 +74,7 @@
 	return evicted
 }
 
-// Forget removes a prepared statement that is not there after all.
+// Forget removes a prepared statement that does not exist at the target.
 func (c *Conn) Forget(name string) {
 	for i, p := range c.Prepared {
 		if p == name {
@@ -82,50 +84,55 @@
 	}
 }
 
-// Pool lends connections to one target. Set the exported fields before use.
+// Pool lends connections to one target. Set the exported fields before use. Its
+// methods are safe for concurrent use. A Pool admits nothing before SetLimits.
 type Pool struct {
+	// Address is the target's address, IP:port.
 	Address string
 	Startup cwtarget.Startup
 	Clock   clockwork.Clock
-	// Slots seeds the adaptive limit.
+	// Slots is the number of statements that the target runs at once, from which the
+	// limit of statements in progress starts.
 	Slots int
 
-	mu       sync.Mutex
-	gate     cwlimit.Gate
-	adaptive cwlimit.Adaptive
-	share    int
-	// idle is used as a stack, so that connections not needed stay idle.
+	mu          sync.Mutex
+	admission   cwlimit.Gate
+	concurrency cwlimit.Adaptive
+	share       int
+	// idle is used as a stack, so that connections that aren't needed stay idle.
 	idle []*Conn
 	open int
-	// cullBefore closes connections that were made before it.
-	cullBefore time.Time
-	closed     bool
+	// closeOpenedBefore is set by CullIdle: connections opened before it are closed
+	// when they are released.
+	closeOpenedBefore time.Time
+	closed            bool
 }
 
-// SetLimits changes the share of connections and the length of the queue.
+// SetLimits sets this proxy's share of the target's connections and the maximum
+// number of statements in the queue. Idle connections beyond the share are closed.
 func (p *Pool) SetLimits(share, queue int) {
 	p.mu.Lock()
 	p.share = share
-	p.gate.QueueLimit = queue
-	p.adaptive.Seed, p.adaptive.Max = max(p.Slots, 1), max(share, 1)
-	p.gate.SetLimit(p.limit(), p.Clock.Now())
-	drop := p.excessIdle()
+	p.admission.QueueLimit = queue
+	p.concurrency.Seed, p.concurrency.Max = max(p.Slots, 1), max(share, 1)
+	p.admission.SetLimit(p.currentLimit(), p.Clock.Now())
+	excess := p.takeExcessIdle()
 	p.mu.Unlock()
-	closeAll(drop)
+	closeAll(excess)
 }
 
-func (p *Pool) limit() int { return min(p.share, p.adaptive.Limit()) }
+func (p *Pool) currentLimit() int { return min(p.share, p.concurrency.Limit()) }
 
-// excessIdle takes idle connections out until the open ones are within the
-// share. The caller holds mu.
-func (p *Pool) excessIdle() []*Conn {
-	var drop []*Conn
+// takeExcessIdle removes idle connections until the number of open ones is within
+// the share, and returns them. The caller holds mu, and closes them without it.
+func (p *Pool) takeExcessIdle() []*Conn {
+	var excess []*Conn
 	for p.open > p.share && len(p.idle) > 0 {
-		drop = append(drop, p.idle[0])
+		excess = append(excess, p.idle[0])
 		p.idle = p.idle[1:]
 		p.open--
 	}
-	return drop
+	return excess
 }
 
 func closeAll(conns []*Conn) {
@@ -134,37 +141,43 @@
 	}
 }
 
-// Stats is what a pool is doing.
+// Stats are the current numbers of a pool.
 type Stats struct {
+	// Share is this proxy's share of the target's connections, Open the number of open
+	// connections, Busy the number of statements and transactions in progress, and Queued
+	// the number of those that wait.
 	Share, Open, Busy, Queued int
 }
 
-// Stats returns what the pool is doing.
+// Stats returns the current numbers.
 func (p *Pool) Stats() Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return Stats{Share: p.share, Open: p.open, Busy: p.gate.Busy(), Queued: p.gate.Queued()}
+	return Stats{Share: p.share, Open: p.open, Busy: p.admission.Busy(), Queued: p.admission.Queued()}
 }
 
-// Load returns the statements in progress and waiting, by the limit.
+// Load returns the number of statements in progress and waiting, divided by the
+// limit of statements in progress.
 func (p *Pool) Load() float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return float64(p.gate.Busy()+p.gate.Queued()) / float64(max(1, p.gate.Limit))
+	return float64(p.admission.Busy()+p.admission.Queued()) / float64(max(1, p.admission.Limit))
 }
 
-// CullIdle closes the idle connections, and the others when they come back.
+// CullIdle closes all connections that are open now: idle ones at once, lent ones
+// when they are released.
 func (p *Pool) CullIdle() {
 	p.mu.Lock()
-	p.cullBefore = p.Clock.Now()
-	drop := p.idle
+	p.closeOpenedBefore = p.Clock.Now()
+	closing := p.idle
 	p.idle = nil
-	p.open -= len(drop)
+	p.open -= len(closing)
 	p.mu.Unlock()
-	closeAll(drop)
+	closeAll(closing)
 }
 
-// Close closes the pool's idle connections and lets no new work in.
+// Close closes the pool. Idle connections are closed at once, lent ones when they
+// are released, and new statements are refused.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
@@ -172,14 +185,15 @@
 	p.CullIdle()
 }
 
-// Lease is a borrowed connection. It must be given back by Release or Discard,
-// once.
+// Lease is a connection that is lent to one statement or transaction. It must be
+// returned by Release or Discard, exactly once.
 type Lease struct {
-	Conn *Conn
-	pool *Pool
-	took time.Time
+	Conn       *Conn
+	pool       *Pool
+	admittedAt time.Time
 
-	// mu keeps a request to cancel and the return of the connection apart.
+	// mu keeps the connection from being returned while a cancel request for it is being
+	// sent.
 	mu       sync.Mutex
 	returned bool
 	canceled bool
@@ -188,22 +202,22 @@
 // Address returns the address of the target.
 func (l *Lease) Address() string { return l.pool.Address }
 
-// Acquire lends a connection, waiting in the queue until the deadline at most.
-// Its error is a *cwrefusal.Refusal, and nothing has run.
+// Acquire waits for admission, at most until the deadline, and lends a connection.
+// The error is a *cwrefusal.Refusal, and nothing has run.
 func (p *Pool) Acquire(ctx context.Context, deadline time.Time) (*Lease, error) {
-	if err := p.enter(ctx, deadline); err != nil {
+	if err := p.waitForAdmission(ctx, deadline); err != nil {
 		return nil, err
 	}
-	took := p.Clock.Now()
-	conn, err := p.connection(ctx)
+	admittedAt := p.Clock.Now()
+	conn, err := p.takeIdleOrDial(ctx)
 	if err != nil {
-		p.leave(took, false)
+		p.endStatement(admittedAt, false)
 		return nil, cwrefusal.NotRun(cwrefusal.CannotConnectNow, dialRetryAfter, "the database takes no connection")
 	}
-	return &Lease{Conn: conn, pool: p, took: took}, nil
+	return &Lease{Conn: conn, pool: p, admittedAt: admittedAt}, nil
 }
 
-func (p *Pool) enter(ctx context.Context, deadline time.Time) error {
+func (p *Pool) waitForAdmission(ctx context.Context, deadline time.Time) error {
 	ready := make(chan *cwrefusal.Refusal, 1)
 	ticket := &cwlimit.Ticket{Deadline: deadline, Ready: func(r *cwrefusal.Refusal) { ready <- r }}
 	p.mu.Lock()
@@ -211,7 +225,7 @@
 		p.mu.Unlock()
 		return cwrefusal.NotRun(cwrefusal.TooManyConnections, dialRetryAfter, "this proxy has no connections for this database yet")
 	}
-	p.gate.Enter(ticket, p.Clock.Now())
+	p.admission.Enter(ticket, p.Clock.Now())
 	p.mu.Unlock()
 	select {
 	case r := <-ready:
@@ -225,18 +239,19 @@
 		return refusalOrNil(r)
 	case <-timer.Chan():
 		p.mu.Lock()
-		p.gate.Expire(p.Clock.Now().Add(time.Nanosecond))
+		p.admission.Expire(p.Clock.Now().Add(time.Nanosecond))
 		p.mu.Unlock()
 	case <-ctx.Done():
 		p.mu.Lock()
-		p.gate.Abandon(ticket)
+		p.admission.Abandon(ticket)
 		p.mu.Unlock()
 	}
-	// Either the gate has answered by now or it never will let this one in.
+	// If the statement was admitted before it left the queue, the admission is returned.
+	// It can't be admitted later.
 	select {
 	case r := <-ready:
 		if r == nil {
-			p.leave(p.Clock.Now(), false)
+			p.endStatement(p.Clock.Now(), false)
 		}
 	default:
 	}
@@ -250,21 +265,22 @@
 	return r
 }
 
-// leave gives the place at the gate back.
-func (p *Pool) leave(took time.Time, measure bool) {
+// endStatement ends the admission that was granted at admittedAt. If measure is
+// true, the time since then adjusts the limit of statements in progress.
+func (p *Pool) endStatement(admittedAt time.Time, measure bool) {
 	now := p.Clock.Now()
-	d := now.Sub(took)
+	d := now.Sub(admittedAt)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if measure {
-		p.adaptive.Observe(d, p.gate.Busy())
-		p.gate.Limit = p.limit()
+		p.concurrency.Observe(d, p.admission.Busy())
+		p.admission.Limit = p.currentLimit()
 	}
-	p.gate.Leave(d, now)
+	p.admission.Leave(d, now)
 }
 
-// connection takes an idle connection that works, or opens one.
-func (p *Pool) connection(ctx context.Context) (*Conn, error) {
+// takeIdleOrDial returns an idle connection that works, or opens one.
+func (p *Pool) takeIdleOrDial(ctx context.Context) (*Conn, error) {
 	for {
 		p.mu.Lock()
 		n := len(p.idle)
@@ -276,17 +292,17 @@
 		c := p.idle[n-1]
 		p.idle = p.idle[:n-1]
 		p.mu.Unlock()
-		if p.Clock.Since(c.used) < pingAfter || ping(c) {
+		if p.Clock.Since(c.lastUsed) < pingIdleAfter || ping(c) {
 			return c, nil
 		}
-		p.drop(c)
+		p.closeConn(c)
 	}
 }
 
 func (p *Pool) dial(ctx context.Context) (*Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, DialTimeout)
 	defer cancel()
-	born := p.Clock.Now()
+	openedAt := p.Clock.Now()
 	tc, err := cwtarget.Dial(ctx, p.Address, p.Startup)
 	if err != nil {
 		p.mu.Lock()
@@ -294,10 +310,11 @@
 		p.mu.Unlock()
 		return nil, err
 	}
-	return &Conn{Conn: tc, Applied: make(map[string]string), born: born}, nil
+	return &Conn{Conn: tc, Applied: make(map[string]string), openedAt: openedAt}, nil
 }
 
-// ping exchanges a Sync, and reports whether the answer came in time.
+// ping sends a Sync message and reports whether the target answered within
+// pingTimeout.
 func ping(c *Conn) bool {
 	defer c.SetDeadline(time.Time{})
 	_ = c.SetDeadline(time.Now().Add(pingTimeout))
@@ -320,15 +337,16 @@
 	}
 }
 
-func (p *Pool) drop(c *Conn) {
+func (p *Pool) closeConn(c *Conn) {
 	_ = c.Close()
 	p.mu.Lock()
 	p.open--
 	p.mu.Unlock()
 }
 
-// Release gives a connection back for others. Call it only after the answer
-// was read up to ReadyForQuery with no transaction open.
+// Release returns the connection to the pool. It may be called only after the
+// answer was read up to ReadyForQuery, and with no transaction open. If measure is
+// true, the time since Acquire adjusts the limit of statements in progress.
 func (l *Lease) Release(measure bool) {
 	l.mu.Lock()
 	l.returned = true
@@ -336,9 +354,9 @@
 	l.mu.Unlock()
 	p, c := l.pool, l.Conn
 	now := p.Clock.Now()
-	c.used = now
+	c.lastUsed = now
 	p.mu.Lock()
-	keep := !canceled && !c.Broken && !p.closed && p.open <= p.share && c.born.After(p.cullBefore)
+	keep := !canceled && !c.Broken && !p.closed && p.open <= p.share && c.openedAt.After(p.closeOpenedBefore)
 	if keep {
 		p.idle = append(p.idle, c)
 	} else {
@@ -348,25 +366,25 @@
 	if !keep {
 		_ = c.Close()
 	}
-	p.leave(l.took, measure)
+	p.endStatement(l.admittedAt, measure)
 }
 
-// Discard closes a connection whose state is not known.
+// Discard closes the connection, because its state is unknown.
 func (l *Lease) Discard() {
 	l.mu.Lock()
 	l.returned = true
 	l.mu.Unlock()
-	l.pool.drop(l.Conn)
-	l.pool.leave(l.took, false)
+	l.pool.closeConn(l.Conn)
+	l.pool.endStatement(l.admittedAt, false)
 }
 
-// Cancel asks the target to end what runs on the connection. It does nothing
-// once the connection was given back.
+// Cancel asks the target to cancel the statement that runs on the connection. It
+// does nothing after the connection was returned.
 //
-// The failure: a cancel that arrives late ends the statement of the next caller
-// who was lent the connection. The guard: the lease is locked, so it cannot be
-// returned while the request is on its way, and a connection that a cancel was
-// sent for is never lent again.
+// A cancel request that arrives late would cancel the statement of the next caller
+// to which the connection is lent. Therefore Cancel holds the lock until the
+// request was sent, so that the connection can't be returned in the meantime, and
+// the connection is closed when it is returned.
 func (l *Lease) Cancel(ctx context.Context) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -377,7 +395,7 @@
 	return cwtarget.Cancel(ctx, l.Conn.Address, l.Conn.PID, l.Conn.Secret)
 }
 
-// IsTimeout reports whether a read or write ended at its deadline.
+// IsTimeout reports whether err is a timeout of a read or write.
 func IsTimeout(err error) bool {
 	var t interface{ Timeout() bool }
 	return errors.As(err, &t) && t.Timeout()
