--- a/internal/proxy/cwmeter/meter.go
+++ b/internal/proxy/cwmeter/meter.go
@@ -1,6 +1,10 @@
-// Package cwmeter asks the issuers of a workspace's quota for its operations, and
-// answers others where this instance is one. How a quota is split and what an
-// issuer gives is decided by cwquota.
+// Package cwmeter enforces the quotas of workspaces. The quota of a workspace is
+// split into shards, each of which is kept by one instance, its issuer.
+//
+// For each operation, a Meter asks the issuers of the workspace's quota until one
+// allows it. It also answers the requests of other instances for the shards that
+// this instance keeps. How a quota is split and how much an issuer allows is
+// decided by cwquota.
 package cwmeter
 
 import (
@@ -17,96 +21,106 @@
 	"cicadawalk.example/cicadawalk/internal/proxy/cwport"
 )
 
-// Times of asking.
+// Timeouts of requests to issuers.
 const (
-	// askTimeout bounds a question: a few round trips between data centres and a
-	// busy instance's queue. Beyond it the next issuer is asked; callers want
-	// answers within some hundred milliseconds, and have others to wait for.
+	// askTimeout bounds a request to an issuer: a few round trips between data centres
+	// and the time in a busy instance's queue. After it the next issuer is asked.
+	// Callers expect answers within some hundred milliseconds, which include other
+	// waits as well.
 	askTimeout = 50 * time.Millisecond
-	// silentFor is how long an issuer that did not answer is left alone.
-	silentFor = 500 * time.Millisecond
-	// patience is how long an operation waits for a connection to any issuer, and
-	// patienceStep how often it looks. Connections are opened within some
-	// milliseconds once instances know of each other.
-	patience     = 200 * time.Millisecond
-	patienceStep = 10 * time.Millisecond
-	// unknownRetry is what callers are told where no issuer can be asked: the
-	// time in which an instance finds out whom it reaches.
-	unknownRetry = 300 * time.Millisecond
+	// unresponsivePause is the time for which an issuer that did not answer isn't
+	// asked again.
+	unresponsivePause = 500 * time.Millisecond
+	// connectWait is the time for which an operation waits for a connection to any
+	// issuer, and connectPollInterval the interval at which it checks. Connections are
+	// opened within some milliseconds once instances know of each other.
+	connectWait         = 200 * time.Millisecond
+	connectPollInterval = 10 * time.Millisecond
+	// unknownRetryAfter is the time after which callers are told to retry if no issuer
+	// can be asked: the time in which an instance finds out which others are reachable.
+	unknownRetryAfter = 300 * time.Millisecond
 )
 
-// Meter implements cwport.Meter and cwport.QuotaTeller. Set the fields before
-// use.
+// Meter implements cwport.Meter and cwport.QuotaTeller. Set the exported fields
+// before use. Its methods are safe for concurrent use.
 type Meter struct {
-	Rule  cwcatalogue.QuotaRule
+	// Rule is the tolerance within which quotas are kept.
+	Rule cwcatalogue.QuotaRule
+	// Peers selects the issuers to ask.
 	Peers cwport.QuotaIssuers
 	Clock clockwork.Clock
 	Log   *log.Logger
-	// Quota returns a workspace's quota by the catalogue in force.
+	// Quota returns a workspace's quota according to the catalogue in force; false if
+	// it is not known.
 	Quota func(workspace string) (cwcatalogue.Quota, bool)
-	// DataCentres is how many data centres there are.
+	// DataCentres is the number of data centres.
 	DataCentres int
-	// FirstStart is true if no instance was there before.
+	// FirstStart is true if no instance ran before, so that the shards have had no
+	// earlier issuer and start full.
 	FirstStart bool
 
-	once    sync.Once
-	started time.Time
+	startOnce sync.Once
+	started   time.Time
 
 	mu sync.Mutex
-	// shards are those that this instance keeps.
+	// shards are the shards that this instance keeps, by workspace.
 	shards map[string]*cwquota.Shard
-	// blocked are issuers that need not be asked yet.
-	blocked map[question]block
+	// pauses are the issuers that aren't asked for now.
+	pauses map[issuerKey]issuerPause
 }
 
-// question is what is asked of whom.
-type question struct{ workspace, issuer string }
+// issuerKey identifies an issuer of a workspace's quota.
+type issuerKey struct{ workspace, issuer string }
 
-// block is why an issuer is not asked before a time.
-type block struct {
+// issuerPause is the time until which an issuer isn't asked, and the reason.
+type issuerPause struct {
 	until time.Time
-	// silent is true if it did not answer, false if it had no quota.
-	silent bool
+	// unresponsive is true if the issuer did not answer or could not tell, false if it
+	// had no quota left.
+	unresponsive bool
 }
 
-// Start notes that this instance runs from now on.
-func (m *Meter) Start() { m.once.Do(func() { m.started = m.Clock.Now() }) }
+// Start records the time from which this instance issues quota. Only the first
+// call has an effect.
+func (m *Meter) Start() { m.startOnce.Do(func() { m.started = m.Clock.Now() }) }
 
-// Take implements cwport.Meter.
+// Take implements cwport.Meter. It asks the issuers of this data centre, then
+// those of the others, and waits up to connectWait while none can be asked.
 func (m *Meter) Take(workspace string) cwport.Verdict {
 	m.Start()
-	end := m.Clock.Now().Add(patience)
+	end := m.Clock.Now().Add(connectWait)
 	for {
-		v := m.round(workspace, false)
+		v := m.askIssuers(workspace, false)
 		if !v.Allowed {
-			v = sooner(v, m.round(workspace, true))
+			v = betterVerdict(v, m.askIssuers(workspace, true))
 		}
 		if !v.Unknown || !m.Clock.Now().Before(end) {
 			return v
 		}
-		m.Clock.Sleep(patienceStep)
+		m.Clock.Sleep(connectPollInterval)
 	}
 }
 
-// round asks the issuers of this data centre, or the others, until one allows the
-// operation.
-func (m *Meter) round(workspace string, far bool) cwport.Verdict {
-	out := cwport.Verdict{Unknown: true, RetryAfter: unknownRetry}
-	for _, issuer := range m.Peers.QuotaIssuers(workspace, far) {
-		b, ok := m.blockedBy(question{workspace, issuer.Name})
-		v := cwport.Verdict{Unknown: b.silent, RetryAfter: b.until.Sub(m.Clock.Now())}
+// askIssuers asks the issuers of this data centre, or those of the others if remote
+// is true, until one allows the operation. It returns the best verdict.
+func (m *Meter) askIssuers(workspace string, remote bool) cwport.Verdict {
+	out := cwport.Verdict{Unknown: true, RetryAfter: unknownRetryAfter}
+	for _, issuer := range m.Peers.QuotaIssuers(workspace, remote) {
+		pause, ok := m.pauseOf(issuerKey{workspace, issuer.Name})
+		v := cwport.Verdict{Unknown: pause.unresponsive, RetryAfter: pause.until.Sub(m.Clock.Now())}
 		if !ok {
 			v = m.ask(workspace, issuer)
 		}
-		if out = sooner(out, v); out.Allowed {
+		if out = betterVerdict(out, v); out.Allowed {
 			return out
 		}
 	}
 	return out
 }
 
-// sooner returns the verdict that is better for the caller.
-func sooner(a, b cwport.Verdict) cwport.Verdict {
+// betterVerdict returns the verdict that is better for the caller: an allowed one
+// first, then the one with the shorter RetryAfter, and an unknown one last.
+func betterVerdict(a, b cwport.Verdict) cwport.Verdict {
 	switch {
 	case a.Allowed || b.Unknown:
 		return a
@@ -116,33 +130,33 @@
 	return a
 }
 
-// blockedBy returns why a question is not asked now.
-func (m *Meter) blockedBy(q question) (block, bool) {
+// pauseOf returns the current pause of an issuer; false if it may be asked.
+func (m *Meter) pauseOf(key issuerKey) (issuerPause, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	b, ok := m.blocked[q]
-	if ok && !m.Clock.Now().Before(b.until) {
-		delete(m.blocked, q)
+	pause, ok := m.pauses[key]
+	if ok && !m.Clock.Now().Before(pause.until) {
+		delete(m.pauses, key)
 		ok = false
 	}
-	return b, ok
+	return pause, ok
 }
 
-// block leaves a question unasked for a while.
+// setPause keeps an issuer from being asked for a workspace's quota for a time.
 //
-// The failure: a workspace sends many times its quota, and each of its operations
-// asks all issuers in vain: what is refused costs more than what is served, and
-// the callers of others wait.
-func (m *Meter) block(q question, d time.Duration, silent bool) {
+// Without it, if a workspace sends many times its quota, each of its operations
+// would ask all issuers in vain. Refused operations would then cost more than
+// served ones and delay the callers of other workspaces.
+func (m *Meter) setPause(key issuerKey, d time.Duration, unresponsive bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.blocked == nil {
-		m.blocked = make(map[question]block)
+	if m.pauses == nil {
+		m.pauses = make(map[issuerKey]issuerPause)
 	}
-	m.blocked[q] = block{until: m.Clock.Now().Add(d), silent: silent}
+	m.pauses[key] = issuerPause{until: m.Clock.Now().Add(d), unresponsive: unresponsive}
 }
 
-// ask asks one issuer.
+// ask asks one issuer, and pauses it if it does not allow the operation.
 func (m *Meter) ask(workspace string, issuer cwport.QuotaIssuer) cwport.Verdict {
 	if issuer.Ask == nil {
 		return m.TellQuota(workspace)
@@ -150,14 +164,14 @@
 	ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
 	defer cancel()
 	v, err := issuer.Ask(ctx, workspace)
-	q := question{workspace, issuer.Name}
+	key := issuerKey{workspace, issuer.Name}
 	switch {
 	case err != nil:
 		m.Log.Debug("quotaNotAsked", "workspace", workspace, "issuer", issuer.Name, "cause", err)
-		m.block(q, silentFor, true)
+		m.setPause(key, unresponsivePause, true)
 		return cwport.Verdict{Unknown: true}
 	case !v.Allowed:
-		m.block(q, v.RetryAfter, v.Unknown)
+		m.setPause(key, v.RetryAfter, v.Unknown)
 	}
 	return v
 }
@@ -165,23 +179,23 @@
 // TellQuota implements cwport.QuotaTeller.
 func (m *Meter) TellQuota(workspace string) cwport.Verdict {
 	m.Start()
-	q, ok := m.Quota(workspace)
+	quota, ok := m.Quota(workspace)
 	if !ok {
-		return cwport.Verdict{Unknown: true, RetryAfter: unknownRetry}
+		return cwport.Verdict{Unknown: true, RetryAfter: unknownRetryAfter}
 	}
-	shape := cwquota.ShapeOf(q, m.Rule, max(1, m.DataCentres)*cwholder.MinPerDataCentre)
+	shape := cwquota.ShapeOf(quota, m.Rule, max(1, m.DataCentres)*cwholder.MinPerDataCentre)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.Clock.Now()
-	s := m.shards[workspace]
-	if s == nil {
-		s = cwquota.NewShard(shape, m.started, m.FirstStart)
+	shard := m.shards[workspace]
+	if shard == nil {
+		shard = cwquota.NewShard(shape, m.started, m.FirstStart)
 		if m.shards == nil {
 			m.shards = make(map[string]*cwquota.Shard)
 		}
-		m.shards[workspace] = s
+		m.shards[workspace] = shard
 	}
-	s.Reshape(shape, now)
-	allowed, wait := s.Take(now)
+	shard.Reshape(shape, now)
+	allowed, wait := shard.Take(now)
 	return cwport.Verdict{Allowed: allowed, RetryAfter: wait}
 }
--- a/internal/proxy/cwmeter/meter_test.go
+++ b/internal/proxy/cwmeter/meter_test.go
@@ -15,23 +15,24 @@
 	"cicadawalk.example/cicadawalk/internal/proxy/cwport"
 )
 
-var errSilent = errors.New("silent")
+var errUnresponsive = errors.New("silent")
 
-// fleet is some issuers of the quota of one workspace.
-type fleet struct {
-	near, far []cwport.QuotaIssuer
-	asked     map[string]int
+// fakeIssuers implements cwport.QuotaIssuers for one workspace, and counts the
+// requests to each issuer by name.
+type fakeIssuers struct {
+	local, remote []cwport.QuotaIssuer
+	asked         map[string]int
 }
 
-func (f *fleet) QuotaIssuers(_ string, far bool) []cwport.QuotaIssuer {
-	if far {
-		return f.far
+func (f *fakeIssuers) QuotaIssuers(_ string, remote bool) []cwport.QuotaIssuer {
+	if remote {
+		return f.remote
 	}
-	return f.near
+	return f.local
 }
 
-// issuer returns an issuer that answers as told.
-func (f *fleet) issuer(name string, v cwport.Verdict, err error) cwport.QuotaIssuer {
+// issuer returns an issuer that always gives the same answer.
+func (f *fakeIssuers) issuer(name string, v cwport.Verdict, err error) cwport.QuotaIssuer {
 	return cwport.QuotaIssuer{Name: name, Ask: func(context.Context, string) (cwport.Verdict, error) {
 		f.asked[name]++
 		return v, err
@@ -40,7 +41,7 @@
 
 const workspace = "north"
 
-func newMeter(f *fleet) (*Meter, *clockwork.FakeClock) {
+func newMeter(f *fakeIssuers) (*Meter, *clockwork.FakeClock) {
 	f.asked = make(map[string]int)
 	clock := clockwork.NewFakeClock()
 	m := &Meter{
@@ -61,35 +62,35 @@
 
 func TestTake(t *testing.T) {
 	t.Run("the first issuer that has quota left", func(t *testing.T) {
-		f := &fleet{}
+		f := &fakeIssuers{}
 		m, _ := newMeter(f)
-		f.near = []cwport.QuotaIssuer{f.issuer("a", spent, nil), f.issuer("b", allowed, nil)}
-		f.far = []cwport.QuotaIssuer{f.issuer("c", allowed, nil)}
+		f.local = []cwport.QuotaIssuer{f.issuer("a", spent, nil), f.issuer("b", allowed, nil)}
+		f.remote = []cwport.QuotaIssuer{f.issuer("c", allowed, nil)}
 		qt.Assert(t, m.Take(workspace).Allowed, qt.IsTrue)
 		qt.Assert(t, f.asked, qt.DeepEquals, map[string]int{"a": 1, "b": 1})
 	})
-	t.Run("another data centre's, where the own is spent", func(t *testing.T) {
-		f := &fleet{}
+	t.Run("an issuer of another data centre if the local ones have none left", func(t *testing.T) {
+		f := &fakeIssuers{}
 		m, _ := newMeter(f)
-		f.near = []cwport.QuotaIssuer{f.issuer("a", spent, nil)}
-		f.far = []cwport.QuotaIssuer{f.issuer("c", allowed, nil)}
+		f.local = []cwport.QuotaIssuer{f.issuer("a", spent, nil)}
+		f.remote = []cwport.QuotaIssuer{f.issuer("c", allowed, nil)}
 		qt.Assert(t, m.Take(workspace).Allowed, qt.IsTrue)
 	})
-	t.Run("its own", func(t *testing.T) {
-		f := &fleet{near: []cwport.QuotaIssuer{{Name: "self"}}}
+	t.Run("this instance as issuer", func(t *testing.T) {
+		f := &fakeIssuers{local: []cwport.QuotaIssuer{{Name: "self"}}}
 		m, clock := newMeter(f)
 		clock.Advance(time.Minute)
 		qt.Assert(t, m.Take(workspace).Allowed, qt.IsTrue)
 	})
 }
 
-// A workspace sends ten times its quota. Each operation that is refused asked
-// every issuer of every data centre in vain, and callers of other workspaces
-// waited for instances that did little else.
+// Guards against asking issuers again that have no quota left. When a workspace
+// sent ten times its quota, each refused operation asked every issuer of every data
+// centre in vain, and callers of other workspaces waited for the busy instances.
 func TestSpentQuotaIsNotAskedForAgain(t *testing.T) {
-	f := &fleet{}
+	f := &fakeIssuers{}
 	m, clock := newMeter(f)
-	f.near, f.far = []cwport.QuotaIssuer{f.issuer("a", spent, nil)}, []cwport.QuotaIssuer{f.issuer("c", spent, nil)}
+	f.local, f.remote = []cwport.QuotaIssuer{f.issuer("a", spent, nil)}, []cwport.QuotaIssuer{f.issuer("c", spent, nil)}
 	for range 100 {
 		v := m.Take(workspace)
 		qt.Assert(t, v.Allowed || v.Unknown, qt.IsFalse)
@@ -101,41 +102,41 @@
 	qt.Assert(t, f.asked["a"], qt.Equals, 2)
 }
 
-// The issuer of a quota freezes. Each operation of the workspace waited for it
-// anew before it asked the next one.
-func TestSilentIssuerIsLeftAlone(t *testing.T) {
-	f := &fleet{}
+// Guards against waiting for a frozen issuer with each operation of the workspace
+// before the next issuer is asked.
+func TestUnresponsiveIssuerIsNotAskedAgainAtOnce(t *testing.T) {
+	f := &fakeIssuers{}
 	m, clock := newMeter(f)
-	f.near = []cwport.QuotaIssuer{f.issuer("a", cwport.Verdict{}, errSilent), f.issuer("b", allowed, nil)}
+	f.local = []cwport.QuotaIssuer{f.issuer("a", cwport.Verdict{}, errUnresponsive), f.issuer("b", allowed, nil)}
 	for range 10 {
 		qt.Assert(t, m.Take(workspace).Allowed, qt.IsTrue)
 	}
 	qt.Assert(t, f.asked, qt.DeepEquals, map[string]int{"a": 1, "b": 10})
-	clock.Advance(silentFor)
+	clock.Advance(unresponsivePause)
 	m.Take(workspace)
 	qt.Assert(t, f.asked["a"], qt.Equals, 2)
 }
 
-// Nobody can be asked: the operation waits for a connection for a moment and is
-// refused then, since nobody else would keep the sum.
+// If no issuer can be asked, the operation waits for a connection for a moment and
+// is then refused, because otherwise the quota would not be kept.
 func TestUnknownQuotaIsRefused(t *testing.T) {
-	f := &fleet{}
+	f := &fakeIssuers{}
 	m, clock := newMeter(f)
-	got := make(chan cwport.Verdict, 1)
-	go func() { got <- m.Take(workspace) }()
+	verdict := make(chan cwport.Verdict, 1)
+	go func() { verdict <- m.Take(workspace) }()
 	for {
 		select {
-		case v := <-got:
-			qt.Assert(t, v, qt.Equals, cwport.Verdict{Unknown: true, RetryAfter: unknownRetry})
+		case v := <-verdict:
+			qt.Assert(t, v, qt.Equals, cwport.Verdict{Unknown: true, RetryAfter: unknownRetryAfter})
 			return
 		default:
-			clock.Advance(patienceStep)
+			clock.Advance(connectPollInterval)
 		}
 	}
 }
 
 func TestTellQuota(t *testing.T) {
-	f := &fleet{}
+	f := &fakeIssuers{}
 	m, clock := newMeter(f)
 	qt.Assert(t, m.TellQuota("nobody").Unknown, qt.IsTrue)
 	clock.Advance(time.Minute)
@@ -143,8 +144,8 @@
 	for m.TellQuota(workspace).Allowed {
 		n++
 	}
-	// One of two shards: half of the burst of 100 with its overage of 10 and of
-	// three quarters of the slack of 20.
+	// This is one of two shards: half of the burst of 100, of the overage of 10 (0.1 of
+	// the burst), and of three quarters of the slack of 20.
 	qt.Assert(t, n, qt.Equals, 62)
 	v := m.TellQuota(workspace)
 	qt.Assert(t, v.RetryAfter > 0 && v.RetryAfter <= 20*time.Millisecond, qt.IsTrue)
