--- a/internal/proxy/cwlog/writer.go
+++ b/internal/proxy/cwlog/writer.go
@@ -1,9 +1,10 @@
-// Package cwlog carries log lines to an output that may be slow or stopped.
+// Package cwlog writes log lines to an output that may be slow or blocked.
 //
-// A Writer never blocks its callers. Lines wait in a bounded buffer; what does
-// not fit, or exceeds the budget of its kind, is left out and counted, and a
-// line says so. Failures and changes of what the process believes have a budget
-// of their own each, so that many lines of one kind cannot crowd out another.
+// A Writer never blocks its callers. Lines are queued in a bounded buffer. A line
+// that doesn't fit, or exceeds the rate limit of its kind, is dropped, and another
+// line reports the number of dropped lines. The kind of a line is its message (the
+// value of msg). The limit applies to each kind separately, so that many lines of
+// one kind don't displace those of another.
 package cwlog
 
 import (
@@ -18,50 +19,53 @@
 
 // Bounds of a Writer.
 const (
-	// buffered is the number of lines that wait at most: some seconds of the
-	// full budget, about 400 kB.
-	buffered = 2000
-	// perKind is the number of lines of one kind in a second. Ten failed
-	// requests a second show what goes wrong; a hundred show nothing more.
-	perKind = 40
-	// maxKinds bounds the kinds that are counted; kinds are words of the code.
+	// maxBufferedLines is the maximum number of queued lines: some seconds of lines at
+	// the full rate, about 400 kB.
+	maxBufferedLines = 2000
+	// maxLinesPerKind is the maximum number of lines of one kind in a second. Ten lines
+	// about failed requests show the problem; a hundred show nothing more.
+	maxLinesPerKind = 40
+	// maxKinds is the number of kinds in a second from which all lines are dropped. Kinds
+	// are constants in the code, so there are fewer in practice.
 	maxKinds = 200
 )
 
-// Writer is an io.Writer that never blocks. Each Write is one line. Make one
-// with NewWriter and let it run.
+// Writer is an io.Writer that never blocks. Each call of Write passes in one line.
+// Make one with NewWriter and call Run. Its methods are safe for concurrent use.
 type Writer struct {
 	out   io.Writer
 	clock clockwork.Clock
 	lines chan []byte
 
 	mu sync.Mutex
-	// second is the present second; used counts its lines by kind, and dropped
-	// what was left out since the last note.
+	// second is the start of the current second, written the number of lines queued in
+	// it by kind, and dropped the number of dropped lines by kind that no line has
+	// reported yet.
 	second  time.Time
-	used    map[string]int
+	written map[string]int
 	dropped map[string]int
 }
 
-// NewWriter returns a Writer before out.
+// NewWriter returns a Writer that writes to out.
 func NewWriter(out io.Writer, clock clockwork.Clock) *Writer {
 	return &Writer{
-		out: out, clock: clock, lines: make(chan []byte, buffered),
-		used: make(map[string]int), dropped: make(map[string]int),
+		out: out, clock: clock, lines: make(chan []byte, maxBufferedLines),
+		written: make(map[string]int), dropped: make(map[string]int),
 	}
 }
 
-// Run writes lines until stop is closed, and then what still waits.
+// Run writes lines to the output until stop is closed, and then those that are
+// still queued.
 func (w *Writer) Run(stop <-chan struct{}) {
 	for {
 		select {
 		case line := <-w.lines:
-			w.write(line)
+			w.writeOut(line)
 		case <-stop:
 			for {
 				select {
 				case line := <-w.lines:
-					w.write(line)
+					w.writeOut(line)
 				default:
 					return
 				}
@@ -70,50 +74,52 @@
 	}
 }
 
-func (w *Writer) write(line []byte) {
-	// An output that fails cannot be told about anywhere else.
+func (w *Writer) writeOut(line []byte) {
+	// There is nowhere else to report an error of the log's output.
 	_, _ = w.out.Write(line)
 }
 
-// Write implements io.Writer. It always takes the whole line.
+// Write implements io.Writer. It never fails, and always reports the whole line as
+// written, also if it drops it.
 func (w *Writer) Write(line []byte) (int, error) {
 	kind := kindOf(line)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.turn()
-	if w.used[kind] >= perKind || len(w.used) >= maxKinds {
+	w.startSecond()
+	if w.written[kind] >= maxLinesPerKind || len(w.written) >= maxKinds {
 		w.dropped[kind]++
 		return len(line), nil
 	}
 	select {
 	case w.lines <- bytes.Clone(line):
-		w.used[kind]++
+		w.written[kind]++
 	default:
 		w.dropped[kind]++
 	}
 	return len(line), nil
 }
 
-// turn begins a new second, and notes what was left out in the one before. The
-// caller holds mu.
-func (w *Writer) turn() {
+// startSecond starts a new second if the current one is over, and queues a line about
+// the dropped lines of each kind. The caller holds mu.
+func (w *Writer) startSecond() {
 	now := w.clock.Now()
 	if now.Sub(w.second) < time.Second {
 		return
 	}
 	w.second = now
-	clear(w.used)
+	clear(w.written)
 	for kind, n := range w.dropped {
-		note := fmt.Sprintf("level=warn msg=linesLeftOut kind=%s lines=%d\n", kind, n)
+		report := fmt.Sprintf("level=warn msg=linesLeftOut kind=%s lines=%d\n", kind, n)
 		select {
-		case w.lines <- []byte(note):
+		case w.lines <- []byte(report):
 			delete(w.dropped, kind)
 		default:
 		}
 	}
 }
 
-// kindOf returns the message of a line of key=value pairs.
+// kindOf returns the message (msg) of a line of key=value pairs, or "other" if it
+// has none.
 func kindOf(line []byte) string {
 	_, rest, ok := bytes.Cut(line, []byte("msg="))
 	if !ok {
--- a/internal/proxy/cwlog/writer_test.go
+++ b/internal/proxy/cwlog/writer_test.go
@@ -11,9 +11,9 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// Requests stand still because whoever reads the log has stopped. Logging must
-// cost lines, not requests.
-func TestStoppedReaderCostsLinesOnly(t *testing.T) {
+// Guards against requests that block because the reader of the log has stopped.
+// Lines are dropped instead.
+func TestStoppedReaderDoesNotBlockWrites(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	r, out := io.Pipe()
 	t.Cleanup(func() { _ = r.Close() })
@@ -21,8 +21,8 @@
 	stop := make(chan struct{})
 	ended := make(chan struct{})
 	go func() { w.Run(stop); close(ended) }()
-	for range 2 * buffered / perKind {
-		for range perKind {
+	for range 2 * maxBufferedLines / maxLinesPerKind {
+		for range maxLinesPerKind {
 			n, err := w.Write([]byte("level=info msg=statementFailed id=1\n"))
 			qt.Assert(t, err, qt.IsNil)
 			qt.Assert(t, n, qt.Equals, 36)
@@ -34,12 +34,13 @@
 	<-ended
 }
 
-// A flood of one kind leaves the others readable, and says what is missing.
-func TestBudgetOfEachKind(t *testing.T) {
+// Many lines of one kind don't displace those of others, and the number of dropped
+// lines is reported.
+func TestLineLimitOfEachKind(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	var out bytes.Buffer
 	w := NewWriter(&out, clock)
-	for range perKind + 60 {
+	for range maxLinesPerKind + 60 {
 		_, _ = w.Write([]byte("msg=statementFailed id=1\n"))
 	}
 	_, _ = w.Write([]byte("msg=primaryKnown term=2\n"))
@@ -48,7 +49,7 @@
 	stop := make(chan struct{})
 	close(stop)
 	w.Run(stop)
-	qt.Assert(t, strings.Count(out.String(), "id=1"), qt.Equals, perKind)
+	qt.Assert(t, strings.Count(out.String(), "id=1"), qt.Equals, maxLinesPerKind)
 	qt.Assert(t, out.String(), qt.Contains, "msg=primaryKnown term=2")
 	qt.Assert(t, out.String(), qt.Contains, "msg=linesLeftOut kind=statementFailed lines=60")
 	qt.Assert(t, out.String(), qt.Contains, "id=2")
