--- a/internal/proxy/cwclock/clock.go
+++ b/internal/proxy/cwclock/clock.go
@@ -1,8 +1,8 @@
-// Package cwclock is a clock for leases, claims and ages.
+// Package cwclock provides a clock for leases, claims and the age of data.
 //
-// The monotonic clock of the runtime stands still while a machine is suspended.
-// A lease measured by it would still look young after hours of sleep. Boot
-// counts that time, too, and never jumps with the time of day.
+// Go's monotonic clock stops while the machine is suspended, so a lease measured
+// by it would still be valid after hours of suspension. Boot includes that time,
+// and is not affected by changes of the wall clock.
 package cwclock
 
 import (
@@ -12,19 +12,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// Boot is a clock whose Now counts from the start of the machine, suspension
-// included. Timers are those of the runtime. Times of a Boot compare only with
-// each other.
+// Boot is a clock whose Now is the time since the machine was booted, including
+// suspension. Its timers are those of the runtime, which don't include it. Times of
+// a Boot may be compared only with each other.
 type Boot struct{ clockwork.Clock }
 
-// NewBoot returns a Boot.
+// NewBoot returns a Boot clock.
 func NewBoot() Boot { return Boot{Clock: clockwork.NewRealClock()} }
 
-// Now returns the time since the start of the machine as a time.Time.
+// Now returns the time since boot as a time.Time, counted from the Unix epoch. It
+// panics if the system has no CLOCK_BOOTTIME.
 func (Boot) Now() time.Time {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		// The clock exists since Linux 2.6.39; without it no lease is safe.
+		// The clock exists since Linux 2.6.39. Without it leases would not be safe.
 		panic("cwclock: no boot-time clock: " + err.Error())
 	}
 	return time.Unix(ts.Unix())
