--- a/internal/proxy/cwinstance/fleet_test.go
+++ b/internal/proxy/cwinstance/fleet_test.go
@@ -26,45 +26,48 @@
 	"cicadawalk.example/cicadawalk/internal/wire/cwplatform"
 )
 
-// fleetCentres is how many data centres the instances of a fleet are in.
-const fleetCentres = 6
+// dataCentreCount is the number of data centres of a deployment in these tests.
+const dataCentreCount = 6
 
-// fleet is what the platform's store tells one instance of a whole deployment. It
-// implements cwport.Source and cwport.Decoder; each reading has copies of its own.
-type fleet struct {
+// fakeStore is the platform's store of a whole deployment. It implements cwport.Source
+// and cwport.Decoder. Each snapshot is a copy, so that its memory counts as the
+// instance's.
+type fakeStore struct {
 	instances, groups int
 	rows              [cwport.TopicCount][]cwport.Row
 	version           cwfeed.Version
 }
 
-func centreName(i int) string   { return fmt.Sprintf("centre-%d", i%fleetCentres) }
-func instanceName(i int) string { return fmt.Sprintf("%s-front-%d", centreName(i), i/fleetCentres) }
-func groupName(i int) string    { return fmt.Sprintf("ledger%04d", i) }
+func dataCentreName(i int) string { return fmt.Sprintf("centre-%d", i%dataCentreCount) }
+func instanceName(i int) string {
+	return fmt.Sprintf("%s-front-%d", dataCentreName(i), i/dataCentreCount)
+}
+func groupName(i int) string { return fmt.Sprintf("ledger%04d", i) }
 
-func newFleet(instances, groups int) *fleet {
-	f := &fleet{instances: instances, groups: groups}
+func newFakeStore(instances, groups int) *fakeStore {
+	f := &fakeStore{instances: instances, groups: groups}
 	for i := range instances {
-		f.add(cwport.Own, cwpeers.KeyOf(cwholder.Instance{ID: instanceName(i), DataCentre: centreName(i)}), fields{"address": fmt.Sprintf("10.1.0.%d:7440", i), "dataCentre": centreName(i)})
+		f.add(cwport.Own, cwpeers.KeyOf(cwholder.Instance{ID: instanceName(i), DataCentre: dataCentreName(i)}), jsonObject{"address": fmt.Sprintf("10.1.0.%d:7440", i), "dataCentre": dataCentreName(i)})
 	}
 	for g := range groups {
-		var members []fields
+		var members []jsonObject
 		for m := range 3 {
-			members = append(members, fields{"id": memberName(g, m), "address": "10.2.0.1:8080", "dataCentre": centreName(m), "slots": 3, "of": 3})
-			f.add(cwport.Targets, memberName(g, m), fields{
-				"group": groupName(g), "address": "10.2.0.1:8080", "dataCentre": centreName(m), "slots": 3, "state": "ready", "count": 7, "version": "16.2",
+			members = append(members, jsonObject{"id": memberName(g, m), "address": "10.2.0.1:8080", "dataCentre": dataCentreName(m), "slots": 3, "of": 3})
+			f.add(cwport.Targets, memberName(g, m), jsonObject{
+				"group": groupName(g), "address": "10.2.0.1:8080", "dataCentre": dataCentreName(m), "slots": 3, "state": "ready", "count": 7, "version": "16.2",
 			})
 		}
 		f.add(cwport.Own, cwmembers.KeyPrefix+groupName(g), members)
 	}
-	f.add(cwport.Desired, "config", fields{"groups": groups})
+	f.add(cwport.Desired, "config", jsonObject{"groups": groups})
 	return f
 }
 
-type fields map[string]any
+type jsonObject map[string]any
 
 func memberName(g, m int) string { return fmt.Sprintf("i-%04d-%d", g, m) }
 
-func (f *fleet) add(t cwport.Topic, key string, value any) {
+func (f *fakeStore) add(t cwport.Topic, key string, value any) {
 	b, err := json.Marshal(value)
 	if err != nil {
 		panic(err)
@@ -74,7 +77,7 @@
 }
 
 // Decode implements cwport.Decoder.
-func (f *fleet) Decode(t cwport.Topic, version cwfeed.Version, rows []cwport.Row) cwport.Batch {
+func (f *fakeStore) Decode(t cwport.Topic, version cwfeed.Version, rows []cwport.Row) cwport.Batch {
 	b := cwport.Batch{Version: version, Raw: rows}
 	switch t {
 	case cwport.Desired:
@@ -99,7 +102,7 @@
 	return b
 }
 
-func (f *fleet) catalogue() *cwcatalogue.Catalogue {
+func (f *fakeStore) catalogue() *cwcatalogue.Catalogue {
 	c := &cwcatalogue.Catalogue{Revision: 3}
 	for g := range f.groups {
 		c.Entries = append(c.Entries, cwcatalogue.Entry{
@@ -111,7 +114,7 @@
 }
 
 // Snapshot implements cwport.Source.
-func (f *fleet) Snapshot(_ context.Context, t cwport.Topic) (cwport.Batch, error) {
+func (f *fakeStore) Snapshot(_ context.Context, t cwport.Topic) (cwport.Batch, error) {
 	rows := make([]cwport.Row, 0, len(f.rows[t]))
 	for _, r := range f.rows[t] {
 		r.Key, r.Value = string([]byte(r.Key)), append([]byte(nil), r.Value...)
@@ -121,7 +124,7 @@
 }
 
 // Changes implements cwport.Source.
-func (f *fleet) Changes(ctx context.Context, _ cwport.Topic, after cwfeed.Version, wait time.Duration) (cwport.Batch, error) {
+func (f *fakeStore) Changes(ctx context.Context, _ cwport.Topic, after cwfeed.Version, wait time.Duration) (cwport.Batch, error) {
 	select {
 	case <-time.After(wait):
 		return cwport.Batch{Version: after}, nil
@@ -130,44 +133,46 @@
 	}
 }
 
-// nobody answers at the address of any instance or target, and takes every row.
-type nobody struct{}
+// unreachable is a Dialer that reaches no target, and a Table without rows to which
+// all writes succeed.
+type unreachable struct{}
 
-var errNobody = &net.OpError{Op: "dial", Err: net.UnknownNetworkError("none")}
+var errUnreachable = &net.OpError{Op: "dial", Err: net.UnknownNetworkError("none")}
 
-func (nobody) Dial(context.Context, cwport.Endpoint, string) (cwport.Target, error) {
-	return nil, errNobody
+func (unreachable) Dial(context.Context, cwport.Endpoint, string) (cwport.Target, error) {
+	return nil, errUnreachable
 }
 
-func (nobody) Get(context.Context, string) (cwplatform.Row, error) {
+func (unreachable) Get(context.Context, string) (cwplatform.Row, error) {
 	return cwplatform.Row{}, &cwplatform.NotFoundError{}
 }
-func (nobody) List(context.Context, string) ([]cwplatform.Row, error) { return nil, nil }
-func (nobody) Commit(context.Context, cwplatform.Change) error        { return nil }
-
-// footprint is what an instance of a fleet takes.
-type footprint struct {
-	// heap is live memory in bytes, garbage what is allocated in a second at rest.
-	heap, garbage float64
-	// goroutines and groups are how many there are.
+func (unreachable) List(context.Context, string) ([]cwplatform.Row, error) { return nil, nil }
+func (unreachable) Commit(context.Context, cwplatform.Change) error        { return nil }
+
+// idleUsage is the resource usage of an idle instance.
+type idleUsage struct {
+	// heap is the live heap in bytes, allocRate the bytes allocated per second.
+	heap, allocRate float64
+	// goroutines and groups are the numbers of goroutines and of created groups.
 	goroutines, groups int
 }
 
-// measure runs one instance of a fleet on virtual time, and returns what it takes at rest.
-func measure(f *fleet) (out footprint) {
+// measureIdleInstance runs one instance without callers on virtual time, and returns
+// its resource usage after a minute.
+func measureIdleInstance(f *fakeStore) (out idleUsage) {
 	before, running := liveHeap(), runtime.NumGoroutine()
 	in := New(Config{
-		Name: instanceName(0), DataCentre: centreName(0), Peers: "10.1.0.0:7440", Grace: 6 * time.Second,
-		Dialer: nobody{}, Source: f, Decoder: f, Table: nobody{}, Era: func() uint64 { return 0 },
-		Clock: clockwork.NewRealClock(), Log: log.NewWithOptions(io.Discard, log.Options{Formatter: log.LogfmtFormatter}), DataCentres: fleetCentres,
+		Name: instanceName(0), DataCentre: dataCentreName(0), Peers: "10.1.0.0:7440", Grace: 6 * time.Second,
+		Dialer: unreachable{}, Source: f, Decoder: f, Table: unreachable{}, Era: func() uint64 { return 0 },
+		Clock: clockwork.NewRealClock(), Log: log.NewWithOptions(io.Discard, log.Options{Formatter: log.LogfmtFormatter}), DataCentres: dataCentreCount,
 	})
-	in.dir.Waits.Desired, in.dir.Waits.Targets = 5*time.Second, 8*time.Second
-	in.dir.Stale.Desired, in.dir.Stale.Targets = 5*time.Second, 8*time.Second
-	in.peers.Dial = func(context.Context, string, string) (cwpeers.Conn, error) { return nil, errNobody }
+	in.directory.Waits.Desired, in.directory.Waits.Targets = 5*time.Second, 8*time.Second
+	in.directory.Stale.Desired, in.directory.Stale.Targets = 5*time.Second, 8*time.Second
+	in.peers.Dial = func(context.Context, string, string) (cwpeers.Conn, error) { return nil, errUnreachable }
 	ctx, cancel := context.WithCancel(context.Background())
 	eg, ctx := errgroup.WithContext(ctx)
 	in.engine.Start(ctx, eg)
-	eg.Go(func() error { return in.dir.Run(ctx) })
+	eg.Go(func() error { return in.directory.Run(ctx) })
 	eg.Go(func() error { return in.members.Run(ctx) })
 	eg.Go(func() error { return in.peers.Run(ctx) })
 	time.Sleep(time.Minute)
@@ -178,10 +183,10 @@
 			out.groups++
 		}
 	}
-	const rest = 10
+	const seconds = 10
 	allocated := totalAllocated()
-	time.Sleep(rest * time.Second)
-	out.garbage = (totalAllocated() - allocated) / rest
+	time.Sleep(seconds * time.Second)
+	out.allocRate = (totalAllocated() - allocated) / seconds
 	cancel()
 	_ = eg.Wait()
 	return out
@@ -201,17 +206,18 @@
 	return float64(m.TotalAlloc)
 }
 
-// Guards against an instance whose part in the deployment grows with the number of groups.
-func TestInstanceOfAFleetMakesTheGroupsThatItHolds(t *testing.T) {
+// Guards against work that grows with the number of all groups: an instance creates
+// only the groups that it holds.
+func TestInstanceCreatesOnlyHeldGroups(t *testing.T) {
 	for _, n := range []int{60, 240} {
 		t.Run(fmt.Sprintf("%d instances", n), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := newFleet(n, 2*cwholder.ManyGroups)
-				took := measure(f)
+				f := newFakeStore(n, 2*cwholder.ManyGroups)
+				usage := measureIdleInstance(f)
 				held := 0
 				all := make([]cwholder.Instance, 0, n)
 				for i := range n {
-					all = append(all, cwholder.Instance{ID: instanceName(i), DataCentre: centreName(i)})
+					all = append(all, cwholder.Instance{ID: instanceName(i), DataCentre: dataCentreName(i)})
 				}
 				for g := range f.groups {
 					for _, h := range cwholder.Holders(groupName(g), all, cwholder.Demand{Connections: 278, Slots: 3, Many: true}) {
@@ -220,29 +226,29 @@
 						}
 					}
 				}
-				qt.Assert(t, took.groups, qt.Equals, held)
+				qt.Assert(t, usage.groups, qt.Equals, held)
 			})
 		})
 	}
 }
 
-// Guards against work at rest for groups that others hold.
-func TestInstanceOfAFleetAtRest(t *testing.T) {
+// Guards against work of an idle instance for groups that only other instances hold.
+func TestIdleInstanceAllocatesOnlyForHeldGroups(t *testing.T) {
 	for _, size := range []struct{ instances, groups int }{{30, 100}, {100, 333}, {300, 1000}, {986, 1000}, {2000, 2000}} {
 		t.Run(fmt.Sprintf("%d instances, %d groups", size.instances, size.groups), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				took := measure(newFleet(size.instances, size.groups))
+				usage := measureIdleInstance(newFakeStore(size.instances, size.groups))
 				t.Logf("%.1f MB live, %.0f kB of garbage a second, %d goroutines, %d groups made",
-					took.heap/1e6, took.garbage/1e3, took.goroutines, took.groups)
+					usage.heap/1e6, usage.allocRate/1e3, usage.goroutines, usage.groups)
 				if size.groups > cwholder.ManyGroups {
-					perGroup := took.garbage / float64(max(1, took.groups))
-					qt.Assert(t, perGroup < garbageOfAGroup, qt.IsTrue, qt.Commentf("%.0f bytes a second for each group that is held", perGroup))
+					perGroup := usage.allocRate / float64(max(1, usage.groups))
+					qt.Assert(t, perGroup < maxAllocRatePerGroup, qt.IsTrue, qt.Commentf("%.0f bytes a second for each group that is held", perGroup))
 				}
 			})
 		})
 	}
 }
 
-// garbageOfAGroup bounds what a group that is held, and whose targets do not answer,
-// allocates in a second, in bytes: some questions to each of three targets, twenty times.
-const garbageOfAGroup = 500e3
+// maxAllocRatePerGroup bounds the bytes that a held group whose targets don't answer
+// allocates in a second: some requests to each of three targets, twenty times a second.
+const maxAllocRatePerGroup = 500e3
--- a/internal/proxy/cwinstance/instance.go
+++ b/internal/proxy/cwinstance/instance.go
@@ -1,5 +1,7 @@
-// Package cwinstance is one instance of the proxy on a platform: it joins the
-// engine, the directory and the listeners, and ends them in order.
+// Package cwinstance assembles one instance of the proxy: the engine that serves
+// callers, the directory that follows the platform's store, the connections to
+// other instances, the quota meter, and the listeners. It starts them together and
+// stops them in order.
 package cwinstance
 
 import (
@@ -30,75 +32,84 @@
 	"cicadawalk.example/cicadawalk/internal/wire/cwplatform"
 )
 
-// Error is the class of failures to start an instance.
+// Error is the class of errors that Run returns.
 var Error = errs.Class("instance")
 
-// probeTimeout bounds a probe's request headers.
+// probeTimeout bounds reading the headers of an HTTP request.
 const probeTimeout = 5 * time.Second
 
-// Config is what an instance is made with.
+// Config holds the settings and dependencies of an instance.
 type Config struct {
+	// Name is the instance's name, unique among all instances.
 	Name       string
 	DataCentre string
-	// Callers, Ready and Metrics are addresses to listen on, IP:port; Metrics
-	// may be empty.
+	// Callers, Ready and Metrics are the addresses to listen on for callers, health
+	// probes and metrics, IP:port; Metrics may be empty.
 	Callers, Ready, Metrics string
-	// ReadyPath is where the balancer's probe asks.
+	// ReadyPath is the HTTP path of the load balancer's health probe.
 	ReadyPath string
-	Grace     time.Duration
-	Waits     cwdirectory.Waits
-	// GoneAfter is how long after its entry a target is taken as gone.
+	// Grace is the time between the start of a shutdown and the exit of the process.
+	Grace time.Duration
+	Waits cwdirectory.Waits
+	// GoneAfter is how long after its entry disappeared from the list a target is
+	// removed.
 	GoneAfter time.Duration
-	// Turn is the least time between the acts of two holders of a duty.
-	Turn    time.Duration
+	// Turn is the minimum time between changes of primary by two different holders
+	// of a claim.
+	Turn time.Duration
+	// Codec returns the adapter for the protocol of a caller's connection.
 	Codec   func(net.Conn) cwport.Caller
 	Dialer  cwport.Dialer
 	Source  cwport.Source
 	Decoder cwport.Decoder
-	// Stale is how old the word of another instance about the store may be.
+	// Stale is the age beyond which data of the store that came from another instance
+	// is requested from the store itself.
 	Stale cwdirectory.Stale
 	Table cwplatform.Table
-	// Era returns the newest era of the store that any answer has told.
+	// Era returns the newest era of the store in any of its answers so far. The era
+	// increases with each restore of the store from an older copy.
 	Era      func() uint64
 	Promoter cwport.Promoter
 	Clock    clockwork.Clock
 	Log      *log.Logger
-	// Seed makes claim ids unique between runs.
+	// Seed differs for each run of an instance. It makes the ids of claims and
+	// transactions unique.
 	Seed string
-	// Peers is where other instances hand statements over, IP:port.
+	// Peers is the address to listen on for other instances, IP:port.
 	Peers string
-	// KeyBound is how soon nothing may run any more with a key that was taken
-	// away; zero sets no bound.
+	// KeyBound is the time within which a revoked key must be out of use; zero means no
+	// bound.
 	KeyBound time.Duration
-	// DataCentres is how many data centres there are, Quota how exactly quotas
-	// are kept, and FirstStart true if no instance was there before.
+	// DataCentres is the number of data centres, Quota the tolerance within which
+	// quotas are kept, and FirstStart true if no instance ran before. Without a window
+	// in Quota, quotas are not enforced.
 	DataCentres int
 	Quota       cwcatalogue.QuotaRule
 	FirstStart  bool
 }
 
-// Instance is one running proxy. Make one with New.
+// Instance is one proxy process with all its parts. Make one with New.
 type Instance struct {
-	cfg     Config
-	engine  *cwengine.Engine
-	peers   *cwpeers.Peers
-	members *cwmembers.Record
-	path    *cwlead.Path
-	metrics *cwengine.Metrics
-	dir     *cwdirectory.Directory
-	meter   *cwmeter.Meter
+	cfg        Config
+	engine     *cwengine.Engine
+	peers      *cwpeers.Peers
+	members    *cwmembers.Record
+	remotePath *cwlead.Path
+	metrics    *cwengine.Metrics
+	directory  *cwdirectory.Directory
+	meter      *cwmeter.Meter
 }
 
-// New returns an instance that is not running.
+// New returns an instance that serves once Run is called.
 func New(cfg Config) *Instance {
-	in := &Instance{cfg: cfg, path: &cwlead.Path{}, metrics: cwengine.NewMetrics()}
+	in := &Instance{cfg: cfg, remotePath: &cwlead.Path{}, metrics: cwengine.NewMetrics()}
 	in.peers = &cwpeers.Peers{
 		Self:  cwholder.Instance{ID: cfg.Name, DataCentre: cfg.DataCentre, Address: cfg.Peers},
-		Table: cfg.Table, Dial: dialPeer, Clock: cfg.Clock, Log: cfg.Log, FirstStart: cfg.FirstStart, Path: in.path,
+		Table: cfg.Table, Dial: dialPeer, Clock: cfg.Clock, Log: cfg.Log, FirstStart: cfg.FirstStart, Path: in.remotePath,
 	}
-	in.peers.Changed = in.rehold
-	in.members = &cwmembers.Record{Table: cfg.Table, Clock: cfg.Clock, Log: cfg.Log, Place: in.place, Groups: in.groups}
-	in.dir = &cwdirectory.Directory{
+	in.peers.Changed = in.refreshHolders
+	in.members = &cwmembers.Record{Table: cfg.Table, Clock: cfg.Clock, Log: cfg.Log, Place: in.holderRank, Groups: in.groupCount}
+	in.directory = &cwdirectory.Directory{
 		Waits: cfg.Waits, GoneAfter: cfg.GoneAfter, Source: cfg.Source, Sink: in, Clock: cfg.Clock, Log: cfg.Log,
 		Feeders: in.peers, Decoder: cfg.Decoder, Stale: cfg.Stale,
 		Remembered: in.members.Remembered,
@@ -107,11 +118,11 @@
 			Restores: in.metrics.StoreRestores, Outdated: in.metrics.StoreOutdated,
 		},
 	}
-	in.members.Counted = in.counted
+	in.members.Counted = in.countMembers
 	engine := cwengine.Config{
 		Clock: cfg.Clock, Log: cfg.Log, Grace: cfg.Grace, Metrics: in.metrics, NewGroup: in.newGroup,
-		Name: cfg.Name, Seed: cfg.Seed, Holders: in.peers, Path: in.path,
-		KeyBound: cfg.KeyBound, Confirmed: in.dir.Confirmed, Recorded: in.members.Recorded,
+		Name: cfg.Name, Seed: cfg.Seed, Holders: in.peers, Path: in.remotePath,
+		KeyBound: cfg.KeyBound, Confirmed: in.directory.Confirmed, Recorded: in.members.Recorded,
 		FirstStart: cfg.FirstStart,
 	}
 	if cfg.Quota.Window > 0 {
@@ -122,57 +133,61 @@
 		engine.Meter = in.meter
 	}
 	in.engine = cwengine.New(engine)
-	in.metrics.ShowAge(in.age)
+	in.metrics.ShowAge(in.catalogueAge)
 	in.metrics.ShowRevision(func() float64 { return float64(in.engine.Revision()) })
-	in.metrics.ShowEra(func() float64 { return float64(in.dir.Era()) })
+	in.metrics.ShowEra(func() float64 { return float64(in.directory.Era()) })
 	return in
 }
 
-// age returns how old the desired state in force may be, in seconds; centuries
-// before there is one.
-func (in *Instance) age() float64 { return in.cfg.Clock.Since(in.dir.Confirmed()).Seconds() }
+// catalogueAge returns an upper bound for the age of the desired state in force, in
+// seconds. Before there is one, the result is centuries.
+func (in *Instance) catalogueAge() float64 {
+	return in.cfg.Clock.Since(in.directory.Confirmed()).Seconds()
+}
 
-// counted returns the members of each group; nil while the store does not tell of
-// targets.
-func (in *Instance) counted() map[string]cwmembers.Count {
-	if !in.dir.Tells() {
+// countMembers returns the members of each group; nil while the store doesn't answer
+// requests for the list of targets.
+func (in *Instance) countMembers() map[string]cwmembers.Count {
+	if !in.directory.Tells() {
 		return nil
 	}
 	return in.engine.Members()
 }
 
-// quotas returns who answers for the quotas kept here; nil if there are none.
-func (in *Instance) quotas() cwport.QuotaTeller {
+// quotaTeller returns the issuer of quota at this instance; nil if quotas are not
+// enforced.
+func (in *Instance) quotaTeller() cwport.QuotaTeller {
 	if in.meter == nil {
 		return nil
 	}
 	return in.meter
 }
 
-// quota returns the quota of a workspace by the catalogue in force.
+// quota returns the quota of a workspace according to the catalogue in force.
 func (in *Instance) quota(workspace string) (cwcatalogue.Quota, bool) {
 	return in.engine.Quota(workspace)
 }
 
-// place returns this instance's place among the holders of a service's group.
-func (in *Instance) place(service string) (int, bool) { return in.engine.Place(service) }
+// holderRank returns this instance's rank among the holders of a service's group, and
+// false if it doesn't hold the group.
+func (in *Instance) holderRank(service string) (int, bool) { return in.engine.Place(service) }
 
-func (in *Instance) groups() int { return in.engine.Groups() }
+func (in *Instance) groupCount() int { return in.engine.Groups() }
 
-func (in *Instance) rehold() { in.engine.Rehold() }
+func (in *Instance) refreshHolders() { in.engine.Rehold() }
 
 func dialPeer(ctx context.Context, name, address string) (cwpeers.Conn, error) {
 	return cwhandover.Dial(ctx, name, address)
 }
 
-// dialer counts the connections that it opens.
-type dialer struct {
+// countingDialer counts the connections to targets in the metrics.
+type countingDialer struct {
 	cwport.Dialer
 	metrics *cwengine.Metrics
 }
 
 // Dial implements cwport.Dialer.
-func (d dialer) Dial(ctx context.Context, to cwport.Endpoint, workspace string) (cwport.Target, error) {
+func (d countingDialer) Dial(ctx context.Context, to cwport.Endpoint, workspace string) (cwport.Target, error) {
 	d.metrics.Startups.Inc()
 	return d.Dialer.Dial(ctx, to, workspace)
 }
@@ -180,20 +195,21 @@
 func (in *Instance) newGroup(service string) *cwlead.Group {
 	return cwlead.New(cwlead.Config{
 		Self: cwfailover.InstanceID(in.cfg.Name), DataCentre: in.cfg.DataCentre, Service: service,
-		Clock: in.cfg.Clock, Log: in.cfg.Log, Dialer: dialer{in.cfg.Dialer, in.metrics}, Table: in.cfg.Table,
-		Era: in.cfg.Era, Promoter: in.cfg.Promoter, Turn: in.cfg.Turn, Seed: in.cfg.Seed, Path: in.path,
+		Clock: in.cfg.Clock, Log: in.cfg.Log, Dialer: countingDialer{in.cfg.Dialer, in.metrics}, Table: in.cfg.Table,
+		Era: in.cfg.Era, Promoter: in.cfg.Promoter, Turn: in.cfg.Turn, Seed: in.cfg.Seed, Path: in.remotePath,
 	})
 }
 
-// Run serves until ctx ends, then lets the sessions end.
+// Run serves until ctx ends. Then it drains the engine, so that sessions can end,
+// and stops the other parts. It also stops if one of them fails.
 func (in *Instance) Run(ctx context.Context) error {
-	callers, err := net.Listen("tcp4", in.cfg.Callers)
+	callerListener, err := net.Listen("tcp4", in.cfg.Callers)
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	others, err := net.Listen("tcp4", in.cfg.Peers)
+	peerListener, err := net.Listen("tcp4", in.cfg.Peers)
 	if err != nil {
-		_ = callers.Close()
+		_ = callerListener.Close()
 		return Error.Wrap(err)
 	}
 	run, stop := context.WithCancel(context.Background())
@@ -203,21 +219,21 @@
 	if in.meter != nil {
 		in.meter.Start()
 	}
-	probes := []*http.Server{in.server(in.cfg.Ready, in.cfg.ReadyPath, in.ready)}
+	httpServers := []*http.Server{in.newHTTPServer(in.cfg.Ready, in.cfg.ReadyPath, in.serveReady)}
 	if in.cfg.Metrics != "" {
-		probes = append(probes, in.server(in.cfg.Metrics, "/metrics", in.writeMetrics))
+		httpServers = append(httpServers, in.newHTTPServer(in.cfg.Metrics, "/metrics", in.serveMetrics))
 	}
-	for _, p := range probes {
+	for _, p := range httpServers {
 		eg.Go(func() error { return serveHTTP(p) })
 	}
-	eg.Go(func() error { return in.loopMemory(run) })
-	eg.Go(func() error { return in.dir.Run(run) })
+	eg.Go(func() error { return in.loopReleaseMemory(run) })
+	eg.Go(func() error { return in.directory.Run(run) })
 	eg.Go(func() error { return in.members.Run(run) })
 	eg.Go(func() error { return in.peers.Run(run) })
 	eg.Go(func() error {
-		return (&cwhandover.Server{Handler: in.engine, News: in.dir, Quotas: in.quotas()}).Run(run, others)
+		return (&cwhandover.Server{Handler: in.engine, News: in.directory, Quotas: in.quotaTeller()}).Run(run, peerListener)
 	})
-	eg.Go(func() error { return in.engine.Serve(callers, in.cfg.Codec) })
+	eg.Go(func() error { return in.engine.Serve(callerListener, in.cfg.Codec) })
 	in.cfg.Log.Info("started", "instance", in.cfg.Name, "dataCentre", in.cfg.DataCentre, "listen", in.cfg.Callers)
 	select {
 	case <-ctx.Done():
@@ -225,8 +241,8 @@
 	case <-run.Done():
 	}
 	stop()
-	_ = callers.Close()
-	for _, p := range probes {
+	_ = callerListener.Close()
+	for _, p := range httpServers {
 		_ = p.Close()
 	}
 	err = eg.Wait()
@@ -234,7 +250,7 @@
 	return Error.Wrap(err)
 }
 
-func (in *Instance) server(address, path string, h http.HandlerFunc) *http.Server {
+func (in *Instance) newHTTPServer(address, path string, h http.HandlerFunc) *http.Server {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+path, h)
 	return &http.Server{Addr: address, Handler: mux, ReadHeaderTimeout: probeTimeout}
@@ -248,13 +264,13 @@
 	return err
 }
 
-func (in *Instance) ready(w http.ResponseWriter, _ *http.Request) {
+func (in *Instance) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if !in.engine.Probe() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-func (in *Instance) writeMetrics(w http.ResponseWriter, _ *http.Request) { in.metrics.Write(w) }
+func (in *Instance) serveMetrics(w http.ResponseWriter, _ *http.Request) { in.metrics.Write(w) }
 
 // SetCatalogue implements cwdirectory.Sink.
 func (in *Instance) SetCatalogue(c cwcatalogue.Catalogue) { in.engine.SetCatalogue(c) }
--- a/internal/proxy/cwinstance/memory.go
+++ b/internal/proxy/cwinstance/memory.go
@@ -7,63 +7,67 @@
 	"time"
 )
 
-// Memory beside what is in use.
+// Limits of heap memory that is not in use.
 const (
-	// memoryEvery is how often it is looked at.
-	memoryEvery = 5 * time.Second
-	// keptMost is how much may be kept free, in bytes. An instance in steady work
-	// keeps one or two megabytes; after a large change it is tens.
-	keptMost = 8 << 20
-	// largeHeap is the live heap, in bytes, from which the collector runs sooner:
-	// that of an instance before hundreds of groups. Smaller ones save nothing that
-	// is worth the processor time.
+	// memoryCheckInterval is the interval at which the heap is checked.
+	memoryCheckInterval = 5 * time.Second
+	// maxFreeHeap is the amount of free heap, in bytes, beyond which it is returned to
+	// the system. In steady operation one or two megabytes are free, after a large
+	// change tens of megabytes.
+	maxFreeHeap = 8 << 20
+	// largeHeap is the live heap, in bytes, beyond which garbage is collected sooner.
+	// An instance with hundreds of groups has that much. With a smaller heap the saved
+	// memory is not worth the processor time.
 	largeHeap = 6 << 20
-	// usualGrowth and largeGrowth are by how much a heap may grow, in percent,
-	// before it is collected.
-	usualGrowth = 100
-	largeGrowth = 40
+	// defaultGCPercent and largeHeapGCPercent are the growth of the heap, in percent of
+	// the live heap, after which garbage is collected (GOGC).
+	defaultGCPercent   = 100
+	largeHeapGCPercent = 40
 )
 
-// The runtime's names of heap that is neither used nor given back, and of what was
-// live at the last collection; both in bytes.
+// The runtime's metrics of heap that is neither in use nor returned to the system, and
+// of the heap that was live at the last collection; both in bytes.
 const (
-	freeMemory = "/memory/classes/heap/free:bytes"
-	liveMemory = "/gc/heap/live:bytes"
+	freeHeapMetric = "/memory/classes/heap/free:bytes"
+	liveHeapMetric = "/gc/heap/live:bytes"
 )
 
-// loopMemory keeps an instance small that knows a large deployment.
+// loopReleaseMemory limits the memory of an instance in a large deployment, until ctx
+// ends. It always returns nil.
 //
-// The failure: each change of a large catalogue, or of hundreds of instances' rows,
-// takes several times what is known at rest while it is read. The runtime lets as
-// much garbage come together as there is heap, and gives what it does not need back
-// over minutes; until then an instance holds it, beside whatever else runs on its
-// machine. With 300 instances and 1,000 groups 17 MB were in use of 50.
-func (in *Instance) loopMemory(ctx context.Context) error {
-	sample := []metrics.Sample{{Name: freeMemory}, {Name: liveMemory}}
+// Decoding a change of a large catalogue, or of the rows of hundreds of instances,
+// temporarily takes several times the memory that the decoded state takes. By
+// default the runtime lets garbage grow to the size of the live heap and returns
+// unused memory only over minutes, and until then it is missing for other processes
+// on the machine. With 300 instances and 1,000 groups, an instance used 17 MB of the
+// 50 MB that it held.
+func (in *Instance) loopReleaseMemory(ctx context.Context) error {
+	sample := []metrics.Sample{{Name: freeHeapMetric}, {Name: liveHeapMetric}}
 	for {
 		select {
-		case <-in.cfg.Clock.After(memoryEvery):
+		case <-in.cfg.Clock.After(memoryCheckInterval):
 		case <-ctx.Done():
 			return nil
 		}
 		metrics.Read(sample)
-		debug.SetGCPercent(growth(size(sample[1])))
-		if size(sample[0]) > keptMost {
+		debug.SetGCPercent(gcPercent(sampleBytes(sample[1])))
+		if sampleBytes(sample[0]) > maxFreeHeap {
 			debug.FreeOSMemory()
 		}
 	}
 }
 
-// growth returns by how much a heap may grow before it is collected, in percent.
-func growth(live uint64) int {
+// gcPercent returns the value of GOGC for an amount of live heap, in bytes.
+func gcPercent(live uint64) int {
 	if live > largeHeap {
-		return largeGrowth
+		return largeHeapGCPercent
 	}
-	return usualGrowth
+	return defaultGCPercent
 }
 
-// size returns a sample in bytes; zero if this runtime does not know it.
-func size(s metrics.Sample) uint64 {
+// sampleBytes returns the value of a sample in bytes; zero if this version of the
+// runtime doesn't have the metric.
+func sampleBytes(s metrics.Sample) uint64 {
 	if s.Value.Kind() != metrics.KindUint64 {
 		return 0
 	}
