--- a/internal/proxy/cwnode/catalogue.go
+++ b/internal/proxy/cwnode/catalogue.go
@@ -18,38 +18,43 @@
 	"cicadawalk.example/cicadawalk/internal/wire/cwtarget"
 )
 
-// Times of keeping the catalogue and the shares up to date.
+// Intervals and limits of updating the catalogue and the connection shares.
 const (
-	// pollFast is how often the pollers read the table's revision, pollSlow how
-	// often everybody else does, in case the heartbeats do not reach them.
-	pollFast = time.Second
-	pollSlow = 10 * time.Second
-	// pollers is how many proxies poll fast, so that the table's reads do not
-	// grow with the proxies.
-	pollers = 3
-	// sharesEvery is how often shares are worked out anew.
-	sharesEvery = 100 * time.Millisecond
-	// spareControl is the connections to a target that are set aside besides
-	// one for each proxy: fresh probes, and cancel requests.
-	spareControl = 2
+	// fastPollInterval is the interval at which fastPollers of the proxies read the
+	// table's revision. The others learn of a new revision from heartbeats, and read
+	// the table at slowPollInterval in case heartbeats don't reach them.
+	fastPollInterval = time.Second
+	slowPollInterval = 10 * time.Second
+	// fastPollers is the number of proxies that poll at fastPollInterval. It is fixed,
+	// so that the reads of the table don't grow with the number of proxies.
+	fastPollers = 3
+	// sharesInterval is the interval at which connection shares are recomputed.
+	sharesInterval = 100 * time.Millisecond
+	// extraControlConns is the number of connections to a target that are reserved, in
+	// addition to one for each proxy, for probes on new connections and for cancel
+	// requests.
+	extraControlConns = 2
 )
 
-// loopCatalogue reads the table for new revisions.
+// loopCatalogue polls the table for new revisions until ctx ends. It always returns
+// nil.
 func (n *Node) loopCatalogue(ctx context.Context) error {
 	for ctx.Err() == nil {
 		n.pollTable(ctx)
-		wait := pollSlow
-		if !n.Ready() || cwplace.Rank(n.cfg.Instance, "catalogue", n.Live()) < pollers {
-			wait = pollFast
+		wait := slowPollInterval
+		if !n.Ready() || cwplace.Rank(n.cfg.Instance, "catalogue", n.Live()) < fastPollers {
+			wait = fastPollInterval
 		}
 		if !n.Ready() {
-			wait = pollFast / 5
+			wait = fastPollInterval / 5
 		}
-		n.pause(ctx, wait)
+		n.sleep(ctx, wait)
 	}
 	return nil
 }
 
+// pollTable reads the catalogue from the table. Until the node is ready, it also asks
+// the partners.
 func (n *Node) pollTable(ctx context.Context) {
 	n.mu.RLock()
 	known := n.catalogue
@@ -58,30 +63,31 @@
 	if err != nil {
 		n.cfg.Log.Debug("tableAway", "error", err)
 		if !n.Ready() {
-			n.askPartners(ctx)
+			n.fetchFromPartners(ctx)
 		}
 		return
 	}
-	n.adopt(next)
+	n.applyIfNewer(next)
 	if !n.Ready() && next.Revision > 0 {
-		// The table may serve an old row: whoever answers may know better.
-		n.askPartners(ctx)
-		n.synced.Store(true)
+		// The table may return an outdated row, and a partner may have a later revision.
+		n.fetchFromPartners(ctx)
+		n.catalogueLoaded.Store(true)
 	}
 }
 
-// askPartners takes the highest revision among the partners that answer.
-func (n *Node) askPartners(ctx context.Context) {
+// fetchFromPartners requests the catalogue from all partners and applies the highest
+// revision.
+func (n *Node) fetchFromPartners(ctx context.Context) {
 	for _, p := range n.partnerList() {
-		if n.takeFrom(ctx, p) {
-			n.synced.Store(true)
+		if n.fetchCatalogue(ctx, p) {
+			n.catalogueLoaded.Store(true)
 		}
 	}
 }
 
-// takeFrom takes a partner's catalogue if it is newer. It returns whether the
-// partner has one.
-func (n *Node) takeFrom(ctx context.Context, p *cwpeer.Partner) bool {
+// fetchCatalogue requests a partner's catalogue and applies it if it is newer. It
+// reports whether the partner has a catalogue that could be read.
+func (n *Node) fetchCatalogue(ctx context.Context, p *cwpeer.Partner) bool {
 	n.mu.RLock()
 	known := n.catalogue
 	n.mu.RUnlock()
@@ -104,54 +110,55 @@
 	if err != nil {
 		return false
 	}
-	n.adopt(next)
+	n.applyIfNewer(next)
 	return true
 }
 
-// step is what one revision changed.
-type step struct {
+// revisionChange is the parts of the catalogue that one revision changed, encoded.
+type revisionChange struct {
 	revision cwcatalogue.Revision
 	changed  map[string][]byte
 }
 
-// maxSteps is how many revisions back a proxy can tell its partners what
-// changed; whoever is further behind gets the whole catalogue.
-const maxSteps = 64
+// maxRevisionChanges is the number of latest revisions whose changes are kept. A
+// partner that is further behind gets the whole catalogue.
+const maxRevisionChanges = 64
 
-// remember keeps what the move from old to next changed. The caller holds mu.
-func (n *Node) remember(old, next cwcatalogue.Catalogue) {
+// recordChange appends the difference between old and next to changes. The caller holds
+// mu.
+func (n *Node) recordChange(old, next cwcatalogue.Catalogue) {
 	changed, err := cwcodec.Changed(old, next)
 	if err != nil || old.Revision == 0 {
-		n.steps = nil
+		n.changes = nil
 		return
 	}
-	n.steps = append(n.steps, step{revision: next.Revision, changed: changed})
-	if len(n.steps) == 1 {
-		n.stepsFrom = old.Revision
+	n.changes = append(n.changes, revisionChange{revision: next.Revision, changed: changed})
+	if len(n.changes) == 1 {
+		n.changesBase = old.Revision
 	}
-	if len(n.steps) > maxSteps {
-		n.stepsFrom = n.steps[0].revision
-		n.steps = n.steps[1:]
+	if len(n.changes) > maxRevisionChanges {
+		n.changesBase = n.changes[0].revision
+		n.changes = n.changes[1:]
 	}
 }
 
 // CatalogueSince implements cwpeer.Handler.
 func (n *Node) CatalogueSince(r cwcatalogue.Revision) (cwpeer.Update, error) {
 	n.mu.RLock()
-	c, steps, from := n.catalogue, n.steps, n.stepsFrom
+	c, changes, base := n.catalogue, n.changes, n.changesBase
 	n.mu.RUnlock()
 	u := cwpeer.Update{Base: r, Revision: c.Revision}
 	if r >= c.Revision {
 		return u, nil
 	}
-	if r == from || slices.ContainsFunc(steps, func(s step) bool { return s.revision == r }) {
+	if r == base || slices.ContainsFunc(changes, func(s revisionChange) bool { return s.revision == r }) {
 		u.Changed = make(map[string][]byte)
-		for _, s := range steps {
+		for _, s := range changes {
 			if s.revision > r {
 				maps.Copy(u.Changed, s.changed)
 			}
 		}
-		if len(steps) > 0 {
+		if len(changes) > 0 {
 			return u, nil
 		}
 	}
@@ -160,36 +167,37 @@
 	return u, err
 }
 
-// adopt moves to a catalogue if its revision is higher, and to no other: a
-// change that was accepted never reverts, whoever serves an old row.
-func (n *Node) adopt(c cwcatalogue.Catalogue) {
+// applyIfNewer applies a catalogue if its revision is higher than the current one.
+// An older one is ignored, so that an outdated row of the table or an outdated partner
+// never reverts a change that was accepted.
+func (n *Node) applyIfNewer(c cwcatalogue.Catalogue) {
 	n.mu.Lock()
 	if !c.NewerThan(n.catalogue) {
 		n.mu.Unlock()
 		return
 	}
 	old := n.catalogue
-	n.remember(old, c)
+	n.recordChange(old, c)
 	n.catalogue = c
 	n.entries = make(map[string]cwcatalogue.Entry, len(c.Entries))
 	for _, e := range c.Entries {
 		n.entries[e.Service] = e
 	}
-	after := n.place(c)
+	startAfterUnlock := n.reconcile(c)
 	n.revision.Store(uint64(c.Revision))
 	n.mu.Unlock()
-	for _, f := range after {
+	for _, f := range startAfterUnlock {
 		f()
 	}
 	n.cfg.Log.Info("catalogueInForce", "revision", c.Revision, "before", old.Revision)
 	n.updateShares()
-	go n.beat(n.run)
+	go n.sendHeartbeats(n.runCtx)
 }
 
-// place starts and stops groups and pools to match a catalogue. The caller
-// holds mu, and calls what is returned once it does not: a group's lock is
-// taken before mu, never after.
-func (n *Node) place(c cwcatalogue.Catalogue) (after []func()) {
+// reconcile creates and removes groups and pools to match a catalogue. The caller holds
+// mu, and calls the returned functions after it has released mu: they take the locks
+// of groups, which are taken before mu, never while it is held.
+func (n *Node) reconcile(c cwcatalogue.Catalogue) (startAfterUnlock []func()) {
 	wanted := make(map[string]bool)
 	members := make(map[cwgroup.MemberID]bool)
 	for _, e := range c.Entries {
@@ -197,9 +205,9 @@
 			wanted[g.Name] = true
 			for _, t := range g.Targets {
 				members[t.ID] = true
-				n.placePool(e, t)
+				n.reconcilePool(e, t)
 			}
-			after = append(after, n.placeGroup(c, e, g))
+			startAfterUnlock = append(startAfterUnlock, n.reconcileGroup(c, e, g))
 		}
 	}
 	for name, g := range n.groups {
@@ -214,10 +222,12 @@
 			delete(n.pools, id)
 		}
 	}
-	return after
+	return startAfterUnlock
 }
 
-func (n *Node) placePool(e cwcatalogue.Entry, t cwcatalogue.Target) {
+// reconcilePool creates the pool of a target if there is none, or replaces it if its
+// address or service changed. The caller holds mu.
+func (n *Node) reconcilePool(e cwcatalogue.Entry, t cwcatalogue.Target) {
 	if p, ok := n.pools[t.ID]; ok {
 		if p.Address == t.Address && p.service == e.Service {
 			return
@@ -235,7 +245,10 @@
 	}
 }
 
-func (n *Node) placeGroup(c cwcatalogue.Catalogue, e cwcatalogue.Entry, g cwcatalogue.Group) func() {
+// reconcileGroup creates a group if there is none, or replaces it if its members changed.
+// It returns the function that starts or updates the group, to be called without mu. The
+// caller holds mu.
+func (n *Node) reconcileGroup(c cwcatalogue.Catalogue, e cwcatalogue.Entry, g cwcatalogue.Group) func() {
 	var stopping []cwgroup.MemberID
 	for _, t := range g.Targets {
 		if c.Stopping(t.ID) {
@@ -251,8 +264,8 @@
 		}
 		old.cancel()
 	}
-	ctx, cancel := context.WithCancel(n.run)
-	live := cwwatch.New(cwwatch.Config{
+	ctx, cancel := context.WithCancel(n.runCtx)
+	group := cwwatch.New(cwwatch.Config{
 		Self:     n.instanceID(),
 		Service:  e.Service,
 		Group:    g,
@@ -262,54 +275,58 @@
 		Log:      n.cfg.Log,
 		Table:    n.cfg.Table,
 		Watchers: n,
-		Journal:  n.journal,
+		Journal:  n.audit,
 		Pools:    n,
 		Seed:     n.cfg.Seed,
 	})
-	n.groups[g.Name] = &runningGroup{Group: live, spec: g, cancel: cancel}
+	n.groups[g.Name] = &runningGroup{Group: group, spec: g, cancel: cancel}
 	return func() {
-		live.SetStopping(stopping)
-		n.groupsEG.Go(func() error { return live.Run(ctx) })
+		group.SetStopping(stopping)
+		n.groupsEG.Go(func() error { return group.Run(ctx) })
 	}
 }
 
+// distance returns the one-way delay between this instance's data centre and another, as
+// the catalogue has it.
 func (n *Node) distance(dc string) time.Duration {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
 	return n.catalogue.Distance(n.cfg.DataCentre, dc)
 }
 
-// loopShares keeps this proxy's shares of the targets' connections.
+// loopShares updates this proxy's shares of the targets' connections, the audit trail
+// and the failover metric until ctx ends. It always returns nil.
 func (n *Node) loopShares(ctx context.Context) error {
 	for ctx.Err() == nil {
 		n.updateShares()
-		n.noteDrained()
-		n.takeGaps()
-		n.pause(ctx, sharesEvery)
+		n.recordDrained()
+		n.observeFailoverGaps()
+		n.sleep(ctx, sharesInterval)
 	}
 	return nil
 }
 
+// updateShares recomputes this proxy's share of each target's connections.
 func (n *Node) updateShares() {
 	now := n.cfg.Clock.Now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	holders := n.holdersLocked()
+	holders := n.connectionHoldersLocked()
 	for id, p := range n.pools {
 		e, ok := n.entries[p.service]
 		if !ok {
 			continue
 		}
-		s := cwlimit.Shares{Limit: e.Contract.Connections, Control: len(holders) + spareControl}
-		p.held.Lag = n.cfg.ListLag + 2*n.listIntervalLocked()
-		share := p.held.Update(s.Of(n.cfg.Instance, string(id), holders), now)
+		s := cwlimit.Shares{Limit: e.Contract.Connections, Control: len(holders) + extraControlConns}
+		p.delayedShare.Lag = n.cfg.ListLag + 2*n.listIntervalLocked()
+		share := p.delayedShare.Update(s.Of(n.cfg.Instance, string(id), holders), now)
 		p.SetLimits(share, e.Contract.QueueLimit)
 	}
 }
 
-// noteDrained records in the audit trail when a target that is to be left in
-// peace leads no group and has no more work of this proxy.
-func (n *Node) noteDrained() {
+// recordDrained records in the audit trail when a target with a planned stop is no
+// longer a primary and has no statements of this proxy in progress.
+func (n *Node) recordDrained() {
 	leads := make(map[cwgroup.MemberID]bool)
 	for _, g := range n.groupList() {
 		if p, ok := g.View().Primary(); ok {
@@ -326,15 +343,15 @@
 		}
 		if !leads[id] && p.Stats().Busy == 0 {
 			p.drained = true
-			n.journal.Record("targetDrained", string(id), "in use", "left in peace")
+			n.audit.Record("targetDrained", string(id), "in use", "left in peace")
 		}
 	}
 }
 
-func (n *Node) takeGaps() {
+func (n *Node) observeFailoverGaps() {
 	for _, g := range n.groupList() {
 		for _, gap := range g.TakeGaps() {
-			n.gap.Update(gap.Seconds())
+			n.failoverGap.Update(gap.Seconds())
 		}
 	}
 }
--- a/internal/proxy/cwnode/bench_test.go
+++ b/internal/proxy/cwnode/cluster_test.go
@@ -20,16 +20,17 @@
 
 var background = context.Background()
 
-// bench is a running demo with a link before each database.
-type bench struct {
+// testCluster is a running demo cluster. All connections to a database pass through a
+// link, which can inject network faults; links[i] belongs to Databases[i].
+type testCluster struct {
 	*cwdemo.Bench
 	links []*cwlink.Link
 }
 
-func newBench(t *testing.T, opts cwdemo.Options) (*qt.C, *bench) {
+func newTestCluster(t *testing.T, opts cwdemo.Options) (*qt.C, *testCluster) {
 	t.Helper()
 	c := qt.New(t)
-	b := &bench{}
+	b := &testCluster{}
 	if opts.Proxies == 0 {
 		opts.Proxies = 2
 	}
@@ -47,7 +48,7 @@
 	return c, b
 }
 
-func (b *bench) urls() []string {
+func (b *testCluster) urls() []string {
 	var out []string
 	for i := range b.Proxies {
 		out = append(out, b.URL(i))
@@ -55,7 +56,7 @@
 	return out
 }
 
-func (b *bench) connect(c *qt.C, proxy int, params ...string) *pgx.Conn {
+func (b *testCluster) connect(c *qt.C, proxy int, params ...string) *pgx.Conn {
 	c.Helper()
 	cfg, err := pgx.ParseConfig(b.URL(proxy))
 	c.Assert(err, qt.IsNil)
@@ -68,12 +69,13 @@
 	return conn
 }
 
-func (b *bench) store() cwstore.Store {
+func (b *testCluster) store() cwstore.Store {
 	return cwstore.Store{Table: &cwplatform.Client{URL: b.Platform.URL()}}
 }
 
-// load runs sessions that roam, with request keys, while fault happens.
-func (b *bench) load(c *qt.C, d time.Duration, change func(*cwload.Plan), fault func()) *cwload.Report {
+// runLoad runs roaming sessions with request keys for d, and calls fault after a quarter
+// of d. change modifies the plan before; it may be nil.
+func (b *testCluster) runLoad(c *qt.C, d time.Duration, change func(*cwload.Plan), fault func()) *cwload.Report {
 	c.Helper()
 	plan := cwload.Plan{
 		URLs: b.urls(), Sessions: 8, Duration: d, WriteShare: 0.3, Rate: 400, RoamEvery: 15,
@@ -82,7 +84,8 @@
 	if change != nil {
 		change(&plan)
 	}
-	// A fault that comes while the table is made ready is none of the load.
+	// The time counts from the start of the sessions, so that the fault does not hit the
+	// creation of the table.
 	plan.Begin = func() {
 		timer := time.AfterFunc(d/4, fault)
 		c.Cleanup(func() { timer.Stop() })
@@ -92,8 +95,8 @@
 	return rep
 }
 
-// assertKept checks the promises of a load.
-func assertKept(c *qt.C, rep *cwload.Report) {
+// assertGuarantees checks that a load met the guarantees and had no other errors.
+func assertGuarantees(c *qt.C, rep *cwload.Report) {
 	c.Helper()
 	c.Check(rep.Lost, qt.Equals, 0)
 	c.Check(rep.Doubled, qt.Equals, 0)
@@ -143,7 +146,7 @@
 	c.Fatalf("%s did not happen", what)
 }
 
-func setKey(c *qt.C, conn *pgx.Conn, key string) {
+func setRequestKey(c *qt.C, conn *pgx.Conn, key string) {
 	c.Helper()
 	exec(c, conn, fmt.Sprintf("SET cicadawalk.requestKey = '%s'", key))
 }
--- a/internal/proxy/cwnode/node.go
+++ b/internal/proxy/cwnode/node.go
@@ -1,10 +1,11 @@
-// Package cwnode is one proxy: it joins the catalogue, the groups, the pools,
-// the callers' sessions and the other proxies.
+// Package cwnode assembles one PostgreSQL proxy: the catalogue, the groups, the
+// connection pools, the server for callers' sessions, the connections to other
+// proxies, and the HTTP endpoints.
 //
-// Nothing that a node keeps is needed after it is gone. The catalogue comes
-// from the platform's table or, while that is away, from other proxies; who
-// leads a group comes from the group's own members; what a session has seen is
-// with its caller.
+// A node keeps no state that is needed after its process has ended. The catalogue
+// is in the platform's table and, while that is unavailable, at other proxies; the
+// primary of a group is known from the group's members; and the position up to which
+// a session has read or written is in the token that its caller keeps.
 package cwnode
 
 import (
@@ -34,104 +35,110 @@
 	"cicadawalk.example/cicadawalk/internal/wire/cwstore"
 )
 
-// Error is the class of failures to start or run a node.
+// Error is the class of errors that New returns.
 var Error = errs.Class("proxy")
 
-// serverVersion is what callers are told; drivers choose features by it.
+// serverVersion is the server version that is reported to callers. Drivers decide by
+// it which features they use.
 const serverVersion = "16.0 (cicadawalk)"
 
-// Config is what a node is made with.
+// Config holds the settings and dependencies of a node.
 type Config struct {
-	// Instance is this instance's id, as the platform lists it.
+	// Instance is this instance's id in the platform's list.
 	Instance string
-	// DataCentre is where this instance is.
+	// DataCentre is the name of this instance's data centre.
 	DataCentre string
-	// Listen, PeerListen and HTTPListen are IP addresses and ports for callers,
-	// other proxies, and metrics.
+	// Listen, PeerListen and HTTPListen are the addresses to listen on for callers,
+	// other proxies, and HTTP, IP:port.
 	Listen, PeerListen, HTTPListen string
 	Table                          cwplatform.Table
 	Instances                      cwplatform.Instances
-	// Peers are addresses of other proxies to ask while the platform is away.
+	// Peers are the addresses of other proxies to contact while the platform's list
+	// could not be read or names no other proxy.
 	Peers []string
-	// ListLag is the longest time by which the list of instances lags.
+	// ListLag is the maximum time by which the list of instances is out of date.
 	ListLag time.Duration
-	// DrainTimeout bounds the shutdown.
+	// DrainTimeout bounds the time in which sessions may end during a shutdown.
 	DrainTimeout time.Duration
 	Clock        clockwork.Clock
 	Log          *log.Logger
-	// Seed makes ids unique between runs of an instance.
+	// Seed differs for each run of an instance. It makes the ids of claims and audit
+	// records unique.
 	Seed string
 }
 
 // Node is one proxy. Make one with New.
 type Node struct {
-	cfg     Config
-	store   cwstore.Store
-	server  *cwfront.Server
-	set     *metrics.Set
-	gap     *metrics.Histogram
-	journal *journal
-
-	// run is done once the node shuts down; groups run under it.
-	run      context.Context
+	cfg         Config
+	store       cwstore.Store
+	server      *cwfront.Server
+	metricSet   *metrics.Set
+	failoverGap *metrics.Histogram
+	audit       *auditRecorder
+
+	// runCtx ends when the node has drained. The groups run under it, in groupsEG.
+	runCtx   context.Context
 	groupsEG *errgroup.Group
 
-	revision atomic.Uint64
-	synced   atomic.Bool
+	revision        atomic.Uint64
+	catalogueLoaded atomic.Bool
 
 	mu        sync.RWMutex
 	catalogue cwcatalogue.Catalogue
 	entries   map[string]cwcatalogue.Entry
-	// steps lead from the revision stepsFrom to the present one.
-	steps     []step
-	stepsFrom cwcatalogue.Revision
-	groups    map[string]*runningGroup
-	pools     map[cwgroup.MemberID]*poolState
-	instances []cwplatform.Instance
-	// live are the ids of the live instances, this one included.
+	// changes are the changes of each revision after changesBase, up to the current one.
+	changes     []revisionChange
+	changesBase cwcatalogue.Revision
+	groups      map[string]*runningGroup
+	pools       map[cwgroup.MemberID]*poolState
+	instances   []cwplatform.Instance
+	// live are the ids of the live instances, including this one.
 	live []string
-	// listed is true once the platform's list was read.
-	listed   bool
-	partners map[string]*cwpeer.Partner
-	// fetching is true while a partner is asked for its catalogue.
+	// instancesListed is true once the platform's list of instances was read.
+	instancesListed bool
+	partners        map[string]*cwpeer.Partner
+	// fetching is true while fetchFromInstance requests a catalogue.
 	fetching bool
 
 	ln, peerLn, httpLn net.Listener
 }
 
+// runningGroup is a group and the catalogue's description that it was created from.
 type runningGroup struct {
 	*cwwatch.Group
 	spec   cwcatalogue.Group
 	cancel context.CancelFunc
 }
 
+// poolState is the pool of a target and this proxy's share of its connections.
 type poolState struct {
 	*cwpool.Pool
-	service string
-	held    cwlimit.Held
-	// drained is true once a stopping target had no work of this proxy left.
+	service      string
+	delayedShare cwlimit.Held
+	// drained is true once the target, which has a planned stop, was no longer a primary
+	// and had no statement of this proxy in progress.
 	drained bool
 }
 
-// New opens the node's listeners.
+// New returns a node with open listeners, which serves once Run is called.
 func New(cfg Config) (*Node, error) {
 	n := &Node{
-		cfg:      cfg,
-		live:     []string{cfg.Instance},
-		store:    cwstore.Store{Table: cfg.Table},
-		set:      metrics.NewSet(),
-		entries:  make(map[string]cwcatalogue.Entry),
-		groups:   make(map[string]*runningGroup),
-		pools:    make(map[cwgroup.MemberID]*poolState),
-		partners: make(map[string]*cwpeer.Partner),
+		cfg:       cfg,
+		live:      []string{cfg.Instance},
+		store:     cwstore.Store{Table: cfg.Table},
+		metricSet: metrics.NewSet(),
+		entries:   make(map[string]cwcatalogue.Entry),
+		groups:    make(map[string]*runningGroup),
+		pools:     make(map[cwgroup.MemberID]*poolState),
+		partners:  make(map[string]*cwpeer.Partner),
 	}
-	n.journal = newJournal(n.store, cfg)
-	n.gap = n.set.NewHistogram("cicadawalk_failover_gap_seconds")
+	n.audit = newAuditRecorder(n.store, cfg)
+	n.failoverGap = n.metricSet.NewHistogram("cicadawalk_failover_gap_seconds")
 	n.server = &cwfront.Server{
 		Services: n,
 		Clock:    cfg.Clock,
 		Log:      cfg.Log,
-		Metrics:  cwfront.NewMetrics(n.set),
+		Metrics:  cwfront.NewMetrics(n.metricSet),
 		Version:  serverVersion,
 		Tag:      cwfront.TagOf(cfg.Instance),
 	}
@@ -158,28 +165,28 @@
 	}
 }
 
-// Addr returns the address for callers.
+// Addr returns the address of the listener for callers.
 func (n *Node) Addr() string { return n.ln.Addr().String() }
 
-// PeerAddr returns the address for other proxies.
+// PeerAddr returns the address of the listener for other proxies.
 func (n *Node) PeerAddr() string { return n.peerLn.Addr().String() }
 
-// HTTPAddr returns the address for metrics and status.
+// HTTPAddr returns the address of the listener for metrics and status.
 func (n *Node) HTTPAddr() string { return n.httpLn.Addr().String() }
 
-// Run serves until ctx ends, then drains: no new caller is taken, statements
-// and transactions in progress end, within DrainTimeout.
+// Run serves until ctx ends and then drains: it accepts no more callers, and gives
+// statements and transactions in progress up to DrainTimeout to end.
 func (n *Node) Run(ctx context.Context) error {
 	run, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	n.run = run
+	n.runCtx = run
 	n.groupsEG = &errgroup.Group{}
 	eg := &errgroup.Group{}
 	eg.Go(func() error { return n.loopInstances(run) })
 	eg.Go(func() error { return n.loopCatalogue(run) })
 	eg.Go(func() error { return n.loopHeartbeat(run) })
 	eg.Go(func() error { return n.loopShares(run) })
-	eg.Go(func() error { return n.journal.loop(run) })
+	eg.Go(func() error { return n.audit.writeLoop(run) })
 	peers := cwpeer.Server{Handler: n}
 	eg.Go(func() error { return peers.Run(run, n.peerLn) })
 	httpServer := &http.Server{Handler: n.handler(), ReadHeaderTimeout: 5 * time.Second}
@@ -218,8 +225,8 @@
 	}
 }
 
-// pause waits, or returns early if ctx ends.
-func (n *Node) pause(ctx context.Context, d time.Duration) {
+// sleep waits for d, or until ctx ends if that is earlier.
+func (n *Node) sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-n.cfg.Clock.After(d):
 	case <-ctx.Done():
@@ -238,10 +245,9 @@
 func (n *Node) Revision() uint64 { return n.revision.Load() }
 
 // Ready implements cwfront.Services. A node is ready once it has the highest
-// revision of the table and the partners that answer; a proxy that started
-// while the table was away must not serve by a catalogue that others have left
-// behind.
-func (n *Node) Ready() bool { return n.synced.Load() && n.revision.Load() > 0 }
+// revision among the table and the partners that answered. A proxy that starts while
+// the table is unavailable must not serve an outdated catalogue.
+func (n *Node) Ready() bool { return n.catalogueLoaded.Load() && n.revision.Load() > 0 }
 
 // Group implements cwfront.Services.
 func (n *Node) Group(name string) (*cwwatch.Group, bool) {
@@ -288,11 +294,11 @@
 	return n.live
 }
 
-// setInstances takes the platform's list. The list of live ids is made anew
-// only if it differs, so that whoever holds it can tell by its address. The
-// caller holds mu.
+// setInstances sets the platform's list of instances. It replaces the slice of live
+// ids only if that changes, so that callers of Live can detect a change by comparing
+// slices' addresses. The caller holds mu.
 func (n *Node) setInstances(list []cwplatform.Instance) {
-	n.instances, n.listed = list, true
+	n.instances, n.instancesListed = list, true
 	live := []string{}
 	for _, i := range list {
 		if i.State == cwplatform.Live {
@@ -307,9 +313,10 @@
 	}
 }
 
-// holdersLocked returns the instances that may hold connections: also those that
-// are leaving, until they are gone, and this one only once it is listed.
-func (n *Node) holdersLocked() []string {
+// connectionHoldersLocked returns the ids of the instances that may have connections
+// to targets: all that are listed. This includes instances that are shutting down, and
+// includes this one only once it is listed. The caller holds mu.
+func (n *Node) connectionHoldersLocked() []string {
 	out := make([]string, 0, len(n.instances))
 	for _, i := range n.instances {
 		out = append(out, i.ID)
--- a/internal/proxy/cwnode/operator_test.go
+++ b/internal/proxy/cwnode/operator_test.go
@@ -17,13 +17,13 @@
 	"cicadawalk.example/cicadawalk/internal/wire/cwstore"
 )
 
-// Two operators in their first week edit the catalogue at once, and the first
-// one's change silently disappears. The second must be refused and told whose
-// change came first; and what was accepted must reach every proxy, also one
-// that was cut off from the platform, and never revert.
+// Guards against lost updates of the catalogue. If two operators edit it concurrently,
+// the second change must be refused with the name of the operator whose change came
+// first. An accepted change must reach every proxy, including one that could not reach
+// the platform, and must never be reverted.
 func TestCatalogueChanges(t *testing.T) {
 	t.Parallel()
-	c, b := newBench(t, cwdemo.Options{})
+	c, b := newTestCluster(t, cwdemo.Options{})
 	store := b.store()
 	base, err := store.Load(background)
 	c.Assert(err, qt.IsNil)
@@ -43,7 +43,7 @@
 			return true
 		}
 	}
-	c.Run("a race", func(c *qt.C) {
+	c.Run("concurrent changes", func(c *qt.C) {
 		c.Assert(apply(base, "maria", 9*time.Second), qt.IsNil)
 		err := apply(base, "jorge", 8*time.Second)
 		var conflict *cwstore.ConflictError
@@ -71,12 +71,12 @@
 		c.Assert(err, qt.IsNil)
 		c.Assert(len(u.Document) > 0, qt.IsTrue)
 	})
-	c.Run("a proxy that came later", func(c *qt.C) {
+	c.Run("a proxy that started later", func(c *qt.C) {
 		cat, err := store.Load(background)
 		c.Assert(err, qt.IsNil)
-		lone, err := b.StartProxy(len(b.Proxies))
+		later, err := b.StartProxy(len(b.Proxies))
 		c.Assert(err, qt.IsNil)
-		waitFor(c, "the third proxy being ready", lone.Ready)
+		waitFor(c, "readiness of the third proxy", later.Ready)
 		c.Assert(apply(cat, "eva", 6*time.Second), qt.IsNil)
 		waitFor(c, "revision 4 everywhere", inForce(4))
 	})
@@ -86,21 +86,22 @@
 		c.Assert(err, qt.IsNil)
 		c.Assert(p.Ready(), qt.IsFalse)
 		b.Platform.SetFaults(cwtable.Faults{})
-		waitFor(c, "the new proxy being ready", p.Ready)
+		waitFor(c, "readiness of the new proxy", p.Ready)
 		c.Assert(p.Revision(), qt.Equals, uint64(4))
 	})
 }
 
-// The database that is to be stopped for maintenance still gets new bookings,
-// or a clerk's transaction is cut. A planned stop of the primary moves it away
-// and of a replica keeps reads away, with nothing cut.
+// Guards against statements that still reach a database after its planned stop, and
+// against transactions that are aborted by it. A planned stop of the primary promotes
+// another member, and one of a replica moves its reads to others; neither interrupts a
+// transaction.
 func TestPlannedStop(t *testing.T) {
 	for _, target := range []string{"libro-1", "libro-2"} {
 		t.Run(target, func(t *testing.T) {
 			t.Parallel()
-			c, b := newBench(t, cwdemo.Options{})
+			c, b := newTestCluster(t, cwdemo.Options{})
 			id := cwgroup.MemberID(target)
-			rep := b.load(c, 7*time.Second, nil, func() {
+			rep := b.runLoad(c, 7*time.Second, nil, func() {
 				for range 2 { // two operators plan the same stop
 					cat, err := b.store().Load(background)
 					c.Check(err, qt.IsNil)
@@ -112,7 +113,7 @@
 					c.Check(err, qt.IsNil)
 				}
 			})
-			assertKept(c, rep)
+			assertGuarantees(c, rep)
 			c.Check(rep.Unknown, qt.Equals, 0)
 			c.Check(b.Databases[b.Primary()].Status().Member, qt.Not(qt.Equals), id)
 			busy := func() int {
@@ -140,30 +141,30 @@
 	}
 }
 
-// A proxy is replaced while a clerk is in the middle of a transaction. It must
-// let the transaction end, refuse new callers, and close idle ones.
+// A proxy that shuts down lets transactions in progress end, refuses new callers, and
+// closes idle sessions.
 func TestProxyDrains(t *testing.T) {
 	t.Parallel()
-	c, b := newBench(t, cwdemo.Options{})
+	c, b := newTestCluster(t, cwdemo.Options{})
 	conn, idle := b.connect(c, 1), b.connect(c, 1)
 	exec(c, conn, "CREATE TABLE ronda (id bigint)")
 	exec(c, conn, "BEGIN")
 	exec(c, conn, "INSERT INTO ronda VALUES (1)")
 	done := make(chan error)
 	go func() { done <- b.Proxies[1].Stop() }()
-	waitFor(c, "the idle caller being let go", func() bool { return idle.Ping(background) != nil })
+	waitFor(c, "the end of the idle session", func() bool { return idle.Ping(background) != nil })
 	exec(c, conn, "INSERT INTO ronda VALUES (2)")
 	exec(c, conn, "COMMIT")
 	c.Assert(<-done, qt.IsNil)
 	c.Assert(queryInt(c, b.connect(c, 0), "SELECT count(*) FROM ronda"), qt.Equals, int64(2))
 }
 
-// A clerk cancels a long search and it runs on: the balancer brought the cancel
-// to a proxy that has nothing to do with the one that runs it. Whichever of
-// eight proxies it reaches, it must find its statement.
+// Guards against cancel requests without effect: a load balancer may send the request
+// to another proxy than the one that runs the statement. Whichever of eight proxies it
+// reaches, the statement must be cancelled.
 func TestCancelReachesItsProxy(t *testing.T) {
 	t.Parallel()
-	c, b := newBench(t, cwdemo.Options{Proxies: 8})
+	c, b := newTestCluster(t, cwdemo.Options{Proxies: 8})
 	conn := b.connect(c, 0)
 	buf, err := (&pgproto3.CancelRequest{ProcessID: conn.PgConn().PID(), SecretKey: conn.PgConn().SecretKey()}).Encode(nil)
 	c.Assert(err, qt.IsNil)
--- a/internal/proxy/cwnode/peers.go
+++ b/internal/proxy/cwnode/peers.go
@@ -14,17 +14,18 @@
 )
 
 const (
-	// listEvery is the least time between two looks at the platform's list, and
-	// listEachEvery what each instance adds, so that all of them together read
-	// it at most 200 times a second.
-	listEvery     = 500 * time.Millisecond
-	listEachEvery = 5 * time.Millisecond
-	// maxPartners is how many other proxies a proxy keeps talking to.
+	// An instance reads the platform's list of instances at an interval of
+	// listIntervalPerInstance for each listed instance, and at least minListInterval, so
+	// that all of them together read it at most 200 times a second.
+	minListInterval         = 500 * time.Millisecond
+	listIntervalPerInstance = 5 * time.Millisecond
+	// maxPartners is the maximum number of other proxies to which a proxy keeps a
+	// connection.
 	maxPartners = 4
 )
 
-// loopInstances reads the platform's list of instances. While the platform is
-// away the last list stays.
+// loopInstances polls the platform's list of instances until ctx ends. While the
+// platform is unavailable, the last list stays in force. It always returns nil.
 func (n *Node) loopInstances(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if list, err := n.cfg.Instances.Instances(ctx); err == nil {
@@ -33,12 +34,12 @@
 			n.mu.Unlock()
 		}
 		n.choosePartners()
-		n.pause(ctx, n.listInterval())
+		n.sleep(ctx, n.listInterval())
 	}
 	return nil
 }
 
-// listInterval is the time between two looks at the platform's list.
+// listInterval returns the interval at which the platform's list is read.
 func (n *Node) listInterval() time.Duration {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
@@ -46,11 +47,11 @@
 }
 
 func (n *Node) listIntervalLocked() time.Duration {
-	return max(listEvery, time.Duration(len(n.instances))*listEachEvery)
+	return max(minListInterval, time.Duration(len(n.instances))*listIntervalPerInstance)
 }
 
-// choosePartners keeps connections to a few other proxies: those of the list by
-// rendezvous order, or those of the settings while there is no list.
+// choosePartners selects up to maxPartners listed proxies by rendezvous hashing, or
+// those in the settings while none is listed, and closes the connections to others.
 func (n *Node) choosePartners() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -94,17 +95,19 @@
 	return out
 }
 
-// loopHeartbeat tells the partners that this proxy is there.
+// loopHeartbeat sends heartbeats to the partners until ctx ends. It always returns
+// nil.
 func (n *Node) loopHeartbeat(ctx context.Context) error {
 	for ctx.Err() == nil {
-		n.beat(ctx)
-		n.pause(ctx, cwpeer.Interval)
+		n.sendHeartbeats(ctx)
+		n.sleep(ctx, cwpeer.Interval)
 	}
 	return nil
 }
 
-// beat sends one heartbeat to each partner, without waiting for slow ones.
-func (n *Node) beat(ctx context.Context) {
+// sendHeartbeats sends a heartbeat with this proxy's revision and votes to each
+// partner, without waiting for the results.
+func (n *Node) sendHeartbeats(ctx context.Context) {
 	h := cwpeer.Heartbeat{Instance: n.instanceID(), Votes: make(map[string]cwfailover.Vote)}
 	h.Revision = cwcatalogue.Revision(n.revision.Load())
 	for _, g := range n.groupList() {
@@ -117,10 +120,11 @@
 	}
 }
 
-// Publish implements cwwatch.Watchers: a vote that changed is told at once.
-func (n *Node) Publish() { n.beat(n.run) }
+// Publish implements cwwatch.Watchers. It sends a changed vote at once.
+func (n *Node) Publish() { n.sendHeartbeats(n.runCtx) }
 
-// Heartbeat implements cwpeer.Handler.
+// Heartbeat implements cwpeer.Handler. If the partner has a higher revision, it
+// requests its catalogue.
 func (n *Node) Heartbeat(h cwpeer.Heartbeat) {
 	for name, v := range h.Votes {
 		if g, ok := n.Group(name); ok {
@@ -128,12 +132,13 @@
 		}
 	}
 	if uint64(h.Revision) > n.revision.Load() {
-		go n.fetchFrom(h.Instance)
+		go n.fetchFromInstance(h.Instance)
 	}
 }
 
-// fetchFrom asks an instance that has a higher revision for its catalogue.
-func (n *Node) fetchFrom(id cwfailover.InstanceID) {
+// fetchFromInstance requests the catalogue from an instance if that is a partner. It
+// does nothing while another such request is in progress.
+func (n *Node) fetchFromInstance(id cwfailover.InstanceID) {
 	n.mu.Lock()
 	i := slices.IndexFunc(n.instances, func(i cwplatform.Instance) bool { return i.ID == string(id) })
 	if i < 0 || n.fetching {
@@ -143,8 +148,8 @@
 	n.fetching = true
 	p := n.partners[n.instances[i].Peer]
 	n.mu.Unlock()
-	if p != nil && n.takeFrom(n.run, p) {
-		n.synced.Store(true)
+	if p != nil && n.fetchCatalogue(n.runCtx, p) {
+		n.catalogueLoaded.Store(true)
 	}
 	n.mu.Lock()
 	n.fetching = false
@@ -154,20 +159,20 @@
 // Cancel implements cwpeer.Handler.
 func (n *Node) Cancel(pid uint32, secret []byte) { n.server.CancelLocal(pid, secret) }
 
-// Admits implements cwpeer.Handler: only instances that the platform lists may
-// speak to this proxy. Before the first list everybody may, so that proxies
-// that start while the platform is away find each other.
+// Admits implements cwpeer.Handler. Only instances in the platform's list may send
+// messages to this proxy. Until the list was read, any instance may, so that proxies
+// that start while the platform is unavailable can exchange the catalogue.
 func (n *Node) Admits(id cwfailover.InstanceID) bool {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
-	if !n.listed {
+	if !n.instancesListed {
 		return true
 	}
 	return slices.ContainsFunc(n.instances, func(i cwplatform.Instance) bool { return i.ID == string(id) })
 }
 
-// ForwardCancel implements cwfront.Services. The other proxy need not be a
-// partner; it is called over a connection of its own.
+// ForwardCancel implements cwfront.Services. The other proxy need not be a partner,
+// so the request is sent on a new connection.
 func (n *Node) ForwardCancel(pid uint32, secret []byte) {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
@@ -175,11 +180,11 @@
 		if i.ID == n.cfg.Instance || i.Peer == "" || cwfront.TagOf(i.ID) != cwfront.TagOfPID(pid) {
 			continue
 		}
-		go n.runCancel(&cwpeer.Partner{Self: n.instanceID(), Address: i.Peer}, pid, secret)
+		go n.sendCancel(&cwpeer.Partner{Self: n.instanceID(), Address: i.Peer}, pid, secret)
 	}
 }
 
-func (n *Node) runCancel(p *cwpeer.Partner, pid uint32, secret []byte) {
+func (n *Node) sendCancel(p *cwpeer.Partner, pid uint32, secret []byte) {
 	defer p.Close()
-	_ = p.Cancel(n.run, pid, secret)
+	_ = p.Cancel(n.runCtx, pid, secret)
 }
--- a/internal/proxy/cwnode/status.go
+++ b/internal/proxy/cwnode/status.go
@@ -11,7 +11,7 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwroute"
 )
 
-// Paths of the HTTP address.
+// Paths of the HTTP endpoints.
 const (
 	PathMetrics = "/metrics"
 	PathHealth  = "/healthz"
@@ -19,7 +19,7 @@
 	PathStatus  = "/status"
 )
 
-// StatusBody is the answer of PathStatus.
+// StatusBody is the JSON body of the answer to PathStatus.
 type StatusBody struct {
 	Instance   string       `json:"instance"`
 	DataCentre string       `json:"dataCentre"`
@@ -30,20 +30,20 @@
 	Targets    []TargetBody `json:"targets"`
 }
 
-// GroupBody is the state of a group in plain words.
+// GroupBody is the state of a group, described for operators.
 type GroupBody struct {
 	Service string `json:"service"`
 	Group   string `json:"group"`
-	// State is well, replacing, readsOnly or unavailable.
+	// State is "well", "replacing" (the primary), "readsOnly" or "unavailable".
 	State string `json:"state"`
-	// What says what is wrong, Doing what the system does about it, and Act
-	// what somebody has to do; each may be empty.
+	// What describes the problem, Doing what the system does about it, and Act what an
+	// operator has to do; each may be empty.
 	What  string `json:"what"`
 	Doing string `json:"doing"`
 	Act   string `json:"act"`
 }
 
-// TargetBody is the numbers behind the words.
+// TargetBody is the state of a target as this proxy sees it.
 type TargetBody struct {
 	Target    string `json:"target"`
 	Group     string `json:"group"`
@@ -59,13 +59,13 @@
 }
 
 func (n *Node) registerGauges() {
-	n.set.NewGauge("cicadawalk_callers", func() float64 { return float64(n.server.Sessions()) })
-	n.set.NewGauge("cicadawalk_catalogue_revision", func() float64 { return float64(n.revision.Load()) })
+	n.metricSet.NewGauge("cicadawalk_callers", func() float64 { return float64(n.server.Sessions()) })
+	n.metricSet.NewGauge("cicadawalk_catalogue_revision", func() float64 { return float64(n.revision.Load()) })
 }
 
 func (n *Node) handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+PathMetrics, func(w http.ResponseWriter, _ *http.Request) { n.set.WritePrometheus(w) })
+	mux.HandleFunc("GET "+PathMetrics, func(w http.ResponseWriter, _ *http.Request) { n.metricSet.WritePrometheus(w) })
 	mux.HandleFunc("GET "+PathHealth, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, "ok") })
 	mux.HandleFunc("GET "+PathReady, n.serveReady)
 	mux.HandleFunc("GET "+PathStatus, func(w http.ResponseWriter, _ *http.Request) {
@@ -83,7 +83,7 @@
 	fmt.Fprintln(w, "ready")
 }
 
-// Status returns the node's state in words and numbers.
+// Status returns the state of the node, its groups and their targets.
 func (n *Node) Status() StatusBody {
 	views := make(map[string]cwgroup.View)
 	for _, g := range n.groupList() {
@@ -115,6 +115,7 @@
 	return b
 }
 
+// targetStatus returns the state of a target. The caller holds mu.
 func (n *Node) targetStatus(v cwgroup.View, id cwgroup.MemberID) TargetBody {
 	r, _ := v.Report(id)
 	b := TargetBody{
@@ -130,40 +131,40 @@
 	return b
 }
 
-// groupStatus says in plain words how a group is.
+// groupStatus describes the state of a group for operators. The caller holds mu.
 func (n *Node) groupStatus(service string, v cwgroup.View) GroupBody {
 	b := GroupBody{Service: service, Group: v.Name(), State: "well"}
 	now := n.cfg.Clock.Now()
-	var away, stopping []string
+	var unreachable, stopping []string
 	for _, id := range v.Members() {
 		r, ok := v.Report(id)
 		if !ok || !r.Reachable || now.Sub(r.At) > cwroute.Fresh {
-			away = append(away, string(id))
+			unreachable = append(unreachable, string(id))
 		}
 		if n.catalogue.Stopping(id) {
 			stopping = append(stopping, string(id))
 		}
 	}
-	slices.Sort(away)
-	_, writes := cwroute.WritePrimary(v, now)
-	majority := len(v.Members())-len(away) >= cwgroup.Majority(len(v.Members()))
+	slices.Sort(unreachable)
+	_, writable := cwroute.WritePrimary(v, now)
+	majority := len(v.Members())-len(unreachable) >= cwgroup.Majority(len(v.Members()))
 	switch {
-	case !writes && majority:
+	case !writable && majority:
 		b.State = "replacing"
 		b.What = "no database takes writes at the moment"
 		b.Doing = "another database is being put in charge; this takes a few seconds"
-	case !writes && len(away) < len(v.Members()):
+	case !writable && len(unreachable) < len(v.Members()):
 		b.State = "readsOnly"
-		b.What = "too few databases answer this proxy: " + strings.Join(away, ", ") + " are away"
+		b.What = "too few databases answer this proxy: " + strings.Join(unreachable, ", ") + " are away"
 		b.Doing = "reads that accept some age are served; writes resume by themselves once a majority answers"
 		b.Act = "if this lasts for minutes, have the databases or the network looked at"
-	case !writes:
+	case !writable:
 		b.State = "unavailable"
 		b.What = "no database of this group answers this proxy"
 		b.Doing = "it keeps trying"
 		b.Act = "have the databases or the network looked at"
-	case len(away) > 0:
-		b.What = strings.Join(away, ", ") + " do not answer"
+	case len(unreachable) > 0:
+		b.What = strings.Join(unreachable, ", ") + " do not answer"
 		b.Doing = "work goes to the others; it joins again by itself"
 		b.Act = "if it stays away, have it repaired or replaced: one more loss would stop writes"
 	}
@@ -173,7 +174,8 @@
 	return b
 }
 
-// ReadsAt returns how many reads were served by replicas and by primaries.
+// ReadsAt returns the numbers of reads that replicas and primaries have served since
+// the start.
 func (n *Node) ReadsAt() (replica, primary uint64) {
 	return n.server.Metrics.ReplicaReads.Get(), n.server.Metrics.PrimaryReads.Get()
 }
