--- a/internal/proxy/cwport/port.go
+++ b/internal/proxy/cwport/port.go
@@ -144,7 +144,7 @@
 	Lapsed bool
 	Role   Leadership
 	// Born is the target's start time by its own clock; zero if it reports none. After a
-	// restart under the same id the time differs, and is earlier if the clock was set
+	// restart under the same id the time differs, and may be earlier if the clock was set
 	// back.
 	Born time.Time
 }
