--- a/internal/wire/cwhandover/conn.go
+++ b/internal/wire/cwhandover/conn.go
@@ -14,36 +14,40 @@
 
 // Bounds of a connection.
 const (
-	// maxMessage is above the megabyte that a statement may have, in bytes.
+	// maxMessage is the largest message, in bytes. It exceeds the limit of a
+	// statement, which is 1 MB.
 	maxMessage = 4 << 20
-	// idleTimeout is how long the calling side may send nothing. It pings far
-	// more often.
+	// idleTimeout closes a connection on which the client sends nothing. Clients
+	// send pings far more often.
 	idleTimeout = time.Minute
-	// dialTimeout bounds a new connection: some round trips between data
-	// centres, and a busy instance's queue.
+	// dialTimeout limits the time to open a connection. It covers a few round
+	// trips between data centres and the queue of a busy instance.
 	dialTimeout = 500 * time.Millisecond
 )
 
-// Handler runs what is handed over.
+// Handler runs forwarded statements.
 type Handler interface {
-	// Hand runs a statement. From differs for each connection.
+	// Hand runs a forwarded statement. The value of from identifies the connection
+	// that the statement came from.
 	Hand(from any, h cwport.Handover) cwport.Handed
-	// Left tells that a connection has ended, with the transactions on it.
+	// Left is called when a connection has ended. The transactions that were
+	// forwarded on it end with it.
 	Left(from any)
 }
 
-// Server takes the statements of other instances, and their questions for news.
+// Server handles requests from other instances: forwarded statements, requests for
+// store changes and quota requests.
 type Server struct {
 	Handler Handler
-	// News may be nil; then nothing is told.
+	// News answers requests for store changes. If it is nil, they are refused.
 	News cwport.NewsTeller
-	// Quotas may be nil; then this instance keeps none.
+	// Quotas answers quota requests. If it is nil, they are refused.
 	Quotas cwport.QuotaTeller
 
-	packer packer
+	encoder newsEncoder
 }
 
-// Run accepts connections until ctx ends.
+// Run accepts connections until ctx ends, and waits until all of them are closed.
 func (s *Server) Run(ctx context.Context, ln net.Listener) error {
 	l := cwlisten.Listener{Listener: ln, Handle: s.serve}
 	defer l.Wait()
@@ -58,11 +62,11 @@
 	handle := func(ctx context.Context, _ *jsonrpc2.Conn, req *jsonrpc2.Request) (any, error) {
 		switch req.Method {
 		case methodNews:
-			return s.tell(ctx, req)
+			return s.answerNews(ctx, req)
 		case methodQuota:
-			return s.tellQuota(req)
+			return s.answerQuota(req)
 		}
-		return s.handle(bounded, req)
+		return s.runStatement(bounded, req)
 	}
 	rpc := jsonrpc2.NewConn(ctx, jsonrpc2.NewPlainObjectStream(bounded), jsonrpc2.AsyncHandler(jsonrpc2.HandlerWithError(handle).SuppressErrClosed()))
 	defer func() { _ = rpc.Close() }()
@@ -72,26 +76,26 @@
 	}
 }
 
-func (s *Server) handle(from any, req *jsonrpc2.Request) (any, error) {
+func (s *Server) runStatement(from any, req *jsonrpc2.Request) (any, error) {
 	switch {
 	case req.Method == methodPing:
 		return struct{}{}, nil
-	case req.Method != methodHand || req.Params == nil:
+	case req.Method != methodForward || req.Params == nil:
 		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: req.Method}
 	}
-	h, err := handOf(*req.Params)
+	h, err := decodeStatement(*req.Params)
 	if err != nil {
 		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeInvalidParams, Message: err.Error()}
 	}
-	return bodyOfHanded(s.Handler.Hand(from, h)), nil
+	return encodeResult(s.Handler.Hand(from, h)), nil
 }
 
-// tell answers a question for news.
-func (s *Server) tell(ctx context.Context, req *jsonrpc2.Request) (any, error) {
+// answerNews handles a request for store changes.
+func (s *Server) answerNews(ctx context.Context, req *jsonrpc2.Request) (any, error) {
 	if s.News == nil || req.Params == nil {
 		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: req.Method}
 	}
-	q, err := questionOf(*req.Params)
+	q, err := decodeNewsRequest(*req.Params)
 	if err != nil {
 		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeInvalidParams, Message: err.Error()}
 	}
@@ -99,28 +103,29 @@
 	if err != nil {
 		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeInternalError, Message: err.Error()}
 	}
-	b, err := s.packer.body(n)
+	b, err := s.encoder.encode(n)
 	if err != nil {
 		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeInternalError, Message: err.Error()}
 	}
 	return b, nil
 }
 
-// Conn is a connection to a holder.
+// Conn is a client connection to another instance.
 type Conn struct {
 	name string
 	rpc  *jsonrpc2.Conn
 }
 
-// ignore is the handler of the calling side: holders do not call back.
-type ignore struct{}
+// discardHandler ignores requests on the client side of a connection. Servers send
+// responses only.
+type discardHandler struct{}
 
 // Handle implements jsonrpc2.Handler.
-func (ignore) Handle(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) {}
+func (discardHandler) Handle(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) {}
 
-// Dial connects to the holder called name. The connection is returned once the
-// holder has answered on it: the kernel accepts connections of a process that
-// stands still.
+// Dial connects to the instance called name and waits for the answer to a ping. An
+// accepted connection alone does not show that the instance responds, because the
+// kernel also accepts connections for a paused process. Dial fails after 500 ms.
 func Dial(ctx context.Context, name, address string) (*Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -129,7 +134,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Conn{name: name, rpc: jsonrpc2.NewConn(context.WithoutCancel(ctx), jsonrpc2.NewPlainObjectStream(nc), ignore{})}
+	c := &Conn{name: name, rpc: jsonrpc2.NewConn(context.WithoutCancel(ctx), jsonrpc2.NewPlainObjectStream(nc), discardHandler{})}
 	if err := c.Ping(ctx); err != nil {
 		_ = c.Close()
 		return nil, err
@@ -137,10 +142,11 @@
 	return c, nil
 }
 
-// Hand runs a statement at the holder. An error is a *cwport.LostError.
+// Hand forwards a statement to the holder and returns its answer. Errors are of type
+// *cwport.LostError.
 func (c *Conn) Hand(ctx context.Context, h cwport.Handover) (cwport.Handed, error) {
-	var b handedBody
-	err := c.rpc.Call(ctx, methodHand, bodyOfHand(h), &b)
+	var b resultBody
+	err := c.rpc.Call(ctx, methodForward, encodeStatement(h), &b)
 	var refused *jsonrpc2.Error
 	switch {
 	case errors.As(err, &refused):
@@ -148,18 +154,18 @@
 	case err != nil:
 		return cwport.Handed{}, &cwport.LostError{Holder: c.name, Cause: err}
 	}
-	r, err := b.handed()
+	r, err := b.decode()
 	if err != nil {
 		return cwport.Handed{}, &cwport.LostError{Holder: c.name, Cause: err}
 	}
 	return r, nil
 }
 
-// TellNews implements cwport.NewsTeller. After an error other
-// than a *cwport.NoNewsError the connection is of no more use.
+// TellNews implements cwport.NewsTeller. After any error other than a
+// *cwport.NoNewsError, the connection must be closed.
 func (c *Conn) TellNews(ctx context.Context, q cwport.NewsQuestion) (cwport.News, error) {
 	var b newsBody
-	err := c.rpc.Call(ctx, methodNews, bodyOfQuestion(q), &b)
+	err := c.rpc.Call(ctx, methodNews, encodeNewsRequest(q), &b)
 	var refused *jsonrpc2.Error
 	switch {
 	case errors.As(err, &refused):
@@ -167,14 +173,14 @@
 	case err != nil:
 		return cwport.News{}, err
 	}
-	return b.news()
+	return b.decode()
 }
 
-// Ping probes the other end.
+// Ping checks that the other instance responds.
 func (c *Conn) Ping(ctx context.Context) error { return c.rpc.Call(ctx, methodPing, struct{}{}, nil) }
 
 // Done is closed once the connection has ended.
 func (c *Conn) Done() <-chan struct{} { return c.rpc.DisconnectNotify() }
 
-// Close ends the connection. What is under way on it is lost.
+// Close closes the connection. Pending calls fail.
 func (c *Conn) Close() error { return c.rpc.Close() }
--- a/internal/wire/cwhandover/handover.go
+++ b/internal/wire/cwhandover/handover.go
@@ -1,12 +1,17 @@
-// Package cwhandover carries statements between instances: JSON-RPC 2.0 over
+// Package cwhandover implements the protocol between instances: JSON-RPC 2.0 over
 // TCP.
 //
-// An instance hands a caller's statement to a holder of the group and gets the
-// answer, or the sign that the holder has not run it. Many statements are under
-// way on one connection. There are four calls: hand; ping, by which the calling
-// side tells a connection that went silent from a statement that takes long;
-// news, which asks what the platform's store has told; and quota, which asks for
-// one operation of a workspace.
+// An instance forwards a caller's statement to a holder, which is one of the
+// instances that keep connections to the group's targets. The response holds the
+// answer, or says that the holder did not run the statement. A connection carries
+// many concurrent calls. There are four methods:
+//
+//   - hand forwards a statement.
+//   - ping checks the connection. It distinguishes an unresponsive connection from a
+//     slow statement.
+//   - news requests the changes that the other instance has received from the
+//     platform's store.
+//   - quota takes one operation from a workspace's quota.
 package cwhandover
 
 import (
@@ -19,16 +24,15 @@
 	"cicadawalk.example/cicadawalk/internal/proxy/cwport"
 )
 
-// Methods.
+// Names of the RPC methods.
 const (
-	methodHand = "hand"
-	methodPing = "ping"
-	methodNews = "news"
-	// methodQuota asks for one operation of a workspace.
-	methodQuota = "quota"
+	methodForward = "hand"
+	methodPing    = "ping"
+	methodNews    = "news"
+	methodQuota   = "quota"
 )
 
-type handBody struct {
+type statementBody struct {
 	Transaction string            `json:"transaction,omitempty"`
 	Begin       string            `json:"begin,omitempty"`
 	Entry       entryBody         `json:"entry"`
@@ -40,7 +44,7 @@
 	Rest        string            `json:"rest,omitempty"`
 	Prepared    *preparedBody     `json:"prepared,omitempty"`
 	Values      map[string]string `json:"values,omitempty"`
-	Seen        markBody          `json:"seen,omitzero"`
+	Seen        positionBody      `json:"seen,omitzero"`
 	ElapsedUS   int64             `json:"elapsedUs,omitempty"`
 }
 
@@ -61,39 +65,39 @@
 	IdleUS      int64  `json:"idleUs,omitempty"`
 }
 
-type markBody struct {
+type positionBody struct {
 	Term     uint64 `json:"term"`
 	Position uint64 `json:"position"`
 }
 
-type handedBody struct {
-	Rows      []string `json:"rows,omitempty"`
-	Proof     string   `json:"proof,omitempty"`
-	Code      string   `json:"code"`
-	Detail    string   `json:"detail,omitempty"`
-	State     string   `json:"state"`
-	Wrote     markBody `json:"wrote,omitzero"`
-	Elsewhere bool     `json:"elsewhere,omitempty"`
+type resultBody struct {
+	Rows      []string     `json:"rows,omitempty"`
+	Proof     string       `json:"proof,omitempty"`
+	Code      string       `json:"code"`
+	Detail    string       `json:"detail,omitempty"`
+	State     string       `json:"state"`
+	Wrote     positionBody `json:"wrote,omitzero"`
+	Elsewhere bool         `json:"elsewhere,omitempty"`
 }
 
-// UnreadableError reports a message that makes no sense.
+// UnreadableError reports a message that is malformed or has values out of range.
 type UnreadableError struct{ What string }
 
 func (e *UnreadableError) Error() string { return "unreadable handover: " + e.What }
 
-func micros(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
+func microseconds(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
 
-func markOf(b markBody) cwgroup.LogPosition {
+func decodePosition(b positionBody) cwgroup.LogPosition {
 	return cwgroup.LogPosition{Term: cwgroup.Term(b.Term), Index: cwgroup.LogIndex(b.Position)}
 }
 
-func bodyOfMark(m cwgroup.LogPosition) markBody {
-	return markBody{Term: uint64(m.Term), Position: uint64(m.Index)}
+func encodePosition(m cwgroup.LogPosition) positionBody {
+	return positionBody{Term: uint64(m.Term), Position: uint64(m.Index)}
 }
 
-func bodyOfHand(h cwport.Handover) handBody {
+func encodeStatement(h cwport.Handover) statementBody {
 	c := h.Entry.Contract
-	b := handBody{
+	b := statementBody{
 		Transaction: h.Transaction, Begin: h.Begin.String(),
 		Entry: entryBody{
 			Service: h.Entry.Service, Group: h.Entry.Groups[0].Name, Reads: string(c.Reads), TimeoutUS: c.StatementTimeout.Microseconds(),
@@ -101,7 +105,7 @@
 			Synchronous: c.Synchronous, IdleUS: c.IdleTransaction.Microseconds(),
 		},
 		Workspace: h.Workspace, ID: h.Statement.ID, Verb: h.Statement.Verb.String(), Text: h.Statement.Text, Name: h.Statement.Name, Rest: h.Statement.Args,
-		Values: h.Values, Seen: bodyOfMark(h.Seen), ElapsedUS: h.Elapsed.Microseconds(),
+		Values: h.Values, Seen: encodePosition(h.Seen), ElapsedUS: h.Elapsed.Microseconds(),
 	}
 	if h.Prepared != nil {
 		b.Prepared = &preparedBody{Shape: h.Prepared.Shape, Writes: h.Prepared.Writes}
@@ -109,15 +113,15 @@
 	return b
 }
 
-// handOf reads a statement that was handed over.
-func handOf(params []byte) (cwport.Handover, error) {
-	var b handBody
+// decodeStatement decodes and validates a forwarded statement.
+func decodeStatement(params []byte) (cwport.Handover, error) {
+	var b statementBody
 	if err := json.Unmarshal(params, &b); err != nil {
 		return cwport.Handover{}, &UnreadableError{What: err.Error()}
 	}
 	verb, begin := cwstatement.ParseVerb(b.Verb), cwstatement.ParseVerb(b.Begin)
 	switch {
-	case !runs(verb):
+	case !holderRuns(verb):
 		return cwport.Handover{}, &UnreadableError{What: "verb " + b.Verb}
 	case begin != cwstatement.Unknown && begin != cwstatement.Begin && begin != cwstatement.BeginRead:
 		return cwport.Handover{}, &UnreadableError{What: "begin " + b.Begin}
@@ -127,9 +131,9 @@
 		return cwport.Handover{}, &UnreadableError{What: "no prepared statement"}
 	}
 	h := cwport.Handover{
-		Transaction: b.Transaction, Begin: begin, Entry: entryOf(b.Entry), Workspace: b.Workspace,
+		Transaction: b.Transaction, Begin: begin, Entry: decodeEntry(b.Entry), Workspace: b.Workspace,
 		Statement: cwstatement.Statement{ID: b.ID, Verb: verb, Text: b.Text, Name: b.Name, Args: b.Rest},
-		Values:    b.Values, Seen: markOf(b.Seen), Elapsed: micros(b.ElapsedUS),
+		Values:    b.Values, Seen: decodePosition(b.Seen), Elapsed: microseconds(b.ElapsedUS),
 	}
 	if b.Prepared != nil {
 		h.Prepared = &cwport.Prepared{Shape: b.Prepared.Shape, Writes: b.Prepared.Writes}
@@ -137,8 +141,8 @@
 	return h, nil
 }
 
-// runs reports whether a statement is one that holders run.
-func runs(v cwstatement.Verb) bool {
+// holderRuns reports whether statements with this verb can be forwarded to a holder.
+func holderRuns(v cwstatement.Verb) bool {
 	switch v {
 	case cwstatement.Read, cwstatement.Write, cwstatement.Execute, cwstatement.Commit, cwstatement.Rollback:
 		return true
@@ -146,32 +150,32 @@
 	return false
 }
 
-func entryOf(b entryBody) cwcatalogue.Entry {
+func decodeEntry(b entryBody) cwcatalogue.Entry {
 	return cwcatalogue.Entry{
 		Service: b.Service,
 		Groups:  []cwcatalogue.Group{{Name: b.Group}},
 		Contract: cwcatalogue.Contract{
-			Reads: cwcatalogue.ReadRule(b.Reads), StatementTimeout: micros(b.TimeoutUS), MaxAge: micros(b.MaxAgeUS),
-			Aim: micros(b.AimUS), Priority: b.Priority, Synchronous: b.Synchronous, IdleTransaction: micros(b.IdleUS),
+			Reads: cwcatalogue.ReadRule(b.Reads), StatementTimeout: microseconds(b.TimeoutUS), MaxAge: microseconds(b.MaxAgeUS),
+			Aim: microseconds(b.AimUS), Priority: b.Priority, Synchronous: b.Synchronous, IdleTransaction: microseconds(b.IdleUS),
 		},
 	}
 }
 
-func bodyOfHanded(r cwport.Handed) handedBody {
+func encodeResult(r cwport.Handed) resultBody {
 	a := r.Answer
-	return handedBody{
+	return resultBody{
 		Rows: a.Rows, Proof: a.Proof, Code: a.Code.String(), Detail: a.Detail, State: a.State.String(),
-		Wrote: bodyOfMark(r.Wrote), Elsewhere: r.Elsewhere,
+		Wrote: encodePosition(r.Wrote), Elsewhere: r.Elsewhere,
 	}
 }
 
-func (b handedBody) handed() (cwport.Handed, error) {
+func (b resultBody) decode() (cwport.Handed, error) {
 	state, ok := cwstatement.ParseState(b.State)
 	if !ok {
 		return cwport.Handed{}, &UnreadableError{What: "state " + b.State}
 	}
 	return cwport.Handed{
 		Answer: cwstatement.Response{Rows: b.Rows, Proof: b.Proof, Code: cwstatement.ParseCode(b.Code), Detail: b.Detail, State: state},
-		Wrote:  markOf(b.Wrote), Elsewhere: b.Elsewhere,
+		Wrote:  decodePosition(b.Wrote), Elsewhere: b.Elsewhere,
 	}, nil
 }
--- a/internal/wire/cwhandover/handover_test.go
+++ b/internal/wire/cwhandover/handover_test.go
@@ -20,7 +20,7 @@
 	"cicadawalk.example/cicadawalk/internal/wire/cwpack"
 )
 
-func example() cwport.Handover {
+func exampleStatement() cwport.Handover {
 	return cwport.Handover{
 		Transaction: "front-1/7", Begin: cwstatement.BeginRead,
 		Entry: cwcatalogue.Entry{
@@ -38,25 +38,25 @@
 	}
 }
 
-func TestCodec(t *testing.T) {
+func TestStatementRoundTrip(t *testing.T) {
 	t.Run("a statement", func(t *testing.T) {
-		b, err := json.Marshal(bodyOfHand(example()))
+		b, err := json.Marshal(encodeStatement(exampleStatement()))
 		qt.Assert(t, err, qt.IsNil)
-		got, err := handOf(b)
+		got, err := decodeStatement(b)
 		qt.Assert(t, err, qt.IsNil)
-		qt.Assert(t, got, qt.DeepEquals, example())
+		qt.Assert(t, got, qt.DeepEquals, exampleStatement())
 	})
 	t.Run("an answer", func(t *testing.T) {
 		want := cwport.Handed{
 			Answer: cwstatement.Response{Rows: []string{"a", "b c"}, Proof: "7.1f3", Code: cwstatement.Busy, Detail: "why", State: cwstatement.InFailedTransaction},
 			Wrote:  cwgroup.LogPosition{Term: 3, Index: 9}, Elsewhere: true,
 		}
-		got, err := bodyOfHanded(want).handed()
+		got, err := encodeResult(want).decode()
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, got, qt.DeepEquals, want)
 	})
-	t.Run("a code of a later version promises nothing", func(t *testing.T) {
-		got, err := handedBody{Code: "later", State: "idle"}.handed()
+	t.Run("an unknown code does not mean that nothing was changed", func(t *testing.T) {
+		got, err := resultBody{Code: "later", State: "idle"}.decode()
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, got.Answer.Code.NoEffect(), qt.IsFalse)
 		qt.Assert(t, got.Answer.Code, qt.Not(qt.Equals), cwstatement.OK)
@@ -74,21 +74,21 @@
 	}
 }
 
-func TestNewsCodec(t *testing.T) {
-	t.Run("a question", func(t *testing.T) {
+func TestNewsRoundTrip(t *testing.T) {
+	t.Run("a request", func(t *testing.T) {
 		want := cwport.NewsQuestion{After: [cwport.TopicCount]cwfeed.Version{1, 2, 3}, Wait: 1500 * time.Millisecond}
-		b, err := json.Marshal(bodyOfQuestion(want))
+		b, err := json.Marshal(encodeNewsRequest(want))
 		qt.Assert(t, err, qt.IsNil)
-		got, err := questionOf(b)
+		got, err := decodeNewsRequest(b)
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, got, qt.DeepEquals, want)
 	})
 	t.Run("news", func(t *testing.T) {
-		b, err := json.Marshal(bodyOf(t, exampleNews()))
+		b, err := json.Marshal(encodeNews(t, exampleNews()))
 		qt.Assert(t, err, qt.IsNil)
 		var body newsBody
 		qt.Assert(t, json.Unmarshal(b, &body), qt.IsNil)
-		got, err := body.news()
+		got, err := body.decode()
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, got, qt.DeepEquals, exampleNews())
 	})
@@ -98,29 +98,30 @@
 		qt.Assert(t, err, qt.IsNil)
 		n := exampleNews()
 		n.Topics[cwport.Desired].Rows = []cwport.Row{{Key: "config", Version: 7, Packed: packed}}
-		got, err := bodyOf(t, n).news()
+		got, err := encodeNews(t, n).decode()
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, got.Topics[cwport.Desired].Rows, qt.DeepEquals, []cwport.Row{{Key: "config", Version: 7, Value: value, Packed: packed}})
 	})
 	for _, tc := range []struct{ name, text string }{
-		{"a packed row that is none", `{"topics":[{"version":1,"rows":[{"key":"k","version":1,"packed":"AAAA"}]},{"version":1},{"version":1}]}`},
-		{"packed rows that are none", `{"topics":[{"version":1,"packed":"AAAA"},{"version":1},{"version":1}]}`},
-		{"an age that would make old news young", `{"topics":[{"version":1,"ageUs":-5},{"version":1,"ageUs":0},{"version":1,"ageUs":0}]}`},
-		{"a hold that would, too", `{"topics":[{"version":1},{"version":1},{"version":1}],"heldUs":-1}`},
-		{"a topic too few", `{"topics":[{"version":1},{"version":1}]}`},
+		{"a packed row that is not compressed data", `{"topics":[{"version":1,"rows":[{"key":"k","version":1,"packed":"AAAA"}]},{"version":1},{"version":1}]}`},
+		{"packed rows that are not compressed data", `{"topics":[{"version":1,"packed":"AAAA"},{"version":1},{"version":1}]}`},
+		{"a negative age", `{"topics":[{"version":1,"ageUs":-5},{"version":1,"ageUs":0},{"version":1,"ageUs":0}]}`},
+		{"a negative hold time", `{"topics":[{"version":1},{"version":1},{"version":1}],"heldUs":-1}`},
+		{"a missing topic", `{"topics":[{"version":1},{"version":1}]}`},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var body newsBody
 			qt.Assert(t, json.Unmarshal([]byte(tc.text), &body), qt.IsNil)
-			_, err := body.news()
+			_, err := body.decode()
 			qt.Assert(t, err, qt.ErrorAs, new(*UnreadableError))
 		})
 	}
 }
 
-// What comes from another instance may be of another version, or garbage.
+// Guards against accepting malformed answers. Another instance may run a different
+// version or send garbage.
 func FuzzNews(f *testing.F) {
-	b, err := json.Marshal(bodyOf(f, exampleNews()))
+	b, err := json.Marshal(encodeNews(f, exampleNews()))
 	qt.Assert(f, err, qt.IsNil)
 	f.Add(b)
 	f.Add([]byte(`{"topics":[{"ageUs":-1},{},{}]}`))
@@ -129,7 +130,7 @@
 		if json.Unmarshal(b, &body) != nil {
 			return
 		}
-		n, err := body.news()
+		n, err := body.decode()
 		if err != nil {
 			return
 		}
@@ -139,34 +140,35 @@
 	})
 }
 
-// What comes from another instance may be of another version, or garbage.
-func FuzzHand(f *testing.F) {
-	b, err := json.Marshal(bodyOfHand(example()))
+// Guards against accepting malformed statements. Another instance may run a different
+// version or send garbage.
+func FuzzDecodeStatement(f *testing.F) {
+	b, err := json.Marshal(encodeStatement(exampleStatement()))
 	qt.Assert(f, err, qt.IsNil)
 	f.Add(b)
 	f.Add([]byte(`{"verb":"execute","entry":{"group":"g"}}`))
 	f.Add([]byte(`{"verb":"begin"}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		h, err := handOf(b)
-		if err == nil && (h.Entry.Groups[0].Name == "" || !runs(h.Statement.Verb)) {
+		h, err := decodeStatement(b)
+		if err == nil && (h.Entry.Groups[0].Name == "" || !holderRuns(h.Statement.Verb)) {
 			t.Fatalf("accepted %+v", h)
 		}
 	})
 }
 
-// handler answers by a function.
-type handler struct {
+// fakeHandler answers statements with a function and reports closed connections.
+type fakeHandler struct {
 	answer func(h cwport.Handover) cwport.Handed
 	left   chan any
 }
 
-func (h *handler) Hand(_ any, ho cwport.Handover) cwport.Handed { return h.answer(ho) }
+func (h *fakeHandler) Hand(_ any, ho cwport.Handover) cwport.Handed { return h.answer(ho) }
 
-func (h *handler) Left(from any) { h.left <- from }
+func (h *fakeHandler) Left(from any) { h.left <- from }
 
-func serve(c *qt.C, h *handler) string { return serveNews(c, h, nil) }
+func serve(c *qt.C, h *fakeHandler) string { return serveNews(c, h, nil) }
 
-func serveNews(c *qt.C, h *handler, news cwport.NewsTeller) string {
+func serveNews(c *qt.C, h *fakeHandler, news cwport.NewsTeller) string {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -179,10 +181,10 @@
 	return ln.Addr().String()
 }
 
-func TestConn(t *testing.T) {
+func TestConcurrentStatementsOnOneConnection(t *testing.T) {
 	c := qt.New(t)
 	release := make(chan struct{})
-	h := &handler{left: make(chan any, 1), answer: func(h cwport.Handover) cwport.Handed {
+	h := &fakeHandler{left: make(chan any, 1), answer: func(h cwport.Handover) cwport.Handed {
 		if h.Statement.ID == "slow" {
 			<-release
 		}
@@ -193,33 +195,33 @@
 
 	slow := make(chan error, 1)
 	go func() {
-		ho := example()
+		ho := exampleStatement()
 		ho.Statement.ID = "slow"
 		_, err := conn.Hand(context.Background(), ho)
 		slow <- err
 	}()
-	r, err := conn.Hand(context.Background(), example())
+	r, err := conn.Hand(context.Background(), exampleStatement())
 	c.Assert(err, qt.IsNil)
-	c.Assert(r.Answer.Rows, qt.DeepEquals, []string{"5c0e"}, qt.Commentf("a slow statement holds nobody up"))
+	c.Assert(r.Answer.Rows, qt.DeepEquals, []string{"5c0e"}, qt.Commentf("a slow statement must not block others on the same connection"))
 	close(release)
 	c.Assert(<-slow, qt.IsNil)
 
 	c.Assert(conn.Close(), qt.IsNil)
 	<-h.left
-	_, err = conn.Hand(context.Background(), example())
+	_, err = conn.Hand(context.Background(), exampleStatement())
 	var lost *cwport.LostError
 	c.Assert(errors.As(err, &lost), qt.IsTrue)
 }
 
-// teller answers questions for news by a function.
-type teller func(context.Context, cwport.NewsQuestion) (cwport.News, error)
+// newsFunc answers requests for store changes with a function.
+type newsFunc func(context.Context, cwport.NewsQuestion) (cwport.News, error)
 
-func (f teller) TellNews(ctx context.Context, q cwport.NewsQuestion) (cwport.News, error) {
+func (f newsFunc) TellNews(ctx context.Context, q cwport.NewsQuestion) (cwport.News, error) {
 	return f(ctx, q)
 }
 
 func TestNewsOverAConnection(t *testing.T) {
-	h := &handler{left: make(chan any, 16), answer: func(cwport.Handover) cwport.Handed { return cwport.Handed{} }}
+	h := &fakeHandler{left: make(chan any, 16), answer: func(cwport.Handover) cwport.Handed { return cwport.Handed{} }}
 	question := cwport.NewsQuestion{After: [cwport.TopicCount]cwfeed.Version{4, 5, 6}, Wait: time.Second}
 	ask := func(c *qt.C, f cwport.NewsTeller) (*Conn, cwport.News, error) {
 		conn, err := Dial(context.Background(), "feeder", serveNews(c, h, f))
@@ -231,7 +233,7 @@
 	t.Run("an answer", func(t *testing.T) {
 		c := qt.New(t)
 		var got cwport.NewsQuestion
-		_, n, err := ask(c, teller(func(_ context.Context, q cwport.NewsQuestion) (cwport.News, error) {
+		_, n, err := ask(c, newsFunc(func(_ context.Context, q cwport.NewsQuestion) (cwport.News, error) {
 			got = q
 			return exampleNews(), nil
 		}))
@@ -239,24 +241,24 @@
 		c.Assert(got, qt.Equals, question)
 		c.Assert(n, qt.DeepEquals, exampleNews())
 	})
-	t.Run("nothing to tell, and the connection goes on", func(t *testing.T) {
+	t.Run("refusal keeps the connection open", func(t *testing.T) {
 		c := qt.New(t)
-		conn, _, err := ask(c, teller(func(context.Context, cwport.NewsQuestion) (cwport.News, error) {
+		conn, _, err := ask(c, newsFunc(func(context.Context, cwport.NewsQuestion) (cwport.News, error) {
 			return cwport.News{}, &cwport.NoNewsError{}
 		}))
 		c.Assert(err, qt.ErrorAs, new(*cwport.NoNewsError))
 		c.Assert(conn.Ping(context.Background()), qt.IsNil)
 	})
-	t.Run("an instance that tells nobody", func(t *testing.T) {
+	t.Run("an instance without a source", func(t *testing.T) {
 		_, _, err := ask(qt.New(t), nil)
 		qt.Assert(t, err, qt.ErrorAs, new(*cwport.NoNewsError))
 	})
-	// A follower goes away with its question held. Each left a goroutine behind
-	// for as long as the question had to wait.
-	t.Run("a question ends with its connection", func(t *testing.T) {
+	// Guards against a goroutine leak: when a follower disconnected while its request
+	// was waiting for changes, the goroutine ran until the wait time of the request.
+	t.Run("a request ends with its connection", func(t *testing.T) {
 		c := qt.New(t)
 		held, ended := make(chan struct{}), make(chan struct{})
-		conn, err := Dial(context.Background(), "feeder", serveNews(c, h, teller(func(ctx context.Context, _ cwport.NewsQuestion) (cwport.News, error) {
+		conn, err := Dial(context.Background(), "feeder", serveNews(c, h, newsFunc(func(ctx context.Context, _ cwport.NewsQuestion) (cwport.News, error) {
 			close(held)
 			<-ctx.Done()
 			close(ended)
@@ -275,9 +277,9 @@
 	})
 }
 
-// An instance that stands still accepts connections, since its kernel does. A
-// statement given to it would wait until its time is up.
-func TestStandingInstanceIsNotConnected(t *testing.T) {
+// Guards against forwarding statements to a paused instance. Its kernel still accepts
+// connections, and a statement sent on one would wait until its timeout.
+func TestDialFailsForUnresponsiveInstance(t *testing.T) {
 	c := qt.New(t)
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
@@ -286,17 +288,18 @@
 	c.Assert(err, qt.ErrorIs, context.DeadlineExceeded)
 }
 
-func bodyOf(t testing.TB, n cwport.News) newsBody {
+func encodeNews(t testing.TB, n cwport.News) newsBody {
 	t.Helper()
-	var p packer
-	b, err := p.body(n)
+	var p newsEncoder
+	b, err := p.encode(n)
 	qt.Assert(t, err, qt.IsNil)
 	return b
 }
 
-// Guards against starts that take a megabyte from each feeder for each of its followers.
-func TestManyRowsArePackedOnce(t *testing.T) {
-	var p packer
+// Guards against slow starts: without compression, each feeder sends 1 MB of rows to each
+// of its followers when all instances start at once.
+func TestManyRowsAreCompressedOnce(t *testing.T) {
+	var p newsEncoder
 	var n cwport.News
 	for i := range 900 {
 		n.Topics[cwport.Targets].Rows = append(n.Topics[cwport.Targets].Rows, cwport.Row{
@@ -306,25 +309,25 @@
 	}
 	targets := &n.Topics[cwport.Targets]
 	targets.Version, targets.Whole = 900, true
-	first, err := p.body(n)
+	first, err := p.encode(n)
 	qt.Assert(t, err, qt.IsNil)
-	plain, err := json.Marshal(bodyOfRows(targets.Rows))
+	plain, err := json.Marshal(encodeRows(targets.Rows))
 	qt.Assert(t, err, qt.IsNil)
 	size := len(first.Topics[cwport.Targets].Packed)
-	t.Logf("%d bytes packed, %d as they are", size, len(plain))
+	t.Logf("%d bytes compressed, %d uncompressed", size, len(plain))
 	qt.Assert(t, size < len(plain)/5, qt.IsTrue, qt.Commentf("%d of %d bytes", size, len(plain)))
-	got, err := first.news()
+	got, err := first.decode()
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, got, qt.DeepEquals, n)
 
-	second, err := p.body(n)
+	second, err := p.encode(n)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, &second.Topics[cwport.Targets].Packed[0], qt.Equals, &first.Topics[cwport.Targets].Packed[0])
 
 	targets.Version, targets.Rows = 901, targets.Rows[1:]
-	third, err := p.body(n)
+	third, err := p.encode(n)
 	qt.Assert(t, err, qt.IsNil)
-	got, err = third.news()
+	got, err = third.decode()
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, got, qt.DeepEquals, n)
 }
--- a/internal/wire/cwhandover/news.go
+++ b/internal/wire/cwhandover/news.go
@@ -10,8 +10,9 @@
 	"cicadawalk.example/cicadawalk/internal/wire/cwpack"
 )
 
-type askBody struct {
-	// After has the version of each topic, in the order of cwport.Topics.
+type newsRequestBody struct {
+	// After holds the last known version of each topic, in the order of
+	// cwport.Topics.
 	After  []cwfeed.Version `json:"after"`
 	WaitMS int64            `json:"waitMs,omitempty"`
 }
@@ -27,7 +28,8 @@
 	Version cwfeed.Version `json:"version"`
 	Whole   bool           `json:"whole,omitempty"`
 	Rows    []rowBody      `json:"rows,omitempty"`
-	// Packed is the rows as JSON, compressed, where they are many.
+	// Packed holds the rows as compressed JSON, in place of Rows, if there are more
+	// than maxPlainRows of them.
 	Packed []byte `json:"packed,omitempty"`
 	AgeUS  int64  `json:"ageUs"`
 }
@@ -41,13 +43,13 @@
 	Packed  []byte         `json:"packed,omitempty"`
 }
 
-func bodyOfQuestion(q cwport.NewsQuestion) askBody {
-	return askBody{After: q.After[:], WaitMS: q.Wait.Milliseconds()}
+func encodeNewsRequest(q cwport.NewsQuestion) newsRequestBody {
+	return newsRequestBody{After: q.After[:], WaitMS: q.Wait.Milliseconds()}
 }
 
-// questionOf reads a question for news.
-func questionOf(params []byte) (cwport.NewsQuestion, error) {
-	var b askBody
+// decodeNewsRequest decodes and validates a request for store changes.
+func decodeNewsRequest(params []byte) (cwport.NewsQuestion, error) {
+	var b newsRequestBody
 	if err := json.Unmarshal(params, &b); err != nil {
 		return cwport.NewsQuestion{}, &UnreadableError{What: err.Error()}
 	}
@@ -57,44 +59,47 @@
 	return cwport.NewsQuestion{After: [cwport.TopicCount]cwfeed.Version(b.After), Wait: time.Duration(b.WaitMS) * time.Millisecond}, nil
 }
 
-// packer packs the rows of news, and keeps those of whole topics.
+// newsEncoder encodes answers to requests for store changes. It compresses long lists
+// of rows, and caches the result for complete topics.
 //
-// The load it answers: a data centre starts at once, and sixteen instances ask one for all
-// rows of a large deployment: a megabyte each over a link of a few megabytes a second.
-type packer struct {
+// When a whole data centre starts at once, sixteen instances request all rows of a
+// large deployment from the same instance. Uncompressed, that is 1 MB for each of them
+// over a link of a few megabytes per second.
+type newsEncoder struct {
 	mu sync.Mutex
-	// packed are the rows of whole topics as they were last told.
-	packed [cwport.TopicCount]packedTopic
+	// completeTopics caches the compressed rows of each topic as they were last sent
+	// in full.
+	completeTopics [cwport.TopicCount]compressedTopic
 }
 
-type packedTopic struct {
+type compressedTopic struct {
 	version cwfeed.Version
 	bytes   []byte
 }
 
-// packRowsAbove is the number of rows from which they are packed together.
-const packRowsAbove = 64
+// maxPlainRows is the largest number of rows of a topic that are sent uncompressed.
+const maxPlainRows = 64
 
-// body returns news as they are sent.
-func (p *packer) body(n cwport.News) (newsBody, error) {
+// encode returns the message for n.
+func (p *newsEncoder) encode(n cwport.News) (newsBody, error) {
 	b := newsBody{HeldUS: n.Held.Microseconds(), TargetsAway: n.TargetsAway, TargetsUnsettled: n.TargetsUnsettled}
 	for i, t := range n.Topics {
 		tb := topicBody{Version: t.Version, Whole: t.Whole, AgeUS: t.Age.Microseconds()}
-		if len(t.Rows) > packRowsAbove {
-			packed, err := p.pack(cwport.Topic(i), t)
+		if len(t.Rows) > maxPlainRows {
+			packed, err := p.compressRows(cwport.Topic(i), t)
 			if err != nil {
 				return newsBody{}, err
 			}
 			tb.Packed = packed
 		} else {
-			tb.Rows = bodyOfRows(t.Rows)
+			tb.Rows = encodeRows(t.Rows)
 		}
 		b.Topics = append(b.Topics, tb)
 	}
 	return b, nil
 }
 
-func bodyOfRows(rows []cwport.Row) []rowBody {
+func encodeRows(rows []cwport.Row) []rowBody {
 	var out []rowBody
 	for _, r := range rows {
 		out = append(out, rowBody(r))
@@ -102,44 +107,44 @@
 	return out
 }
 
-// pack returns a topic's rows packed. Those of a whole topic are packed once, whoever
-// asks.
-func (p *packer) pack(topic cwport.Topic, t cwport.TopicNews) ([]byte, error) {
+// compressRows returns the compressed rows of a topic. The rows of a complete topic are
+// compressed once for each version, for all instances that request them.
+func (p *newsEncoder) compressRows(topic cwport.Topic, t cwport.TopicNews) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	kept := &p.packed[topic]
+	kept := &p.completeTopics[topic]
 	if t.Whole && kept.bytes != nil && kept.version == t.Version {
 		return kept.bytes, nil
 	}
-	text, err := json.Marshal(bodyOfRows(t.Rows))
+	text, err := json.Marshal(encodeRows(t.Rows))
 	if err != nil {
 		return nil, err
 	}
 	packed, err := cwpack.Pack(text)
 	if err == nil && t.Whole {
-		*kept = packedTopic{version: t.Version, bytes: packed}
+		*kept = compressedTopic{version: t.Version, bytes: packed}
 	}
 	return packed, err
 }
 
-// news reads what an instance tells. An age or a hold that is out of range proves
-// nothing, so the whole answer counts as unreadable.
-func (b newsBody) news() (cwport.News, error) {
+// decode validates and converts an answer. A negative age or hold time would make data
+// look newer than it is, so the whole answer is rejected.
+func (b newsBody) decode() (cwport.News, error) {
 	if len(b.Topics) != cwport.TopicCount || b.HeldUS < 0 {
-		return cwport.News{}, &UnreadableError{What: "news"}
+		return cwport.News{}, &UnreadableError{What: "news: wrong number of topics or negative hold time"}
 	}
-	n := cwport.News{Held: micros(b.HeldUS), TargetsAway: b.TargetsAway, TargetsUnsettled: b.TargetsUnsettled}
+	n := cwport.News{Held: microseconds(b.HeldUS), TargetsAway: b.TargetsAway, TargetsUnsettled: b.TargetsUnsettled}
 	for i, tb := range b.Topics {
 		if tb.AgeUS < 0 {
-			return cwport.News{}, &UnreadableError{What: "age of news"}
+			return cwport.News{}, &UnreadableError{What: "news: negative age of a topic"}
 		}
-		t := cwport.TopicNews{Version: tb.Version, Whole: tb.Whole, Age: micros(tb.AgeUS)}
-		rows, err := tb.rows()
+		t := cwport.TopicNews{Version: tb.Version, Whole: tb.Whole, Age: microseconds(tb.AgeUS)}
+		rows, err := tb.decodeRows()
 		if err != nil {
 			return cwport.News{}, err
 		}
 		for _, r := range rows {
-			row, err := r.row()
+			row, err := r.decode()
 			if err != nil {
 				return cwport.News{}, err
 			}
@@ -150,8 +155,8 @@
 	return n, nil
 }
 
-// rows returns the rows of a topic, unpacked.
-func (b topicBody) rows() ([]rowBody, error) {
+// decodeRows returns the rows of a topic and decompresses them if necessary.
+func (b topicBody) decodeRows() ([]rowBody, error) {
 	if len(b.Packed) == 0 {
 		return b.Rows, nil
 	}
@@ -166,7 +171,7 @@
 	return rows, nil
 }
 
-func (b rowBody) row() (cwport.Row, error) {
+func (b rowBody) decode() (cwport.Row, error) {
 	r := cwport.Row(b)
 	if len(r.Packed) == 0 {
 		return r, nil
--- a/internal/wire/cwhandover/quota.go
+++ b/internal/wire/cwhandover/quota.go
@@ -9,37 +9,39 @@
 	"cicadawalk.example/cicadawalk/internal/proxy/cwport"
 )
 
-type quotaBody struct {
+type quotaRequestBody struct {
 	Workspace string `json:"workspace"`
 }
 
-type verdictBody struct {
+type quotaResultBody struct {
 	Allowed      bool  `json:"allowed,omitempty"`
 	Unknown      bool  `json:"unknown,omitempty"`
 	RetryAfterUS int64 `json:"retryAfterUs,omitempty"`
 }
 
-// tellQuota answers a question for one operation of a workspace.
-func (s *Server) tellQuota(req *jsonrpc2.Request) (any, error) {
+// answerQuota handles a request to take one operation from a workspace's quota.
+func (s *Server) answerQuota(req *jsonrpc2.Request) (any, error) {
 	if s.Quotas == nil || req.Params == nil {
 		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: req.Method}
 	}
-	var b quotaBody
+	var b quotaRequestBody
 	if err := json.Unmarshal(*req.Params, &b); err != nil {
 		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeInvalidParams, Message: err.Error()}
 	}
 	v := s.Quotas.TellQuota(b.Workspace)
-	return verdictBody{Allowed: v.Allowed, Unknown: v.Unknown, RetryAfterUS: v.RetryAfter.Microseconds()}, nil
+	return quotaResultBody{Allowed: v.Allowed, Unknown: v.Unknown, RetryAfterUS: v.RetryAfter.Microseconds()}, nil
 }
 
-// AskQuota asks for one operation of a workspace.
+// AskQuota takes one operation from the part of the workspace's quota that the other
+// instance keeps. It returns an *UnreadableError if the answer is malformed, and the
+// error of the RPC call if that failed.
 func (c *Conn) AskQuota(ctx context.Context, workspace string) (cwport.Verdict, error) {
-	var b verdictBody
-	if err := c.rpc.Call(ctx, methodQuota, quotaBody{Workspace: workspace}, &b); err != nil {
+	var b quotaResultBody
+	if err := c.rpc.Call(ctx, methodQuota, quotaRequestBody{Workspace: workspace}, &b); err != nil {
 		return cwport.Verdict{}, err
 	}
 	if b.RetryAfterUS < 0 {
-		return cwport.Verdict{}, &UnreadableError{What: "time to come back"}
+		return cwport.Verdict{}, &UnreadableError{What: "quota: negative retry time"}
 	}
-	return cwport.Verdict{Allowed: b.Allowed, Unknown: b.Unknown, RetryAfter: micros(b.RetryAfterUS)}, nil
+	return cwport.Verdict{Allowed: b.Allowed, Unknown: b.Unknown, RetryAfter: microseconds(b.RetryAfterUS)}, nil
 }
