--- a/internal/wire/cwtarget/conn.go
+++ b/internal/wire/cwtarget/conn.go
@@ -12,12 +12,13 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-// Startup is what a connection to a target begins with.
+// Startup holds the parameters of the startup message to a target.
 type Startup struct {
 	User, Database, Application string
 }
 
-// DialError reports a target that could not be connected to. Nothing was sent.
+// DialError reports that no usable connection to a target could be opened. No
+// statement was sent.
 type DialError struct {
 	Address string
 	Cause   error
@@ -28,7 +29,7 @@
 // Unwrap returns the cause.
 func (e *DialError) Unwrap() error { return e.Cause }
 
-// ServerError is an error that a target answered with.
+// ServerError is an error response of a target. Code is the SQLSTATE.
 type ServerError struct {
 	Code, Message string
 }
@@ -39,39 +40,41 @@
 type Conn struct {
 	net.Conn
 	Front *pgproto3.Frontend
-	// PID and Secret name the connection in a request to cancel.
+	// PID and Secret identify the connection in a cancel request.
 	PID    uint32
 	Secret []byte
-	// Parameters are those that the target reported at the start.
+	// Parameters holds the run-time parameters that the target reported during
+	// startup.
 	Parameters map[string]string
 	Address    string
 
-	sent sentBytes
+	sent countingWriter
 }
 
-// sentBytes passes bytes on and counts them.
-type sentBytes struct {
+// countingWriter counts the bytes that are written to w.
+type countingWriter struct {
 	w io.Writer
 	n int
 }
 
-func (s *sentBytes) Write(b []byte) (int, error) {
+func (s *countingWriter) Write(b []byte) (int, error) {
 	n, err := s.w.Write(b)
 	s.n += n
 	return n, err
 }
 
-// TakeSent returns how many bytes were sent since it was last called.
+// TakeSent returns the number of bytes sent since the last call.
 func (c *Conn) TakeSent() int {
 	n := c.sent.n
 	c.sent.n = 0
 	return n
 }
 
-// maxMessage bounds one message from a target, in bytes.
+// maxMessage is the largest message accepted from a target, in bytes.
 const maxMessage = 256 << 20
 
-// Dial connects to a target and waits until it is ready for queries.
+// Dial connects to a target and waits until it is ready for queries. Errors are of type
+// *DialError.
 func Dial(ctx context.Context, address string, s Startup) (*Conn, error) {
 	var d net.Dialer
 	nc, err := d.DialContext(ctx, "tcp", address)
@@ -82,7 +85,7 @@
 		Conn:       nc,
 		Parameters: make(map[string]string),
 		Address:    address,
-		sent:       sentBytes{w: nc},
+		sent:       countingWriter{w: nc},
 	}
 	c.Front = pgproto3.NewFrontend(nc, &c.sent)
 	c.Front.SetMaxBodyLen(maxMessage)
@@ -131,21 +134,26 @@
 	}
 }
 
-// Result is the answer to Exec: the rows as text, and the mark of a commit if
-// there was one.
+// Result is the result of a query.
 type Result struct {
-	Rows   [][]string
-	Mark   string
+	// Rows holds the values as text.
+	Rows [][]string
+	// Mark is the log position of the commit, as text; empty if nothing was
+	// committed.
+	Mark string
+	// Status is the transaction status of the connection, as in ReadyForQuery.
 	Status byte
 }
 
-// Exec runs a simple query of the system's own and reads its whole answer. A
-// ServerError leaves the connection usable, any other error does not.
+// Exec runs a query of the proxy itself with the simple query protocol and reads the
+// whole result. The connection stays usable after a *ServerError, but after no other
+// error.
 func (c *Conn) Exec(query string) (Result, error) {
 	return c.ExecWith(query, c.Front.Receive)
 }
 
-// ExecWith is Exec with the caller's own way to receive, which may give up.
+// ExecWith is like Exec but reads messages with receive, which may return an error, for
+// example after a timeout.
 func (c *Conn) ExecWith(query string, receive func() (pgproto3.BackendMessage, error)) (Result, error) {
 	c.Front.Send(&pgproto3.Query{String: query})
 	if err := c.Front.Flush(); err != nil {
@@ -184,19 +192,19 @@
 	}
 }
 
-// EndedError says that the target ended the connection.
+// EndedError reports that the target ended the connection with a fatal error.
 type EndedError struct{ Message string }
 
 func (e *EndedError) Error() string { return "the target ended the connection: " + e.Message }
 
-// EndsConnection reports whether an error is the target's last word on the
-// connection, as at its shutdown.
+// EndsConnection reports whether the target closes the connection after this error, as
+// it does at a shutdown.
 func EndsConnection(m *pgproto3.ErrorResponse) bool {
 	return m.SeverityUnlocalized == "FATAL" || m.SeverityUnlocalized == "PANIC"
 }
 
-// ServerCode returns the SQLSTATE that a target answered with, or the empty
-// text if err is something else.
+// ServerCode returns the SQLSTATE of a *ServerError, or the empty string for other
+// errors.
 func ServerCode(err error) string {
 	var se *ServerError
 	if errors.As(err, &se) {
@@ -205,7 +213,8 @@
 	return ""
 }
 
-// Cancel asks the target to end the statement that runs on a connection.
+// Cancel sends a cancel request for the statement that runs on the connection with this
+// process id and secret. Errors are of type *DialError.
 func Cancel(ctx context.Context, address string, pid uint32, secret []byte) error {
 	var d net.Dialer
 	nc, err := d.DialContext(ctx, "tcp", address)
@@ -221,11 +230,11 @@
 	if _, err := nc.Write(buf); err != nil {
 		return &DialError{Address: address, Cause: err}
 	}
-	// The target closes the connection once it has acted.
+	// The target closes the connection after it has processed the request.
 	_ = nc.SetReadDeadline(time.Now().Add(time.Second))
 	_, _ = nc.Read(make([]byte, 1))
 	return nil
 }
 
-// NewSecret makes the 4-byte secret of protocol 3.0 from a number.
+// NewSecret encodes n as the 4-byte cancel secret of protocol 3.0.
 func NewSecret(n uint32) []byte { return binary.BigEndian.AppendUint32(nil, n) }
--- a/internal/wire/cwtarget/feed.go
+++ b/internal/wire/cwtarget/feed.go
@@ -13,35 +13,38 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwgroup"
 )
 
-// Times of a feed.
+// Intervals and timeouts of a feed.
 const (
-	// ProbeInterval is how often a feed asks a primary for its status, since
-	// only answers tell the age of data. Replicas' own heartbeats are enough.
+	// ProbeInterval is the time between status queries to a primary. The age of
+	// data can be computed only from answers to queries, whose send time is known.
+	// For replicas the heartbeats are sufficient.
 	ProbeInterval = 250 * time.Millisecond
-	// Silence is how long a feed may bring nothing before a fresh connection is
-	// tried.
+	// Silence is the time without any message after which a feed opens a new
+	// connection to test whether the member is reachable.
 	Silence = 600 * time.Millisecond
-	// FreshTimeout bounds a fresh connection, its start-up included.
+	// FreshTimeout limits the time to open a connection, including the startup
+	// messages.
 	FreshTimeout = 300 * time.Millisecond
-	// redial is the pause after a failed connection.
-	redial = 100 * time.Millisecond
+	// redialDelay is the pause after a failed connection.
+	redialDelay = 100 * time.Millisecond
 )
 
-// FeedEvents is what the owner of a feed is told. Calls come from the feed's
+// FeedEvents receives the events of a feed. The methods are called from the feed's
 // goroutines, one at a time for each connection.
 type FeedEvents interface {
-	// Reported brings a status. Asked is when the question was sent, or zero if
-	// the member told it unasked.
+	// Reported is called for each status. The value of asked is the time at which
+	// the query was sent, or zero for a notification.
 	Reported(r Report, asked time.Time)
-	// Unreachable says that a fresh connection failed.
+	// Unreachable is called when a new connection to the member failed.
 	Unreachable(id cwgroup.MemberID)
-	// WentSilent says that an open connection brought nothing while a fresh one
-	// works: other old connections to the member may be silent too.
+	// WentSilent is called when nothing arrives on the open connection although a
+	// new connection works. Other old connections to the member may be unresponsive
+	// too.
 	WentSilent(id cwgroup.MemberID)
 }
 
-// Feed keeps one control connection to a member. Over it the member tells its
-// status and takes orders. Set the fields before Run.
+// Feed keeps one control connection to a member open. The member sends its status on it
+// and receives control commands. Set the exported fields before Run.
 type Feed struct {
 	Member  cwgroup.MemberID
 	Address string
@@ -51,22 +54,23 @@
 
 	mu sync.Mutex
 	// conn is nil while there is no connection.
-	conn    *Conn
-	heard   time.Time
-	pending []*question
-	// leads is false once the member said that it does not lead.
-	leads bool
+	conn         *Conn
+	lastReceived time.Time
+	pending      []*pendingQuery
+	// isPrimary is true on a new connection and false after the member has reported
+	// another role.
+	isPrimary bool
 }
 
-// question is a query whose answer has not come.
-type question struct {
-	asked time.Time
-	rows  []string
-	err   error
-	done  chan struct{}
+// pendingQuery is a query that was sent and has no result yet.
+type pendingQuery struct {
+	sentAt time.Time
+	rows   []string
+	err    error
+	done   chan struct{}
 }
 
-// NoFeedError reports a question that could not be asked or answered.
+// NoFeedError reports a query that could not be sent or got no result.
 type NoFeedError struct {
 	Member cwgroup.MemberID
 	Cause  error
@@ -81,7 +85,7 @@
 
 const statusQuery = "SELECT * FROM group_status()"
 
-// notConnectedError is the cause of a question that found no connection.
+// notConnectedError is the cause of a NoFeedError if there is no connection.
 type notConnectedError struct{}
 
 func (notConnectedError) Error() string { return "not connected" }
@@ -91,12 +95,12 @@
 // Run keeps the feed connected until ctx ends.
 func (f *Feed) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		conn, err := f.fresh(ctx)
+		conn, err := f.connect(ctx)
 		if err != nil {
 			if ctx.Err() == nil {
 				f.Events.Unreachable(f.Member)
 			}
-			f.pause(ctx, redial)
+			f.sleep(ctx, redialDelay)
 			continue
 		}
 		f.serve(ctx, conn)
@@ -104,23 +108,23 @@
 	return nil
 }
 
-func (f *Feed) fresh(ctx context.Context) (*Conn, error) {
+func (f *Feed) connect(ctx context.Context) (*Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, FreshTimeout)
 	defer cancel()
 	return Dial(ctx, f.Address, f.Startup)
 }
 
-func (f *Feed) pause(ctx context.Context, d time.Duration) {
+func (f *Feed) sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-f.Clock.After(d):
 	case <-ctx.Done():
 	}
 }
 
-// serve uses one connection until it breaks or goes silent.
+// serve uses one connection until it fails or becomes unresponsive.
 func (f *Feed) serve(ctx context.Context, conn *Conn) {
 	f.mu.Lock()
-	f.conn, f.heard, f.leads = conn, f.Clock.Now(), true
+	f.conn, f.lastReceived, f.isPrimary = conn, f.Clock.Now(), true
 	f.mu.Unlock()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -129,22 +133,22 @@
 	var g errgroup.Group
 	g.Go(func() error {
 		defer cancel()
-		f.loopRead(conn)
+		f.readLoop(conn)
 		return nil
 	})
 	g.Go(func() error {
 		defer cancel()
-		f.loopProbe(ctx)
+		f.probeLoop(ctx)
 		return nil
 	})
-	f.send("LISTEN "+PositionChannel, &question{done: make(chan struct{})})
+	f.send("LISTEN "+PositionChannel, &pendingQuery{done: make(chan struct{})})
 	f.probe()
 	_ = g.Wait()
-	f.drop()
+	f.failPending()
 }
 
-// drop fails the questions of a connection that ended.
-func (f *Feed) drop() {
+// failPending fails the pending queries after the connection has ended.
+func (f *Feed) failPending() {
 	f.mu.Lock()
 	pending := f.pending
 	f.conn, f.pending = nil, nil
@@ -155,8 +159,9 @@
 	}
 }
 
-// send writes a query and queues its question. The target answers in order.
-func (f *Feed) send(query string, q *question) {
+// send writes a query and appends q to the pending queries. The target answers queries
+// in order.
+func (f *Feed) send(query string, q *pendingQuery) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.conn == nil {
@@ -164,42 +169,44 @@
 		close(q.done)
 		return
 	}
-	q.asked = f.Clock.Now()
+	q.sentAt = f.Clock.Now()
 	f.pending = append(f.pending, q)
 	f.conn.Front.Send(&pgproto3.Query{String: query})
 	_ = f.conn.SetWriteDeadline(time.Now().Add(Silence))
-	// A failed write shows at the reader, which ends the connection.
+	// After a failed write the read loop fails too and ends the connection.
 	_ = f.conn.Front.Flush()
 }
 
-func (f *Feed) loopProbe(ctx context.Context) {
+func (f *Feed) probeLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		f.pause(ctx, ProbeInterval)
+		f.sleep(ctx, ProbeInterval)
 		f.mu.Lock()
-		silent, leads := f.Clock.Since(f.heard) > Silence, f.leads
+		unresponsive, isPrimary := f.Clock.Since(f.lastReceived) > Silence, f.isPrimary
 		f.mu.Unlock()
-		if silent && f.checkSilent(ctx) {
+		if unresponsive && f.checkUnresponsive(ctx) {
 			return
 		}
-		if leads {
+		if isPrimary {
 			f.probe()
 		}
 	}
 }
 
-// probe asks for the status. Only what was asked for tells the age of data.
+// probe sends a status query. The age of data can be computed only from its answer,
+// because the send time is known.
 func (f *Feed) probe() {
-	f.send(statusQuery, &question{done: make(chan struct{})})
+	f.send(statusQuery, &pendingQuery{done: make(chan struct{})})
 }
 
-// checkSilent tries a fresh connection. It returns true: either way the old
-// connection is of no more use.
+// checkUnresponsive opens a new connection and reports whether the member is
+// unreachable or only the old connection fails. It returns true, because the old
+// connection is unusable in both cases.
 //
-// The failure: something between the two ends has lost track of an open
-// connection. It shows as no answer, for good, while new connections work. A
-// timeout alone cannot tell this from a dead member; the fresh connection can.
-func (f *Feed) checkSilent(ctx context.Context) bool {
-	conn, err := f.fresh(ctx)
+// A network device on the path can lose the state of an open connection. Messages on it
+// are then never answered, while new connections work. A timeout alone cannot
+// distinguish this from a failed member, but a new connection can.
+func (f *Feed) checkUnresponsive(ctx context.Context) bool {
+	conn, err := f.connect(ctx)
 	if ctx.Err() != nil {
 		return true
 	}
@@ -212,7 +219,7 @@
 	return true
 }
 
-func (f *Feed) loopRead(conn *Conn) {
+func (f *Feed) readLoop(conn *Conn) {
 	for {
 		msg, err := conn.Front.Receive()
 		if err != nil {
@@ -220,26 +227,26 @@
 		}
 		now := f.Clock.Now()
 		f.mu.Lock()
-		f.heard = now
+		f.lastReceived = now
 		f.mu.Unlock()
 		switch m := msg.(type) {
 		case *pgproto3.NotificationResponse:
-			f.told(m.Payload, time.Time{})
+			f.handleStatus(m.Payload, time.Time{})
 		case *pgproto3.DataRow:
-			if q := f.head(); q != nil && len(m.Values) > 0 {
+			if q := f.currentQuery(); q != nil && len(m.Values) > 0 {
 				q.rows = append(q.rows, string(m.Values[0]))
 			}
 		case *pgproto3.ErrorResponse:
-			if q := f.head(); q != nil {
+			if q := f.currentQuery(); q != nil {
 				q.err = &ServerError{Code: m.Code, Message: m.Message}
 			}
 		case *pgproto3.ReadyForQuery:
-			f.answered()
+			f.completeQuery()
 		}
 	}
 }
 
-func (f *Feed) head() *question {
+func (f *Feed) currentQuery() *pendingQuery {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.pending) == 0 {
@@ -248,7 +255,7 @@
 	return f.pending[0]
 }
 
-func (f *Feed) answered() {
+func (f *Feed) completeQuery() {
 	f.mu.Lock()
 	if len(f.pending) == 0 {
 		f.mu.Unlock()
@@ -258,27 +265,28 @@
 	f.pending = f.pending[1:]
 	f.mu.Unlock()
 	if q.err == nil && len(q.rows) == 1 {
-		f.told(q.rows[0], q.asked)
+		f.handleStatus(q.rows[0], q.sentAt)
 	}
 	close(q.done)
 }
 
-// told passes a status on, if the text is one.
-func (f *Feed) told(text string, asked time.Time) {
+// handleStatus parses a status and reports it. It ignores other texts.
+func (f *Feed) handleStatus(text string, asked time.Time) {
 	r, err := ParseStatus(text)
 	if err != nil {
 		return
 	}
 	f.mu.Lock()
-	f.leads = r.Role == cwgroup.RolePrimary
+	f.isPrimary = r.Role == cwgroup.RolePrimary
 	f.mu.Unlock()
 	f.Events.Reported(r, asked)
 }
 
-// Ask sends a query and returns the first column of its rows. If there is no
-// connection the answer is a NoFeedError.
+// Ask sends a query and returns the first column of its rows. It returns a *NoFeedError
+// if there is no connection or ctx ends, and a *ServerError if the target refuses the
+// query.
 func (f *Feed) Ask(ctx context.Context, query string) ([]string, error) {
-	q := &question{done: make(chan struct{})}
+	q := &pendingQuery{done: make(chan struct{})}
 	f.send(query, q)
 	select {
 	case <-q.done:
@@ -288,29 +296,29 @@
 	return q.rows, q.err
 }
 
-// Status asks for the status now. The answer was true at some moment after the
-// call.
+// Status queries the member's status. The result was valid at some time after the call.
 func (f *Feed) Status(ctx context.Context) (Report, error) {
-	return f.order(ctx, statusQuery)
+	return f.control(ctx, statusQuery)
 }
 
-// Adopt orders the member to adopt a term for a claim.
+// Adopt tells the member to adopt term t for claim c, and returns its status.
 func (f *Feed) Adopt(ctx context.Context, t cwgroup.Term, c cwgroup.ClaimID) (Report, error) {
-	return f.order(ctx, fmt.Sprintf("SELECT * FROM group_adopt(%d, '%s')", t, c))
+	return f.control(ctx, fmt.Sprintf("SELECT * FROM group_adopt(%d, '%s')", t, c))
 }
 
-// Promote orders the member to lead a term.
+// Promote tells the member to become the primary of term t, and returns its status.
 func (f *Feed) Promote(ctx context.Context, t cwgroup.Term, c cwgroup.ClaimID) (Report, error) {
-	return f.order(ctx, fmt.Sprintf("SELECT * FROM group_promote(%d, '%s')", t, c))
+	return f.control(ctx, fmt.Sprintf("SELECT * FROM group_promote(%d, '%s')", t, c))
 }
 
-// Follow orders the member to copy the primary of a term.
+// Follow tells the member to replicate from the primary of term t, which is member id
+// at the address, and returns its status.
 func (f *Feed) Follow(ctx context.Context, t cwgroup.Term, c cwgroup.ClaimID, id cwgroup.MemberID, address string) (Report, error) {
-	return f.order(ctx, fmt.Sprintf("SELECT * FROM group_follow(%d, '%s', '%s', '%s')", t, c, id, address))
+	return f.control(ctx, fmt.Sprintf("SELECT * FROM group_follow(%d, '%s', '%s', '%s')", t, c, id, address))
 }
 
-// Activity returns the state of a session at the target by its process id, as
-// pg_stat_activity has it; empty if there is no such session.
+// Activity returns the state of the session with a process id from the target's
+// pg_stat_activity, or the empty string if there is no such session.
 func (f *Feed) Activity(ctx context.Context, pid uint32) (string, error) {
 	rows, err := f.Ask(ctx, fmt.Sprintf("SELECT state FROM pg_stat_activity WHERE pid = %d", pid))
 	if err != nil || len(rows) == 0 {
@@ -319,7 +327,7 @@
 	return rows[0], nil
 }
 
-func (f *Feed) order(ctx context.Context, query string) (Report, error) {
+func (f *Feed) control(ctx context.Context, query string) (Report, error) {
 	rows, err := f.Ask(ctx, query)
 	if err != nil {
 		return Report{}, err
--- a/internal/wire/cwtarget/status.go
+++ b/internal/wire/cwtarget/status.go
@@ -1,7 +1,8 @@
-// Package cwtarget speaks to the databases of a group.
+// Package cwtarget implements connections to the targets, the databases of a group.
 //
-// Traffic and control both use PostgreSQL protocol 3. Control is a handful of
-// functions and one notification channel that the platform's groups offer:
+// Callers' statements and control commands both use PostgreSQL protocol 3. The control
+// interface consists of four functions and one notification channel, which the
+// platform's groups provide:
 //
 //	SELECT * FROM group_status()
 //	SELECT * FROM group_adopt(term, 'claim')
@@ -9,10 +10,10 @@
 //	SELECT * FROM group_follow(term, 'claim', 'member', 'address')
 //	LISTEN group_position
 //
-// Each of the four returns one row with one column, the member's status as
-// FormatStatus writes it. After LISTEN the member notifies at each change and,
-// as a heartbeat, a few times a second. After each commit the primary reports
-// the end of its log as the parameter PositionParameter.
+// Each function returns one row with one column, which is the member's status in the
+// format of FormatStatus. After LISTEN the member sends a notification at each change
+// and, as a heartbeat, a few times a second. After each commit the primary reports the
+// end of its log in the run-time parameter PositionParameter.
 package cwtarget
 
 import (
@@ -26,39 +27,40 @@
 
 // Names of the control interface.
 const (
-	// PositionParameter is the run-time parameter that carries the mark of a
+	// PositionParameter is the run-time parameter with the log position of a
 	// commit.
 	PositionParameter = "group_position"
-	// PositionChannel is the channel of a member's status.
+	// PositionChannel is the notification channel for a member's status.
 	PositionChannel = "group_position"
 	// ControlApplication is the application name of control connections.
 	ControlApplication = "cicadawalk-control"
 )
 
-// Report is a status with what only the wire carries.
+// Report is a member's status as it is sent on the control connection.
 type Report struct {
 	cwgroup.Status
-	// Following is the member that a replica copies.
+	// Following is the member that a replica replicates from.
 	Following cwgroup.MemberID
 }
 
-// FormatStatus writes a report as key=value pairs.
+// FormatStatus formats a report as key=value pairs. Times are in milliseconds.
 func FormatStatus(r Report) string {
 	return fmt.Sprintf("member=%s role=%s adopted=%d claim=%s last=%s applied=%s upstreamAgeMs=%d openWrites=%d following=%s",
 		r.Member, r.Role, r.AdoptedTerm, r.Claim, r.Durable, r.Applied, r.UpstreamAge.Milliseconds(), r.OpenWrites, r.Following)
 }
 
-// StatusError reports a status that cannot be read.
+// StatusError reports a malformed status.
 type StatusError struct{ Text string }
 
 func (e *StatusError) Error() string { return fmt.Sprintf("status %q is malformed", e.Text) }
 
-// ParseStatus reads what FormatStatus writes. Unknown keys are ignored.
+// ParseStatus parses the format of FormatStatus. It ignores unknown keys, and returns a
+// *StatusError if the text is malformed.
 func ParseStatus(s string) (Report, error) {
 	var r Report
 	for _, field := range strings.Fields(s) {
 		key, value, ok := strings.Cut(field, "=")
-		if !ok || r.set(key, value) != nil {
+		if !ok || r.setField(key, value) != nil {
 			return Report{}, &StatusError{Text: s}
 		}
 	}
@@ -68,7 +70,7 @@
 	return r, nil
 }
 
-func (r *Report) set(key, value string) error {
+func (r *Report) setField(key, value string) error {
 	var err error
 	var n uint64
 	switch key {
