--- a/internal/wire/cwcodec/codec_test.go
+++ b/internal/wire/cwcodec/codec_test.go
@@ -14,7 +14,7 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwgroup"
 )
 
-func TestExamplesAreWhole(t *testing.T) {
+func TestExamplesRoundTrip(t *testing.T) {
 	for _, name := range []string{"camara", "margalla", "trial"} {
 		text, err := os.ReadFile(filepath.Join("..", "..", "..", "examples", name+".json"))
 		qt.Assert(t, err, qt.IsNil)
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestFaultsNameLineAndField(t *testing.T) {
+func TestFaultsShowLineAndField(t *testing.T) {
 	for _, tc := range []struct{ name, text, want string }{
 		{"unknown field", "{\n \"revision\": 1,\n \"colour\": 2\n}", `line 3: colour: "colour" is not allowed; no such field`},
 		{"twice", "{\n \"revision\": 1,\n \"revision\": 2\n}", `line 3: revision: "revision" is not allowed; each field once`},
@@ -65,7 +65,7 @@
 		c, err := Decode([]byte(text))
 		if err != nil {
 			if strings.TrimSpace(err.Error()) == "" {
-				t.Fatal("an error without words")
+				t.Fatal("the error text is empty")
 			}
 			return
 		}
@@ -74,12 +74,12 @@
 			t.Fatal(err)
 		}
 		if _, err := Decode(again); err != nil {
-			t.Fatalf("accepted once, refused again: %v", err)
+			t.Fatalf("the encoded catalogue was rejected: %v", err)
 		}
 	})
 }
 
-func sized(n int) cwcatalogue.Catalogue {
+func sampleCatalogue(n int) cwcatalogue.Catalogue {
 	c := cwcatalogue.Catalogue{Revision: 1, DataCentres: []cwcatalogue.DataCentre{{Name: "dc", Region: "r"}}}
 	for i := range n {
 		name := fmt.Sprintf("service-%d", i)
@@ -99,11 +99,11 @@
 	return c
 }
 
-// BenchmarkCatalogue measures what a whole catalogue costs to write, to read
-// with all checks, and to make of its rows.
+// BenchmarkCatalogue measures encoding a whole catalogue, decoding it with validation,
+// and joining it from its parts.
 func BenchmarkCatalogue(b *testing.B) {
 	for _, n := range []int{10, 100, 700} {
-		c := sized(n)
+		c := sampleCatalogue(n)
 		text, err := Encode(c)
 		qt.Assert(b, err, qt.IsNil)
 		parts, err := Parts(c)
--- a/internal/wire/cwcodec/document.go
+++ b/internal/wire/cwcodec/document.go
@@ -1,7 +1,9 @@
-// Package cwcodec maps the catalogue to JSON and back, by hand.
+// Package cwcodec encodes and decodes the catalogue as JSON.
 //
-// The format has camelCase names and durations in milliseconds. Unknown fields
-// are refused. Every fault is found at once and names its line and field.
+// The format has camelCase names, and durations in milliseconds. It is defined by
+// separate types, so that changes of the catalogue's types do not change the format.
+// Unknown fields are rejected. Decoding reports all faults of a valid JSON document
+// together, each with its line and field.
 package cwcodec
 
 import (
@@ -72,11 +74,11 @@
 	PlannedAt time.Time `json:"plannedAt"`
 }
 
-func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-func fromMs(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
+func fromMilliseconds(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
 
-// Encode writes a catalogue, indented.
+// Encode returns a catalogue as indented JSON.
 func Encode(c cwcatalogue.Catalogue) ([]byte, error) {
 	return json.MarshalIndent(toBody(c), "", "  ")
 }
@@ -93,7 +95,7 @@
 		d.DataCentres = append(d.DataCentres, dataCentreBody(dc))
 	}
 	for _, l := range c.Links {
-		d.Links = append(d.Links, linkBody{A: l.A, B: l.B, DelayMs: ms(l.Delay)})
+		d.Links = append(d.Links, linkBody{A: l.A, B: l.B, DelayMs: milliseconds(l.Delay)})
 	}
 	for _, e := range c.Entries {
 		d.Entries = append(d.Entries, entryToBody(e))
@@ -115,9 +117,9 @@
 			Connections:          c.Connections,
 			Slots:                c.Slots,
 			QueueLimit:           c.QueueLimit,
-			StatementTimeoutMs:   ms(c.StatementTimeout),
-			AckTimeoutMs:         ms(c.AckTimeout),
-			ReadWaitMs:           ms(c.ReadWait),
+			StatementTimeoutMs:   milliseconds(c.StatementTimeout),
+			AckTimeoutMs:         milliseconds(c.AckTimeout),
+			ReadWaitMs:           milliseconds(c.ReadWait),
 			ChecksTerm:           c.ChecksTerm,
 			FailoverWithoutTable: c.FailoverWithoutTable,
 		},
@@ -132,10 +134,10 @@
 	return b
 }
 
-// Decode reads a catalogue and checks it. Its error is a *DocumentError that
-// lists every fault.
+// Decode decodes and validates a catalogue. Errors are of type *DocumentError, which
+// lists every fault found.
 func Decode(text []byte) (cwcatalogue.Catalogue, error) {
-	lines, unknown, err := locate(text)
+	lines, unknown, err := locateFields(text)
 	if err != nil {
 		return cwcatalogue.Catalogue{}, err
 	}
@@ -146,7 +148,7 @@
 	c := fromBody(d)
 	faults := unknown
 	for _, f := range cwcatalogue.Check(c) {
-		faults = append(faults, LineFault{Line: lines.of(f.Path), Fault: f})
+		faults = append(faults, LineFault{Line: lines.lineOf(f.Path), Fault: f})
 	}
 	if len(faults) > 0 {
 		return c, &DocumentError{Faults: faults}
@@ -160,7 +162,7 @@
 		c.DataCentres = append(c.DataCentres, cwcatalogue.DataCentre(dc))
 	}
 	for _, l := range d.Links {
-		c.Links = append(c.Links, cwcatalogue.Link{A: l.A, B: l.B, Delay: fromMs(l.DelayMs)})
+		c.Links = append(c.Links, cwcatalogue.Link{A: l.A, B: l.B, Delay: fromMilliseconds(l.DelayMs)})
 	}
 	for _, e := range d.Entries {
 		c.Entries = append(c.Entries, entryFromBody(e))
@@ -182,9 +184,9 @@
 			Connections:          c.Connections,
 			Slots:                c.Slots,
 			QueueLimit:           c.QueueLimit,
-			StatementTimeout:     fromMs(c.StatementTimeoutMs),
-			AckTimeout:           fromMs(c.AckTimeoutMs),
-			ReadWait:             fromMs(c.ReadWaitMs),
+			StatementTimeout:     fromMilliseconds(c.StatementTimeoutMs),
+			AckTimeout:           fromMilliseconds(c.AckTimeoutMs),
+			ReadWait:             fromMilliseconds(c.ReadWaitMs),
 			ChecksTerm:           c.ChecksTerm,
 			FailoverWithoutTable: c.FailoverWithoutTable,
 		},
@@ -199,8 +201,8 @@
 	return e
 }
 
-// Parts splits a catalogue into the values of the rows that it is kept in: one
-// for the places, one for the stops and one for each entry, by name.
+// Parts splits a catalogue into the values of the rows in which it is stored, by name:
+// one part for data centres and links, one for planned stops, and one for each entry.
 func Parts(c cwcatalogue.Catalogue) (map[string][]byte, error) {
 	parts := make(map[string][]byte, len(c.Entries)+2)
 	add := func(name string, part cwcatalogue.Catalogue) error {
@@ -222,14 +224,17 @@
 	return parts, nil
 }
 
-// Names of the parts.
+// Names of the parts of a catalogue.
 const (
+	// PartPlaces is the part with data centres and links.
 	PartPlaces = "places"
-	PartStops  = "stops"
-	PartEntry  = "entry/"
+	// PartStops is the part with planned stops.
+	PartStops = "stops"
+	// PartEntry is the prefix of the part of an entry. The service's name follows.
+	PartEntry = "entry/"
 )
 
-// partBody is a document that leaves out what it does not have.
+// partBody is the JSON form of a part. Empty lists are omitted.
 type partBody struct {
 	DataCentres []dataCentreBody `json:"dataCentres,omitempty"`
 	Links       []linkBody       `json:"links,omitempty"`
@@ -242,8 +247,8 @@
 	return json.Marshal(partBody{DataCentres: d.DataCentres, Links: d.Links, Entries: d.Entries, Stops: d.Stops})
 }
 
-// Join makes a catalogue of its parts. A part without content, as an entry that
-// was removed has, adds nothing.
+// Join builds a catalogue from its parts. The empty part of a removed entry adds
+// nothing. Errors are of type *PartError. The revision is not set.
 func Join(parts map[string][]byte) (cwcatalogue.Catalogue, error) {
 	var d documentBody
 	for _, name := range slices.Sorted(maps.Keys(parts)) {
@@ -259,7 +264,7 @@
 	return fromBody(d), nil
 }
 
-// PartError reports a row of the catalogue that cannot be read.
+// PartError reports a row of the catalogue that cannot be decoded.
 type PartError struct {
 	Part  string
 	Cause error
@@ -270,8 +275,8 @@
 // Unwrap returns the cause.
 func (e *PartError) Unwrap() error { return e.Cause }
 
-// Changed returns the parts of next that differ from those of known. A part
-// that is gone is there without content.
+// Changed returns the parts of next that differ from those of known. A part that is
+// missing from next is returned as an empty JSON object.
 func Changed(known, next cwcatalogue.Catalogue) (map[string][]byte, error) {
 	before, err := Parts(known)
 	if err != nil {
@@ -290,7 +295,8 @@
 	return after, nil
 }
 
-// Overlay returns the catalogue of the revision that changed parts lead to.
+// Overlay applies changed parts to a known catalogue, and returns the result as revision
+// rev. If it fails it returns the known catalogue and a *PartError.
 func Overlay(known cwcatalogue.Catalogue, changed map[string][]byte, rev cwcatalogue.Revision) (cwcatalogue.Catalogue, error) {
 	parts, err := Parts(known)
 	if err != nil {
--- a/internal/wire/cwcodec/locate.go
+++ b/internal/wire/cwcodec/locate.go
@@ -14,8 +14,8 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwcatalogue"
 )
 
-// LineFault is a fault with the line that it stands in, counted from 1; zero if
-// the field is missing altogether.
+// LineFault is a fault with its line, counted from 1. For a missing field it is the line
+// of the enclosing object.
 type LineFault struct {
 	Line  int
 	Fault cwcatalogue.Fault
@@ -24,7 +24,7 @@
 // String formats the fault for an operator.
 func (f LineFault) String() string { return fmt.Sprintf("line %d: %s", f.Line, f.Fault) }
 
-// DocumentError lists every fault of a document.
+// DocumentError lists the faults of a document. Its text has one line for each fault.
 type DocumentError struct{ Faults []LineFault }
 
 func (e *DocumentError) Error() string {
@@ -35,7 +35,7 @@
 	return strings.Join(out, "\n")
 }
 
-func oneFault(text []byte, offset int64, path, value, allowed string) error {
+func singleFault(text []byte, offset int64, path, value, allowed string) error {
 	return &DocumentError{Faults: []LineFault{{
 		Line:  lineAt(text, offset),
 		Fault: cwcatalogue.Fault{Path: path, Value: value, Allowed: allowed},
@@ -50,7 +50,7 @@
 func typeError(text []byte, err error) error {
 	var te *json.UnmarshalTypeError
 	if errors.As(err, &te) {
-		return oneFault(text, te.Offset, te.Field, te.Value, "a "+kindName(te.Type))
+		return singleFault(text, te.Offset, te.Field, te.Value, "a "+kindName(te.Type))
 	}
 	return syntaxError(text, err)
 }
@@ -58,9 +58,9 @@
 func syntaxError(text []byte, err error) error {
 	var se *json.SyntaxError
 	if errors.As(err, &se) {
-		return oneFault(text, se.Offset, "document", se.Error(), "valid JSON")
+		return singleFault(text, se.Offset, "document", se.Error(), "valid JSON")
 	}
-	return oneFault(text, int64(len(text)), "document", err.Error(), "one complete JSON object")
+	return singleFault(text, int64(len(text)), "document", err.Error(), "one complete JSON object")
 }
 
 func kindName(t reflect.Type) string {
@@ -78,11 +78,11 @@
 	}
 }
 
-// lineTable holds the line of each field by its path.
+// lineTable maps the path of each field to its line.
 type lineTable map[string]int
 
-// of returns the line of a path, or that of the nearest object around it.
-func (t lineTable) of(path string) int {
+// lineOf returns the line of a path, or of the nearest enclosing object or list.
+func (t lineTable) lineOf(path string) int {
 	for path != "" {
 		if n, ok := t[path]; ok {
 			return n
@@ -96,45 +96,47 @@
 	return t[""]
 }
 
-// locator walks the tokens of a document.
-type locator struct {
+// fieldLocator reads the tokens of a document and records the line of each field.
+type fieldLocator struct {
 	text    []byte
 	dec     *json.Decoder
 	lines   lineTable
 	unknown []LineFault
-	// at and line are the offset up to which lines were counted, and the count.
-	at   int64
-	line int
+	// countedTo is the offset up to which line breaks were counted, and line the
+	// current line.
+	countedTo int64
+	line      int
 }
 
-// here returns the line of the decoder's place. Places only grow, so the text
-// is counted once.
-func (l *locator) here() int {
+// currentLine returns the line at the decoder's offset. Offsets only grow, so each part
+// of the text is counted once.
+func (l *fieldLocator) currentLine() int {
 	to := l.dec.InputOffset()
-	l.line += bytes.Count(l.text[l.at:to], []byte("\n"))
-	l.at = to
+	l.line += bytes.Count(l.text[l.countedTo:to], []byte("\n"))
+	l.countedTo = to
 	return l.line
 }
 
-// locate finds the line of each field, and the fields that nobody knows.
-func locate(text []byte) (lineTable, []LineFault, error) {
-	l := &locator{text: text, dec: json.NewDecoder(bytes.NewReader(text)), lines: lineTable{}, line: 1}
+// locateFields returns the line of each field, and the faults of unknown and repeated
+// fields.
+func locateFields(text []byte) (lineTable, []LineFault, error) {
+	l := &fieldLocator{text: text, dec: json.NewDecoder(bytes.NewReader(text)), lines: lineTable{}, line: 1}
 	if err := l.value(""); err != nil {
 		return nil, nil, syntaxError(text, err)
 	}
 	if _, err := l.dec.Token(); !errors.Is(err, io.EOF) {
-		return nil, nil, oneFault(text, l.dec.InputOffset(), "document", "more after the end", "one JSON object")
+		return nil, nil, singleFault(text, l.dec.InputOffset(), "document", "more after the end", "one JSON object")
 	}
 	return l.lines, l.unknown, nil
 }
 
-func (l *locator) value(path string) error {
+func (l *fieldLocator) value(path string) error {
 	tok, err := l.dec.Token()
 	if err != nil {
 		return err
 	}
 	if _, ok := l.lines[path]; !ok {
-		l.lines[path] = l.here()
+		l.lines[path] = l.currentLine()
 	}
 	switch tok {
 	case json.Delim('{'):
@@ -145,7 +147,7 @@
 	return nil
 }
 
-func (l *locator) object(path string) error {
+func (l *fieldLocator) object(path string) error {
 	for l.dec.More() {
 		tok, err := l.dec.Token()
 		if err != nil {
@@ -156,12 +158,12 @@
 		if path != "" {
 			child = path + "." + name
 		}
-		line := l.here()
+		line := l.currentLine()
 		if _, twice := l.lines[child]; twice {
 			l.unknown = append(l.unknown, LineFault{Line: line, Fault: cwcatalogue.Fault{Path: child, Value: name, Allowed: "each field once"}})
 		}
 		l.lines[child] = line
-		if !knownPaths[indexes.ReplaceAllString(child, "")] {
+		if !knownPaths[indexPattern.ReplaceAllString(child, "")] {
 			l.unknown = append(l.unknown, LineFault{Line: line, Fault: cwcatalogue.Fault{Path: child, Value: name, Allowed: "no such field"}})
 		}
 		if err := l.value(child); err != nil {
@@ -172,7 +174,7 @@
 	return err
 }
 
-func (l *locator) list(path string) error {
+func (l *fieldLocator) list(path string) error {
 	for i := 0; l.dec.More(); i++ {
 		if err := l.value(fmt.Sprintf("%s[%d]", path, i)); err != nil {
 			return err
@@ -182,9 +184,9 @@
 	return err
 }
 
-var indexes = regexp.MustCompile(`\[\d+\]`)
+var indexPattern = regexp.MustCompile(`\[\d+\]`)
 
-// knownPaths are the paths of all fields, without indexes.
+// knownPaths holds the paths of all fields of the format, without list indexes.
 var knownPaths = pathsOf(reflect.TypeFor[documentBody](), "")
 
 func pathsOf(t reflect.Type, prefix string) map[string]bool {
