--- a/internal/wire/cwstore/trail.go
+++ b/internal/wire/cwstore/audit.go
@@ -27,8 +27,8 @@
 	return out, nil
 }
 
-// Record adds an act of a proxy. The id must be unique; recording it twice has
-// the effect of once.
+// Record records an automatic action of a proxy. The id must be unique. Recording the
+// same action again has no further effect.
 func (s Store) Record(ctx context.Context, id string, a Act) error {
 	value, err := json.Marshal(actBody(a))
 	if err != nil {
@@ -39,7 +39,7 @@
 	return err
 }
 
-// Acts returns what the proxies did, oldest first.
+// Acts returns the automatic actions of all proxies, oldest first.
 func (s Store) Acts(ctx context.Context) ([]Act, error) {
 	rows, err := s.Table.List(ctx, keyActs)
 	if err != nil {
--- a/internal/wire/cwstore/store.go
+++ b/internal/wire/cwstore/store.go
@@ -1,11 +1,10 @@
-// Package cwstore keeps the catalogue, and the audit trail, in the platform's
-// table.
+// Package cwstore stores the catalogue and the audit trail in the platform's table.
 //
-// There is one row for the revision, one for each part of the catalogue, and
-// one audit row for each revision. An accepted change is one transaction that
-// expects the revision row as it was read: two operators who race cannot both
-// win, and the audit trail has no gaps. What the proxies do by themselves is
-// recorded in rows of its own, next to the operators' changes.
+// There is one row for the revision, one for each part of the catalogue, and one audit
+// row for each revision. A change is committed in one transaction, on condition that
+// the revision row was not modified since it was read. Of two concurrent changes only
+// one can succeed, and the audit trail has no gaps. Automatic actions of the proxies
+// are recorded in separate rows.
 package cwstore
 
 import (
@@ -21,7 +20,7 @@
 	"cicadawalk.example/cicadawalk/internal/wire/cwplatform"
 )
 
-// Keys of the rows.
+// Keys and key prefixes of the rows.
 const (
 	keyRevision = "catalogue/revision"
 	keyParts    = "catalogue/part/"
@@ -29,26 +28,27 @@
 	keyActs     = "catalogue/act/"
 )
 
-// maxSteps is how many revisions a proxy catches up one by one; beyond, it
-// loads everything.
-const maxSteps = 32
+// maxRevisionSteps is the largest number of revisions that Refresh reads one by one. If
+// a proxy is further behind, it loads the whole catalogue. It also limits the changes
+// that a ConflictError lists.
+const maxRevisionSteps = 32
 
-// Change is one line of the audit trail.
+// Change is an operator's change of the catalogue, as recorded in the audit trail.
 type Change struct {
 	Revision cwcatalogue.Revision
 	ID       string
 	Who      string
 	At       time.Time
-	// Note is why, in the operator's words.
+	// Note is the reason given by the operator.
 	Note string
-	// Summary says what changed, in words.
+	// Summary describes what changed, for people.
 	Summary []string
-	// Before and After are the changed parts, by name; a part that is absent
-	// has no value.
+	// Before and After hold the changed parts by name. A new part is missing from
+	// Before. A removed part is an empty JSON object in After.
 	Before, After map[string]json.RawMessage
 }
 
-// Act is something that a proxy did by itself.
+// Act is an automatic action of a proxy, as recorded next to the audit trail.
 type Act struct {
 	Who           string
 	At            time.Time
@@ -56,10 +56,11 @@
 	Before, After string
 }
 
-// ConflictError reports a change that was based on an old revision.
+// ConflictError reports a change that was not accepted because it was based on an
+// outdated revision.
 type ConflictError struct {
 	Base, Current cwcatalogue.Revision
-	// Since are the changes made after Base.
+	// Since lists the changes made after Base, at most 32 of them.
 	Since []Change
 }
 
@@ -73,8 +74,8 @@
 	return b.String()
 }
 
-// UndecidedError reports a change of which it is not known whether it was
-// accepted.
+// UndecidedError reports that it is unknown whether a change was accepted, because the
+// response of the platform was lost and the audit trail could not settle it.
 type UndecidedError struct {
 	ID    string
 	Cause error
@@ -87,11 +88,11 @@
 // Unwrap returns the cause.
 func (e *UndecidedError) Unwrap() error { return e.Cause }
 
-// Store keeps the catalogue in a table, and a copy of each revision in the
-// object store.
+// Store stores the catalogue in a table, and a copy of each revision in the object
+// store.
 type Store struct {
 	Table cwplatform.Table
-	// Objects may be nil; then there are no copies.
+	// Objects is the object store for copies. If it is nil, no copies are made.
 	Objects cwplatform.Objects
 }
 
@@ -119,7 +120,8 @@
 	After   string    `json:"after"`
 }
 
-// Revision returns the table's revision, zero if there is no catalogue yet.
+// Revision returns the current revision, or zero if there is no catalogue yet. Its
+// errors are those of cwplatform.Table, or a *cwcodec.PartError.
 func (s Store) Revision(ctx context.Context) (cwcatalogue.Revision, error) {
 	r, _, err := s.revision(ctx)
 	return r, err
@@ -141,8 +143,8 @@
 	return cwcatalogue.Revision(b.Revision), row.ETag, nil
 }
 
-// Load returns the whole catalogue. It reads again if the revision moved
-// meanwhile, so that the parts belong together.
+// Load returns the whole catalogue. It repeats the read if the revision changed in the
+// meantime, so that all parts are of the same revision.
 func (s Store) Load(ctx context.Context) (cwcatalogue.Catalogue, error) {
 	for {
 		before, err := s.Revision(ctx)
@@ -169,19 +171,20 @@
 	}
 }
 
-// Refresh returns the table's catalogue, given the one that is known. It reads
-// one row if nothing changed, and one more for each change since.
+// Refresh returns the current catalogue. It reads one row if nothing has changed since
+// known, and one more row for each change, or the whole catalogue if known is more than
+// 32 revisions behind. If it fails it returns known and the error.
 func (s Store) Refresh(ctx context.Context, known cwcatalogue.Catalogue) (cwcatalogue.Catalogue, error) {
 	rev, err := s.Revision(ctx)
 	if err != nil || rev <= known.Revision {
 		return known, err
 	}
-	if known.Revision == 0 || rev-known.Revision > maxSteps {
+	if known.Revision == 0 || rev-known.Revision > maxRevisionSteps {
 		return s.Load(ctx)
 	}
 	changed := make(map[string][]byte)
 	for r := known.Revision + 1; r <= rev; r++ {
-		c, err := s.change(ctx, r)
+		c, err := s.readChange(ctx, r)
 		if err != nil {
 			return known, err
 		}
@@ -194,7 +197,7 @@
 
 func auditKey(r cwcatalogue.Revision) string { return fmt.Sprintf("%s%012d", keyAudit, r) }
 
-func (s Store) change(ctx context.Context, r cwcatalogue.Revision) (Change, error) {
+func (s Store) readChange(ctx context.Context, r cwcatalogue.Revision) (Change, error) {
 	row, err := s.Table.Get(ctx, auditKey(r))
 	if err != nil {
 		return Change{}, err
@@ -213,8 +216,10 @@
 	}, nil
 }
 
-// Apply replaces the catalogue, if its revision is still the one that next has.
-// It returns the new revision.
+// Apply replaces the catalogue by next if the current revision is still that of next,
+// and returns the new revision. It returns a *ConflictError if the catalogue has
+// changed, and an *UndecidedError if it is unknown whether the change was accepted.
+// After any other error nothing was changed.
 func (s Store) Apply(ctx context.Context, next cwcatalogue.Catalogue, c Change) (cwcatalogue.Revision, error) {
 	base := next.Revision
 	rev, tag, err := s.revision(ctx)
@@ -222,17 +227,17 @@
 		return 0, err
 	}
 	if rev != base {
-		return 0, s.conflict(ctx, base, rev)
+		return 0, s.conflictError(ctx, base, rev)
 	}
 	current, err := s.Load(ctx)
 	if err != nil {
 		return 0, err
 	}
 	if current.Revision != base {
-		return 0, s.conflict(ctx, base, current.Revision)
+		return 0, s.conflictError(ctx, base, current.Revision)
 	}
 	c.Revision = base + 1
-	change, err := s.build(current, next, tag, &c)
+	change, err := s.buildCommit(current, next, tag, &c)
 	if err != nil {
 		return 0, err
 	}
@@ -241,24 +246,25 @@
 	var conflict *cwplatform.ConflictError
 	switch {
 	case errors.As(err, &lost):
-		return s.readBack(ctx, c, lost)
+		return s.resolveUnknown(ctx, c, lost)
 	case errors.As(err, &conflict):
 		if rev, err = s.Revision(ctx); err != nil {
 			return 0, err
 		}
-		return 0, s.conflict(ctx, base, rev)
+		return 0, s.conflictError(ctx, base, rev)
 	case err != nil:
 		return 0, err
 	}
-	s.keepCopy(ctx, next.WithRevision(c.Revision))
+	s.saveCopy(ctx, next.WithRevision(c.Revision))
 	return c.Revision, nil
 }
 
 func copyKey(r cwcatalogue.Revision) string { return fmt.Sprintf("catalogue/%012d.json", r) }
 
-// keepCopy puts a copy of an accepted catalogue into the object store. The
-// catalogue is in force without it, and can be made of the audit trail.
-func (s Store) keepCopy(ctx context.Context, c cwcatalogue.Catalogue) {
+// saveCopy writes a copy of an accepted catalogue to the object store. Errors are
+// ignored: the catalogue is in effect without the copy, and can be rebuilt from the
+// audit trail.
+func (s Store) saveCopy(ctx context.Context, c cwcatalogue.Catalogue) {
 	if s.Objects == nil {
 		return
 	}
@@ -267,8 +273,8 @@
 	}
 }
 
-// At returns the catalogue as it was at a revision: the copy, or, if there is
-// none, what the audit trail leads to.
+// At returns the catalogue of an earlier revision, from its copy or else rebuilt from
+// the audit trail. It returns a *RevisionError if there was no such revision.
 func (s Store) At(ctx context.Context, r cwcatalogue.Revision) (cwcatalogue.Catalogue, error) {
 	if s.Objects != nil {
 		if text, err := s.Objects.GetObject(ctx, copyKey(r)); err == nil {
@@ -294,14 +300,14 @@
 	return c.WithRevision(r), err
 }
 
-// RevisionError reports a revision that the catalogue never had.
+// RevisionError reports a revision that does not exist.
 type RevisionError struct{ Revision cwcatalogue.Revision }
 
 func (e *RevisionError) Error() string {
 	return fmt.Sprintf("the catalogue never had revision %d", e.Revision)
 }
 
-func (s Store) build(current, next cwcatalogue.Catalogue, tag string, c *Change) (cwplatform.Change, error) {
+func (s Store) buildCommit(current, next cwcatalogue.Catalogue, tag string, c *Change) (cwplatform.Change, error) {
 	before, err := cwcodec.Parts(current)
 	if err != nil {
 		return cwplatform.Change{}, err
@@ -336,27 +342,28 @@
 	return ch, nil
 }
 
-// readBack finds out whether a change whose answer was lost took effect, by its
-// unique id. It is never simply sent again.
-func (s Store) readBack(ctx context.Context, c Change, lost error) (cwcatalogue.Revision, error) {
-	got, err := s.change(ctx, c.Revision)
+// resolveUnknown determines whether a change took effect after the response to its
+// commit was lost. It looks for the change's unique id in the audit trail, and does not
+// send the commit again.
+func (s Store) resolveUnknown(ctx context.Context, c Change, lost error) (cwcatalogue.Revision, error) {
+	got, err := s.readChange(ctx, c.Revision)
 	var absent *cwplatform.NotFoundError
 	switch {
 	case err == nil && got.ID == c.ID:
 		return c.Revision, nil
 	case err == nil:
-		return 0, s.conflict(ctx, c.Revision-1, got.Revision)
+		return 0, s.conflictError(ctx, c.Revision-1, got.Revision)
 	case errors.As(err, &absent):
-		// The request may still be on its way.
+		// The request may still arrive at the table.
 		return 0, &UndecidedError{ID: c.ID, Cause: lost}
 	}
 	return 0, &UndecidedError{ID: c.ID, Cause: err}
 }
 
-func (s Store) conflict(ctx context.Context, base, current cwcatalogue.Revision) error {
+func (s Store) conflictError(ctx context.Context, base, current cwcatalogue.Revision) error {
 	e := &ConflictError{Base: base, Current: current}
-	for r := base + 1; r <= current && len(e.Since) < maxSteps; r++ {
-		c, err := s.change(ctx, r)
+	for r := base + 1; r <= current && len(e.Since) < maxRevisionSteps; r++ {
+		c, err := s.readChange(ctx, r)
 		if err != nil {
 			break
 		}
--- a/internal/wire/cwstore/store_test.go
+++ b/internal/wire/cwstore/store_test.go
@@ -18,17 +18,17 @@
 
 var background = context.Background()
 
-// fakeTable is a table in memory that counts, and that can lose answers.
+// fakeTable is an in-memory table that counts reads and writes and can lose responses.
 type fakeTable struct {
 	rows          map[string]cwplatform.Row
 	version       int
 	reads, writes int
-	// loseAfter loses the answer of a commit that took effect, loseBefore that
-	// of one that did not.
+	// loseAfter loses the response to the next commit after it took effect.
+	// loseBefore loses the next commit before it takes effect.
 	loseAfter, loseBefore bool
 }
 
-func newTable() *fakeTable { return &fakeTable{rows: make(map[string]cwplatform.Row)} }
+func newFakeTable() *fakeTable { return &fakeTable{rows: make(map[string]cwplatform.Row)} }
 
 func (f *fakeTable) Get(_ context.Context, key string) (cwplatform.Row, error) {
 	f.reads++
@@ -73,23 +73,23 @@
 	return nil
 }
 
-func entry(service string) cwcatalogue.Entry {
+func sampleEntry(service string) cwcatalogue.Entry {
 	return cwcatalogue.Entry{Service: service, Owner: "o", Groups: []cwcatalogue.Group{{Name: service + "-1"}}}
 }
 
-func change(who string) Change {
+func sampleChange(who string) Change {
 	return Change{ID: who, Who: who, At: time.Unix(1000, 0), Summary: []string{"by " + who}}
 }
 
 func TestApplyAndRefresh(t *testing.T) {
-	table := newTable()
+	table := newFakeTable()
 	s := Store{Table: table}
-	rev, err := s.Apply(background, cwcatalogue.Catalogue{}.WithEntry(entry("a")), change("maria"))
+	rev, err := s.Apply(background, cwcatalogue.Catalogue{}.WithEntry(sampleEntry("a")), sampleChange("maria"))
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, rev, qt.Equals, cwcatalogue.Revision(1))
 	known, err := s.Load(background)
 	qt.Assert(t, err, qt.IsNil)
-	_, err = s.Apply(background, known.WithEntry(entry("b")), change("jorge"))
+	_, err = s.Apply(background, known.WithEntry(sampleEntry("b")), sampleChange("jorge"))
 	qt.Assert(t, err, qt.IsNil)
 
 	table.reads = 0
@@ -102,10 +102,10 @@
 	qt.Assert(t, err, qt.IsNil)
 	cwbound.Check(t, "tableReadsPerIdlePoll", float64(table.reads))
 
-	t.Run("a removed entry goes", func(t *testing.T) {
+	t.Run("an entry is removed", func(t *testing.T) {
 		gone := same
 		gone.Entries = gone.Entries[:1]
-		_, err := s.Apply(background, gone, change("ana"))
+		_, err := s.Apply(background, gone, sampleChange("ana"))
 		qt.Assert(t, err, qt.IsNil)
 		c, err := s.Refresh(background, same)
 		qt.Assert(t, err, qt.IsNil)
@@ -120,7 +120,7 @@
 		var re *RevisionError
 		qt.Assert(t, err, qt.ErrorAs, &re)
 	})
-	t.Run("the trail has no gaps", func(t *testing.T) {
+	t.Run("the audit trail has no gaps", func(t *testing.T) {
 		h, err := s.History(background)
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, h, qt.HasLen, 3)
@@ -128,32 +128,33 @@
 	})
 }
 
-// Two operators race. The second change must not overwrite the first, and says
-// whose it was.
+// Guards against lost updates. Two operators change the same revision: the second
+// change must be refused, and its error must name the author of the first.
 func TestConflictNamesTheOther(t *testing.T) {
-	s := Store{Table: newTable()}
-	_, err := s.Apply(background, cwcatalogue.Catalogue{}.WithEntry(entry("a")), change("maria"))
+	s := Store{Table: newFakeTable()}
+	_, err := s.Apply(background, cwcatalogue.Catalogue{}.WithEntry(sampleEntry("a")), sampleChange("maria"))
 	qt.Assert(t, err, qt.IsNil)
-	_, err = s.Apply(background, cwcatalogue.Catalogue{}.WithEntry(entry("b")), change("jorge"))
+	_, err = s.Apply(background, cwcatalogue.Catalogue{}.WithEntry(sampleEntry("b")), sampleChange("jorge"))
 	var conflict *ConflictError
 	qt.Assert(t, err, qt.ErrorAs, &conflict)
 	qt.Assert(t, conflict.Error(), qt.Contains, "revision 1 by maria")
 }
 
-// The table's answer is lost. Sent again, the change would clash with itself or
-// be made twice; read back by its id, it is known, or said not to be.
+// Guards against repeating a change after the table's response was lost. The repeated
+// change would conflict with itself or be made twice. The change must be looked up by
+// its id, and reported as undecided if it is not found.
 func TestLostAnswers(t *testing.T) {
-	table := newTable()
+	table := newFakeTable()
 	s := Store{Table: table}
 	table.loseAfter = true
-	rev, err := s.Apply(background, cwcatalogue.Catalogue{}.WithEntry(entry("a")), change("maria"))
+	rev, err := s.Apply(background, cwcatalogue.Catalogue{}.WithEntry(sampleEntry("a")), sampleChange("maria"))
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, rev, qt.Equals, cwcatalogue.Revision(1))
 	qt.Assert(t, table.writes, qt.Equals, 1)
 	known, err := s.Load(background)
 	qt.Assert(t, err, qt.IsNil)
 	table.loseBefore = true
-	_, err = s.Apply(background, known.WithEntry(entry("b")), change("ana"))
+	_, err = s.Apply(background, known.WithEntry(sampleEntry("b")), sampleChange("ana"))
 	var undecided *UndecidedError
 	qt.Assert(t, err, qt.ErrorAs, &undecided)
 	qt.Assert(t, table.writes, qt.Equals, 1)
