--- a/internal/wire/cwpeer/peer.go
+++ b/internal/wire/cwpeer/peer.go
@@ -1,10 +1,11 @@
-// Package cwpeer carries messages between proxies: JSON-RPC 2.0 over TCP.
+// Package cwpeer implements the protocol between proxies: JSON-RPC 2.0 over TCP.
 //
-// Each proxy keeps a connection to a few partners and sends each a heartbeat:
-// its catalogue revision and its votes about the primaries it watches. A vote
-// that changes is sent at once. A proxy that hears of a higher revision asks
-// for the catalogue. Requests to cancel that reach the wrong proxy are passed
-// on. There is no other traffic, and no partner is special.
+// Each proxy keeps connections to a few other proxies, its partners. It sends them
+// heartbeats with its catalogue revision and its votes about the primaries that it
+// monitors. A changed vote is sent immediately. A proxy that receives a higher revision
+// requests the catalogue. A cancel request for a session of another proxy is forwarded
+// to the proxy that has it. There are no other messages, and all partners have equal
+// roles.
 package cwpeer
 
 import (
@@ -23,50 +24,52 @@
 	"cicadawalk.example/cicadawalk/internal/wire/cwlisten"
 )
 
-// Methods.
+// Names of the RPC methods.
 const (
 	methodHeartbeat = "heartbeat"
 	methodCatalogue = "catalogue"
 	methodCancel    = "cancel"
 )
 
-// Times of the peers.
+// Intervals, timeouts and limits of the protocol.
 const (
-	// Interval is the time between heartbeats. What is urgent, a vote or a
-	// revision, is told at once.
+	// Interval is the time between heartbeats. A new vote or revision is sent
+	// immediately.
 	Interval = time.Second
-	// dialTimeout bounds a connection to a partner.
+	// dialTimeout limits the time to connect to a partner.
 	dialTimeout = 500 * time.Millisecond
-	// callTimeout bounds one call. A partner that takes longer is connected to
-	// anew: an open connection can go silent while new ones work.
+	// callTimeout limits the time of one call. After a timeout the next call opens
+	// a new connection, because an open connection can become unresponsive while
+	// new ones work.
 	callTimeout = time.Second
-	// maxMessage bounds one message of a partner, in bytes.
+	// maxMessage is the largest message accepted from a partner, in bytes.
 	maxMessage = 16 << 20
 )
 
-// Heartbeat is what a proxy tells its partners.
+// Heartbeat is the periodic message of a proxy to its partners.
 type Heartbeat struct {
 	Instance cwfailover.InstanceID
 	Revision cwcatalogue.Revision
-	// Votes are by group.
+	// Votes holds the proxy's votes by group.
 	Votes map[string]cwfailover.Vote
 }
 
-// Handler takes what partners send.
+// Handler handles the messages of partners.
 type Handler interface {
-	// Heartbeat takes a partner's heartbeat.
+	// Heartbeat handles a heartbeat.
 	Heartbeat(h Heartbeat)
-	// CatalogueSince returns what changed after a revision, or the whole
-	// catalogue if that is too long ago.
+	// CatalogueSince returns the changes after a revision, or the whole catalogue
+	// if there are too many.
 	CatalogueSince(r cwcatalogue.Revision) (Update, error)
-	// Cancel ends a statement of a session of this proxy, if it has it.
+	// Cancel cancels the running statement of the session with this process id and
+	// secret, if this proxy has that session.
 	Cancel(pid uint32, secret []byte)
-	// Admits reports whether an instance may speak to this proxy.
+	// Admits reports whether this proxy accepts messages from an instance.
 	Admits(id cwfailover.InstanceID) bool
 }
 
-// Update brings a catalogue to a revision: by the parts that changed since Base,
-// or, if Document is set, as a whole.
+// Update updates a catalogue to a revision. It holds the parts that changed since Base,
+// or the whole catalogue if Document is set.
 type Update struct {
 	Base, Revision cwcatalogue.Revision
 	Changed        map[string][]byte
@@ -84,7 +87,7 @@
 	Suspect bool   `json:"suspect,omitempty"`
 }
 
-type sinceBody struct {
+type catalogueRequestBody struct {
 	Instance string `json:"instance"`
 	Since    uint64 `json:"since"`
 }
@@ -138,12 +141,12 @@
 	return h
 }
 
-// Server takes messages of partners.
+// Server receives the messages of partners.
 type Server struct {
 	Handler Handler
 }
 
-// Run accepts partners until ctx ends.
+// Run accepts connections until ctx ends, and waits until all of them are closed.
 func (s *Server) Run(ctx context.Context, ln net.Listener) error {
 	l := cwlisten.Listener{Listener: ln, Handle: s.serve}
 	defer l.Wait()
@@ -161,7 +164,7 @@
 	}
 }
 
-// idleTimeout is how long a partner may send nothing.
+// idleTimeout closes a connection on which the partner sends nothing.
 const idleTimeout = 20 * Interval
 
 func (s *Server) handle(_ context.Context, _ *jsonrpc2.Conn, req *jsonrpc2.Request) (any, error) {
@@ -186,7 +189,7 @@
 		s.Handler.Heartbeat(b.heartbeat())
 		return struct{}{}, nil
 	case methodCatalogue:
-		var b sinceBody
+		var b catalogueRequestBody
 		if err := json.Unmarshal(*req.Params, &b); err != nil {
 			return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeInvalidParams, Message: err.Error()}
 		}
@@ -206,8 +209,9 @@
 	return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: req.Method}
 }
 
-// Partner is this proxy's side towards one other proxy.
+// Partner is a client for one other proxy. It connects when it is needed.
 type Partner struct {
+	// Self is the instance that sends the messages.
 	Self    cwfailover.InstanceID
 	Address string
 
@@ -215,11 +219,12 @@
 	conn *jsonrpc2.Conn
 }
 
-// ignore is the handler of the calling side: partners do not call back.
-type ignore struct{}
+// discardHandler ignores requests on the client side of a connection. Servers send
+// responses only.
+type discardHandler struct{}
 
 // Handle implements jsonrpc2.Handler.
-func (ignore) Handle(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) {}
+func (discardHandler) Handle(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) {}
 
 func (p *Partner) call(ctx context.Context, method string, params, result any) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
@@ -247,7 +252,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p.conn = jsonrpc2.NewConn(context.WithoutCancel(ctx), jsonrpc2.NewBufferedStream(nc, jsonrpc2.VSCodeObjectCodec{}), ignore{})
+	p.conn = jsonrpc2.NewConn(context.WithoutCancel(ctx), jsonrpc2.NewBufferedStream(nc, jsonrpc2.VSCodeObjectCodec{}), discardHandler{})
 	return p.conn, nil
 }
 
@@ -260,7 +265,7 @@
 	_ = conn.Close()
 }
 
-// Close closes the connection.
+// Close closes the connection. A later call opens a new one.
 func (p *Partner) Close() {
 	p.mu.Lock()
 	conn := p.conn
@@ -271,19 +276,19 @@
 	}
 }
 
-// Heartbeat sends a heartbeat.
+// Heartbeat sends a heartbeat. The call fails after one second without an answer.
 func (p *Partner) Heartbeat(ctx context.Context, h Heartbeat) error {
 	return p.call(ctx, methodHeartbeat, h.body(), nil)
 }
 
-// CatalogueSince asks for what the partner's catalogue has beyond a revision.
+// CatalogueSince requests the changes of the partner's catalogue after a revision.
 func (p *Partner) CatalogueSince(ctx context.Context, r cwcatalogue.Revision) (Update, error) {
 	var b updateBody
-	err := p.call(ctx, methodCatalogue, sinceBody{Instance: string(p.Self), Since: uint64(r)}, &b)
+	err := p.call(ctx, methodCatalogue, catalogueRequestBody{Instance: string(p.Self), Since: uint64(r)}, &b)
 	return b.update(), err
 }
 
-// Cancel passes a request to cancel on.
+// Cancel forwards a cancel request.
 func (p *Partner) Cancel(ctx context.Context, pid uint32, secret []byte) error {
 	return p.call(ctx, methodCancel, cancelBody{Instance: string(p.Self), PID: pid, Secret: secret}, nil)
 }
--- a/internal/wire/cwpeer/peer_test.go
+++ b/internal/wire/cwpeer/peer_test.go
@@ -14,17 +14,17 @@
 	"cicadawalk.example/cicadawalk/internal/standin/cwlink"
 )
 
-// recorder keeps what a server was told.
+// recorder is a Handler that records the messages it receives.
 type recorder struct {
-	mu    sync.Mutex
-	beats []Heartbeat
-	pid   uint32
+	mu         sync.Mutex
+	heartbeats []Heartbeat
+	pid        uint32
 }
 
 func (r *recorder) Heartbeat(h Heartbeat) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.beats = append(r.beats, h)
+	r.heartbeats = append(r.heartbeats, h)
 }
 
 func (r *recorder) CatalogueSince(since cwcatalogue.Revision) (Update, error) {
@@ -39,11 +39,11 @@
 
 func (r *recorder) Admits(id cwfailover.InstanceID) bool { return id == "entry-1" }
 
-// told returns the heartbeats and the process id of the last cancel.
-func (r *recorder) told() ([]Heartbeat, uint32) {
+// received returns the heartbeats and the process id of the last cancel request.
+func (r *recorder) received() ([]Heartbeat, uint32) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.beats, r.pid
+	return r.heartbeats, r.pid
 }
 
 func serve(c *qt.C) (*recorder, string) {
@@ -61,7 +61,7 @@
 	return rec, ln.Addr().String()
 }
 
-func beat(vote bool) Heartbeat {
+func sampleHeartbeat(vote bool) Heartbeat {
 	return Heartbeat{Instance: "entry-1", Revision: 7, Votes: map[string]cwfailover.Vote{
 		"g": {Instance: "entry-1", Term: 3, Suspect: vote},
 	}}
@@ -73,35 +73,36 @@
 	ctx := context.Background()
 	p := &Partner{Self: "entry-1", Address: addr}
 	defer p.Close()
-	c.Assert(p.Heartbeat(ctx, beat(true)), qt.IsNil)
-	beats, _ := rec.told()
-	c.Assert(beats, qt.DeepEquals, []Heartbeat{beat(true)})
+	c.Assert(p.Heartbeat(ctx, sampleHeartbeat(true)), qt.IsNil)
+	beats, _ := rec.received()
+	c.Assert(beats, qt.DeepEquals, []Heartbeat{sampleHeartbeat(true)})
 	u, err := p.CatalogueSince(ctx, 4)
 	c.Assert(err, qt.IsNil)
 	c.Assert(u.Base, qt.Equals, cwcatalogue.Revision(4))
 	c.Assert(string(u.Changed["stops"]), qt.Equals, "{}")
 	c.Assert(p.Cancel(ctx, 9, []byte{1, 2, 3, 4}), qt.IsNil)
-	_, pid := rec.told()
+	_, pid := rec.received()
 	c.Assert(pid, qt.Equals, uint32(9))
 }
 
-func TestStrangersAreRefused(t *testing.T) {
+func TestUnlistedInstanceIsRefused(t *testing.T) {
 	c := qt.New(t)
 	rec, addr := serve(c)
 	p := &Partner{Self: "stranger", Address: addr}
 	defer p.Close()
-	h := beat(false)
+	h := sampleHeartbeat(false)
 	h.Instance = "stranger"
 	c.Assert(p.Heartbeat(context.Background(), h), qt.IsNotNil)
 	_, err := p.CatalogueSince(context.Background(), 0)
 	c.Assert(err, qt.IsNotNil)
-	beats, _ := rec.told()
+	beats, _ := rec.received()
 	c.Assert(beats, qt.HasLen, 0)
 }
 
-// Votes stop arriving and a failover waits for the list: the open connection
-// between two proxies went silent for good, while new ones would work. A call
-// that gets no answer gives the connection up, and the next one makes a new one.
+// Guards against votes that do not arrive, so that a failover has to wait for the
+// platform's list. The open connection between two proxies becomes unresponsive for
+// good while new ones work. A call without an answer must close the connection, and the
+// next call must open a new one.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	c := qt.New(t)
 	rec, addr := serve(c)
@@ -111,17 +112,17 @@
 	p := &Partner{Self: "entry-1", Address: l.Addr()}
 	defer p.Close()
 	ctx := context.Background()
-	c.Assert(p.Heartbeat(ctx, beat(false)), qt.IsNil)
+	c.Assert(p.Heartbeat(ctx, sampleHeartbeat(false)), qt.IsNil)
 	l.Silence()
-	c.Assert(p.Heartbeat(ctx, beat(false)), qt.IsNotNil)
-	c.Assert(p.Heartbeat(ctx, beat(true)), qt.IsNil)
-	beats, _ := rec.told()
+	c.Assert(p.Heartbeat(ctx, sampleHeartbeat(false)), qt.IsNotNil)
+	c.Assert(p.Heartbeat(ctx, sampleHeartbeat(true)), qt.IsNil)
+	beats, _ := rec.received()
 	c.Assert(beats[len(beats)-1].Votes["g"].Suspect, qt.IsTrue)
 }
 
-// A process that is no partner sends without end, and the proxy's memory grows
-// until it dies. It is cut off at the bound of a message.
-func TestEndlessMessageIsCutOff(t *testing.T) {
+// Guards against unbounded memory use. A process that is not a partner sends an endless
+// message. The connection must be closed at the size limit of a message.
+func TestOversizedMessageClosesConnection(t *testing.T) {
 	c := qt.New(t)
 	_, addr := serve(c)
 	conn, err := net.Dial("tcp", addr)
