--- a/internal/wire/cwplatform/client.go
+++ b/internal/wire/cwplatform/client.go
@@ -22,32 +22,32 @@
 	PathObjects   = "/objects/"
 )
 
-// maxBody bounds what is read of an answer.
+// maxBody is the largest part of a response body that is read, in bytes.
 const maxBody = 64 << 20
 
-// DefaultTimeout bounds one request to the platform.
+// DefaultTimeout is the timeout of a request if Client.Timeout is zero.
 const DefaultTimeout = 2 * time.Second
 
-// RowBody is a row as JSON.
+// RowBody is the JSON form of a Row.
 type RowBody struct {
 	Key   string `json:"key"`
 	Value []byte `json:"value"`
 	ETag  string `json:"etag"`
 }
 
-// CommitBody is a change as JSON.
+// CommitBody is the JSON form of a Change.
 type CommitBody struct {
 	Expect []ExpectBody `json:"expect"`
 	Put    []RowBody    `json:"put"`
 }
 
-// ExpectBody is an expectation as JSON.
+// ExpectBody is the JSON form of an Expect.
 type ExpectBody struct {
 	Key  string `json:"key"`
 	ETag string `json:"etag"`
 }
 
-// InstanceBody is an instance as JSON.
+// InstanceBody is the JSON form of an Instance.
 type InstanceBody struct {
 	ID         string `json:"id"`
 	DataCentre string `json:"dataCentre"`
@@ -55,19 +55,19 @@
 	State      string `json:"state"`
 }
 
-// Client reaches the platform over HTTP. Set URL before use.
+// Client implements Table, Instances and Objects over HTTP. Set URL before use.
 type Client struct {
-	// URL is the base, as in http://127.0.0.1:7000.
+	// URL is the base URL, for example http://127.0.0.1:7000.
 	URL string
-	// Timeout bounds one request; zero means DefaultTimeout.
+	// Timeout limits one request. Zero means DefaultTimeout.
 	Timeout time.Duration
-	// HTTP is used for requests; nil means http.DefaultClient.
+	// HTTP sends the requests. If it is nil, http.DefaultClient is used.
 	HTTP *http.Client
 
 	mu sync.Mutex
-	// listTag and list are the last list of instances.
-	listTag string
-	list    []Instance
+	// list is the last list of instances, and listETag its entity tag.
+	listETag string
+	list     []Instance
 }
 
 var (
@@ -110,7 +110,7 @@
 func (c *Client) PutObject(ctx context.Context, key string, value []byte) error {
 	_, resp, err := c.do(ctx, http.MethodPut, PathObjects+url.PathEscape(key), value, "*")
 	if err != nil {
-		return changeError(err)
+		return classifyWriteError(err)
 	}
 	switch resp.StatusCode {
 	case http.StatusOK, http.StatusNoContent, http.StatusPreconditionFailed:
@@ -124,7 +124,7 @@
 // List implements Table.
 func (c *Client) List(ctx context.Context, prefix string) ([]Row, error) {
 	var rows []RowBody
-	if err := c.read(ctx, PathList+"?prefix="+url.QueryEscape(prefix), &rows); err != nil {
+	if err := c.getJSON(ctx, PathList+"?prefix="+url.QueryEscape(prefix), &rows); err != nil {
 		return nil, err
 	}
 	out := make([]Row, 0, len(rows))
@@ -134,11 +134,11 @@
 	return out, nil
 }
 
-// Instances implements Instances. The request is conditional: a list that did
-// not change is not sent again.
+// Instances implements Instances. The request is conditional, so the platform does not
+// send an unchanged list again.
 func (c *Client) Instances(ctx context.Context) ([]Instance, error) {
 	c.mu.Lock()
-	tag, known := c.listTag, c.list
+	tag, known := c.listETag, c.list
 	c.mu.Unlock()
 	body, resp, err := c.do(ctx, http.MethodGet, PathInstances, nil, tag)
 	if err != nil {
@@ -155,7 +155,7 @@
 		return nil, err
 	}
 	c.mu.Lock()
-	c.listTag, c.list = resp.Header.Get("ETag"), out
+	c.listETag, c.list = resp.Header.Get("ETag"), out
 	c.mu.Unlock()
 	return out, nil
 }
@@ -172,7 +172,7 @@
 	return out, nil
 }
 
-func (c *Client) read(ctx context.Context, path string, into any) error {
+func (c *Client) getJSON(ctx context.Context, path string, into any) error {
 	body, resp, err := c.do(ctx, http.MethodGet, path, nil, "")
 	if err != nil {
 		return &UnavailableError{Cause: err}
@@ -201,7 +201,7 @@
 	}
 	body, resp, err := c.do(ctx, http.MethodPost, PathCommit, payload, "")
 	if err != nil {
-		return changeError(err)
+		return classifyWriteError(err)
 	}
 	switch resp.StatusCode {
 	case http.StatusOK, http.StatusNoContent:
@@ -214,8 +214,9 @@
 	return &UnknownError{Cause: &StatusError{Status: resp.StatusCode}}
 }
 
-// changeError tells a request that never left from one whose answer was lost.
-func changeError(err error) error {
+// classifyWriteError returns an UnavailableError if the connection could not be opened,
+// so that the request was not sent, and otherwise an UnknownError.
+func classifyWriteError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return &UnavailableError{Cause: err}
