--- a/internal/wire/cwsql/functions.go
+++ b/internal/wire/cwsql/functions.go
@@ -13,10 +13,10 @@
 
 func itoa(n int32) string { return strconv.FormatInt(int64(n), 10) }
 
-// readFunctions are the functions known not to write. A statement that calls
-// any other function goes to the primary: a function of the users' own may
-// write, and nextval does.
-var readFunctions = set(
+// readFunctions holds the functions that do not write. A statement that calls any other
+// function runs on the primary, because user-defined functions may write, and built-in
+// ones such as nextval do.
+var readFunctions = nameSet(
 	"abs", "ceil", "ceiling", "floor", "round", "trunc", "sign", "sqrt", "power", "mod", "exp", "ln", "log",
 	"count", "sum", "avg", "min", "max", "bool_and", "bool_or", "every", "string_agg", "array_agg",
 	"json_agg", "jsonb_agg", "json_object_agg", "jsonb_object_agg", "total", "group_concat",
@@ -35,7 +35,7 @@
 	"pg_backend_pid", "pg_typeof", "greatest", "least", "ifnull", "random", "typeof", "hex", "zeroblob",
 )
 
-func set(names ...string) map[string]bool {
+func nameSet(names ...string) map[string]bool {
 	m := make(map[string]bool, len(names))
 	for _, n := range names {
 		m[n] = true
--- a/internal/wire/cwsql/statement.go
+++ b/internal/wire/cwsql/statement.go
@@ -1,11 +1,12 @@
-// Package cwsql tells what a statement is, by PostgreSQL's own parser.
+// Package cwsql classifies SQL statements with PostgreSQL's own parser.
 //
-// A proxy must know whether a statement only reads, whether it begins or ends a
-// transaction, and whether it would leave something behind on a pooled
-// connection. Text is split and classified by libpg_query; no pattern is ever
-// matched against SQL. Whatever is not known to be a read is a write.
+// A proxy needs to know whether a statement only reads, whether it begins or ends a
+// transaction, and whether it would create session state, such as a lock, that stays
+// on a pooled connection. The text is split and parsed by libpg_query and classified by
+// its parse tree, never by pattern matching. A statement that is not known to be a read
+// is a write.
 //
-// Parsing costs tens of microseconds, so a Cache keeps the result by text.
+// Parsing takes tens of microseconds, so a Cache keeps the results by text.
 package cwsql
 
 import (
@@ -18,10 +19,10 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// Kind says what a statement does to the session and the data.
+// Kind is the effect of a statement on the session and the data.
 type Kind uint8
 
-// The kinds of statement.
+// Kinds of statements.
 const (
 	// Write may change data. It is the default.
 	Write Kind = iota
@@ -31,9 +32,9 @@
 	Begin
 	// Commit ends a transaction.
 	Commit
-	// Rollback ends a transaction without effect.
+	// Rollback ends a transaction and discards its changes.
 	Rollback
-	// Savepoint concerns part of a transaction.
+	// Savepoint creates, releases or rolls back to a savepoint in a transaction.
 	Savepoint
 	// Set changes a setting of the session.
 	Set
@@ -41,12 +42,12 @@
 	SetLocal
 	// Show reads a setting.
 	Show
-	// Reset returns a setting, or all of them, to the default.
+	// Reset resets a setting, or all settings, to the default.
 	Reset
 	// Discard drops session state.
 	Discard
-	// Unsupported leaves something behind on a connection that a pool cannot
-	// keep apart. Statement.Name says what.
+	// Unsupported uses connection state that sessions cannot share in a pool.
+	// Statement.Name describes it.
 	Unsupported
 )
 
@@ -55,12 +56,13 @@
 	Kind Kind
 	// Text is the statement without its semicolon.
 	Text string
-	// Name and Value are the setting's for Set, Show and Reset. Name is empty
-	// for RESET ALL.
+	// Name is the name of the setting for Set, SetLocal, Show and Reset, in lower
+	// case, and empty for RESET ALL. For Unsupported it describes the unsupported
+	// feature. Value is the new value of the setting.
 	Name, Value string
 	// Default is true for SET name TO DEFAULT.
 	Default bool
-	// ReadOnly is true for BEGIN READ ONLY and its like.
+	// ReadOnly is true for BEGIN READ ONLY and START TRANSACTION READ ONLY.
 	ReadOnly bool
 	// ReadWrite is true for an explicit BEGIN READ WRITE.
 	ReadWrite bool
@@ -68,17 +70,18 @@
 	Chain bool
 }
 
-// SyntaxError is what the parser said about a text.
+// SyntaxError is an error of the parser.
 type SyntaxError struct {
 	Message string
-	// Position is the place of the error, counted in characters from 1; zero if
-	// it is not known.
+	// Position is the position of the error in characters, counted from 1; zero if
+	// it is unknown.
 	Position int
 }
 
 func (e *SyntaxError) Error() string { return e.Message }
 
-// Parse splits a text into its statements and classifies them.
+// Parse splits a text into its statements and classifies them. Errors are of type
+// *SyntaxError.
 func Parse(text string) ([]Statement, error) {
 	tree, err := pgquery.Parse(text)
 	if err != nil {
@@ -91,13 +94,13 @@
 	out := make([]Statement, 0, len(tree.Stmts))
 	for _, raw := range tree.Stmts {
 		s := classify(raw.Stmt)
-		s.Text = slice(text, int(raw.StmtLocation), int(raw.StmtLen))
+		s.Text = statementText(text, int(raw.StmtLocation), int(raw.StmtLen))
 		out = append(out, s)
 	}
 	return out, nil
 }
 
-func slice(text string, at, n int) string {
+func statementText(text string, at, n int) string {
 	if n == 0 {
 		n = len(text) - at
 	}
@@ -129,7 +132,7 @@
 	case *pgquery.Node_ExplainStmt:
 		return classifyTree(n)
 	default:
-		if what := leavesBehind(n); what != "" {
+		if what := sessionStateOf(n); what != "" {
 			return Statement{Kind: Unsupported, Name: what}
 		}
 		return Statement{Kind: Write}
@@ -220,12 +223,12 @@
 	return strings.Join(parts, ", ")
 }
 
-// classifyTree tells whether a SELECT or EXPLAIN changes anything.
+// classifyTree classifies a SELECT or EXPLAIN by all nodes of its parse tree.
 func classifyTree(n *pgquery.Node) Statement {
-	w := walker{}
+	w := treeWalker{}
 	w.message(n.ProtoReflect())
-	if w.leavesBehind != "" {
-		return Statement{Kind: Unsupported, Name: w.leavesBehind}
+	if w.sessionState != "" {
+		return Statement{Kind: Unsupported, Name: w.sessionState}
 	}
 	if w.writes {
 		return Statement{Kind: Write}
@@ -233,19 +236,20 @@
 	return Statement{Kind: Read}
 }
 
-func leavesBehind(n *pgquery.Node) string {
-	w := walker{}
+func sessionStateOf(n *pgquery.Node) string {
+	w := treeWalker{}
 	w.message(n.ProtoReflect())
-	return w.leavesBehind
+	return w.sessionState
 }
 
-// walker looks at every node of a parse tree.
-type walker struct {
+// treeWalker visits every node of a parse tree. It records whether the statement may
+// write, and which session state it would create.
+type treeWalker struct {
 	writes       bool
-	leavesBehind string
+	sessionState string
 }
 
-func (w *walker) message(m protoreflect.Message) {
+func (w *treeWalker) message(m protoreflect.Message) {
 	w.node(m.Interface())
 	m.Range(func(fd protoreflect.FieldDescriptor, v protoreflect.Value) bool {
 		switch {
@@ -261,7 +265,7 @@
 	})
 }
 
-func (w *walker) node(n any) {
+func (w *treeWalker) node(n any) {
 	switch s := n.(type) {
 	case *pgquery.FuncCall:
 		w.function(s)
@@ -270,31 +274,31 @@
 		w.writes = true
 	case *pgquery.RangeVar:
 		if s.Relpersistence == "t" {
-			w.leavesBehind = "a temporary table"
+			w.sessionState = "a temporary table"
 		}
 	}
 }
 
-func (w *walker) function(f *pgquery.FuncCall) {
+func (w *treeWalker) function(f *pgquery.FuncCall) {
 	if len(f.Funcname) == 0 {
 		return
 	}
 	name := strings.ToLower(f.Funcname[len(f.Funcname)-1].GetString_().GetSval())
 	switch {
 	case isSessionLock(name):
-		w.leavesBehind = "a session advisory lock"
+		w.sessionState = "a session advisory lock"
 	case name == "set_config":
-		w.leavesBehind = "set_config (use SET)"
+		w.sessionState = "set_config (use SET)"
 	case name == "currval" || name == "lastval":
-		w.leavesBehind = name + " (use RETURNING)"
+		w.sessionState = name + " (use RETURNING)"
 	}
 	if !readFunctions[name] {
 		w.writes = true
 	}
 }
 
-// isSessionLock reports whether the function takes or frees a lock that lasts
-// as long as the connection.
+// isSessionLock reports whether the function acquires or releases an advisory lock of
+// the session, which is held until the connection ends.
 func isSessionLock(name string) bool {
 	if !strings.Contains(name, "advisory") {
 		return false
@@ -302,18 +306,19 @@
 	return !strings.Contains(name, "xact")
 }
 
-// Cache keeps what Parse returned, by text. The zero Cache is ready.
+// Cache caches the results of Parse by text. The zero value is ready to use.
 //
-// It is cut into shards, each under its own lock, since every statement of
-// every caller looks in here.
+// It is divided into shards with a lock each, because every statement of every caller
+// is looked up in it.
 type Cache struct {
 	shards [cacheShards]cacheShard
 }
 
-// Bounds of the cache.
+// Limits of the cache.
 const (
-	cacheShards     = 16
-	cachePerShard   = 512
+	cacheShards   = 16
+	cachePerShard = 512 // entries
+	// maxCachedLength is the length of the longest cached text, in bytes.
 	maxCachedLength = 8 << 10
 )
 
@@ -322,7 +327,8 @@
 	m  map[string][]Statement
 }
 
-// Parse returns the statements of the text.
+// Parse is like the function Parse but caches its result. Errors are not cached. Callers
+// must not modify the slice.
 func (c *Cache) Parse(text string) ([]Statement, error) {
 	if len(text) > maxCachedLength {
 		return Parse(text)
@@ -349,7 +355,7 @@
 		s.m = make(map[string][]Statement)
 	}
 	if len(s.m) >= cachePerShard {
-		// Any entry will do: the iteration order is random.
+		// Evicts an arbitrary entry. The iteration order of maps is random.
 		for k := range s.m {
 			delete(s.m, k)
 			break
--- a/internal/wire/cwsql/statement_test.go
+++ b/internal/wire/cwsql/statement_test.go
@@ -55,19 +55,19 @@
 }
 
 func TestSettingsAndModes(t *testing.T) {
-	one := func(text string) Statement {
+	parseOne := func(text string) Statement {
 		out, err := Parse(text)
 		qt.Assert(t, err, qt.IsNil)
 		return out[0]
 	}
-	qt.Assert(t, one("SET cicadawalk.requestKey = 'k1'"), qt.Equals, Statement{Kind: Set, Text: "SET cicadawalk.requestKey = 'k1'", Name: "cicadawalk.requestkey", Value: "k1"})
-	qt.Assert(t, one("SET x TO on").Value, qt.Equals, "on")
-	qt.Assert(t, one("SET x TO 5").Value, qt.Equals, "5")
-	qt.Assert(t, one("SET x TO DEFAULT").Default, qt.IsTrue)
-	qt.Assert(t, one("BEGIN READ ONLY").ReadOnly, qt.IsTrue)
-	qt.Assert(t, one("BEGIN READ WRITE").ReadWrite, qt.IsTrue)
-	qt.Assert(t, one("COMMIT AND CHAIN").Chain, qt.IsTrue)
-	qt.Assert(t, one("SET SESSION CHARACTERISTICS AS TRANSACTION READ ONLY"), qt.Equals,
+	qt.Assert(t, parseOne("SET cicadawalk.requestKey = 'k1'"), qt.Equals, Statement{Kind: Set, Text: "SET cicadawalk.requestKey = 'k1'", Name: "cicadawalk.requestkey", Value: "k1"})
+	qt.Assert(t, parseOne("SET x TO on").Value, qt.Equals, "on")
+	qt.Assert(t, parseOne("SET x TO 5").Value, qt.Equals, "5")
+	qt.Assert(t, parseOne("SET x TO DEFAULT").Default, qt.IsTrue)
+	qt.Assert(t, parseOne("BEGIN READ ONLY").ReadOnly, qt.IsTrue)
+	qt.Assert(t, parseOne("BEGIN READ WRITE").ReadWrite, qt.IsTrue)
+	qt.Assert(t, parseOne("COMMIT AND CHAIN").Chain, qt.IsTrue)
+	qt.Assert(t, parseOne("SET SESSION CHARACTERISTICS AS TRANSACTION READ ONLY"), qt.Equals,
 		Statement{Kind: Set, Text: "SET SESSION CHARACTERISTICS AS TRANSACTION READ ONLY", Name: "default_transaction_read_only", Value: "on"})
 }
 
