--- a/internal/wire/cwlisten/bounded.go
+++ b/internal/wire/cwlisten/bounded.go
@@ -6,25 +6,26 @@
 	"time"
 )
 
-// Bounded is a connection that ends if it is idle for long, or if it brings more
-// than one message may have before it is answered: every request has an answer,
-// so the other side never needs to send more. Set MaxMessage and Idle before use.
+// Bounded is a connection with an idle timeout and a size limit for messages. Reads fail
+// if the client sends nothing for too long, or sends more than MaxMessage bytes without
+// an answer in between. Every request has an answer, so a client never needs to send
+// more. Set MaxMessage and Idle before use.
 type Bounded struct {
 	net.Conn
-	// MaxMessage is in bytes.
+	// MaxMessage is the largest message, in bytes.
 	MaxMessage int64
-	// Idle is how long the other side may send nothing.
+	// Idle is the timeout of a read.
 	Idle time.Duration
-	// unanswered counts the bytes read since the last answer.
+	// unanswered is the number of bytes read since the last write.
 	unanswered atomic.Int64
 }
 
-// TooLongError reports a partner that sends more than a message may have.
+// TooLongError reports that the other side has exceeded Bounded.MaxMessage.
 type TooLongError struct{}
 
-func (*TooLongError) Error() string { return "a partner's message is too long" }
+func (*TooLongError) Error() string { return "message is too long" }
 
-// Read implements net.Conn.
+// Read implements net.Conn. It returns a *TooLongError if the message is too long.
 func (c *Bounded) Read(b []byte) (int, error) {
 	if c.unanswered.Load() > c.MaxMessage {
 		return 0, &TooLongError{}
--- a/internal/wire/cwlisten/listen.go
+++ b/internal/wire/cwlisten/listen.go
@@ -1,4 +1,5 @@
-// Package cwlisten accepts connections for all servers of the project.
+// Package cwlisten has the accept loop that all servers of cicadawalk use, and a
+// connection with an idle timeout and a size limit for messages.
 package cwlisten
 
 import (
@@ -9,23 +10,25 @@
 	"time"
 )
 
-// acceptPause is the pause after a connection could not be accepted, as when
-// the process has too many files open; the listener itself is still well.
-const acceptPause = 10 * time.Millisecond
+// acceptRetryDelay is the delay after a connection could not be accepted, for example
+// because the process has too many open files. The listener stays usable in that case.
+const acceptRetryDelay = 10 * time.Millisecond
 
-// Listener hands each connection that it accepts to Handle, in a goroutine of
-// its own. Set the fields before Run.
+// Listener accepts connections and handles each in its own goroutine. Set the exported
+// fields before Run.
 type Listener struct {
 	net.Listener
+	// Handle handles a connection. It must close it.
 	Handle func(ctx context.Context, conn net.Conn)
-	// Failed, if set, is told why a connection could not be accepted.
+	// Failed, if set, is called with the error when a connection could not be
+	// accepted.
 	Failed func(error)
 
-	handling sync.WaitGroup
+	connections sync.WaitGroup
 }
 
-// Run accepts connections until ctx ends, and closes the listener then. It does
-// not wait for the connections; see Wait.
+// Run accepts connections until ctx ends, and then closes the listener. It does not wait
+// for the connections to end; see Wait. It returns nil.
 func (l *Listener) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = l.Close() })
 	defer stop()
@@ -38,18 +41,18 @@
 			if l.Failed != nil {
 				l.Failed(err)
 			}
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		l.handling.Add(1)
-		go l.run(ctx, conn)
+		l.connections.Add(1)
+		go l.handleConn(ctx, conn)
 	}
 }
 
-func (l *Listener) run(ctx context.Context, conn net.Conn) {
-	defer l.handling.Done()
+func (l *Listener) handleConn(ctx context.Context, conn net.Conn) {
+	defer l.connections.Done()
 	l.Handle(ctx, conn)
 }
 
-// Wait returns once every connection was handled to its end.
-func (l *Listener) Wait() { l.handling.Wait() }
+// Wait waits until Handle has returned for every connection.
+func (l *Listener) Wait() { l.connections.Wait() }
