--- a/internal/wire/cwpack/pack.go
+++ b/internal/wire/cwpack/pack.go
@@ -1,4 +1,4 @@
-// Package cwpack compresses large rows on their way between instances.
+// Package cwpack compresses large values that are sent between instances.
 package cwpack
 
 import (
@@ -8,32 +8,33 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// Above is the size in bytes from which a value is worth packing: a desired state
-// of a hundred routes. Smaller ones fit into a few packets as they are.
+// Above is the size in bytes from which values are compressed. It is the size of a
+// desired state of 100 routes. Smaller values fit into a few packets uncompressed.
 const Above = 16 << 10
 
-// maxValue bounds what a packed value may become, in bytes.
-const maxValue = 64 << 20
+// maxUnpackedSize is the largest uncompressed size that Unpack accepts, in bytes.
+const maxUnpackedSize = 64 << 20
 
-// TooLargeError reports a packed value that would become too large.
+// TooLargeError reports a compressed value whose uncompressed size, in bytes, exceeds
+// the limit of Unpack.
 type TooLargeError struct{ Size uint64 }
 
 func (e *TooLargeError) Error() string {
-	return fmt.Sprintf("a packed value has %d bytes, more than %d", e.Size, maxValue)
+	return fmt.Sprintf("uncompressed value has %d bytes, more than %d", e.Size, maxUnpackedSize)
 }
 
-// newEncoder returns an encoder, which takes some 2 MB and is used for one value:
-// large ones change seldom, and most instances pack none. Its window bounds that
-// memory, and routes look alike over much less.
+// newEncoder returns an encoder for one value. An encoder uses about 2 MB, and is not
+// kept, because large values change rarely and most instances compress none. The window
+// size limits that memory. Routes repeat over much shorter distances.
 func newEncoder() (*zstd.Encoder, error) {
 	return zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithWindowSize(128<<10))
 }
 
 var decoder = sync.OnceValues(func() (*zstd.Decoder, error) {
-	return zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(maxValue))
+	return zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(maxUnpackedSize))
 })
 
-// Pack compresses a value.
+// Pack compresses a value with zstd.
 func Pack(value []byte) ([]byte, error) {
 	e, err := newEncoder()
 	if err != nil {
@@ -43,13 +44,14 @@
 	return e.EncodeAll(value, nil), nil
 }
 
-// Unpack returns what Pack compressed.
+// Unpack decompresses a value that was compressed by Pack. It returns a *TooLargeError if
+// the result would exceed 64 MB, and an error of the decoder if the data is malformed.
 func Unpack(packed []byte) ([]byte, error) {
 	var h zstd.Header
 	if err := h.Decode(packed); err != nil {
 		return nil, err
 	}
-	if h.FrameContentSize > maxValue {
+	if h.FrameContentSize > maxUnpackedSize {
 		return nil, &TooLargeError{Size: h.FrameContentSize}
 	}
 	d, err := decoder()
--- a/internal/wire/cwpack/pack_test.go
+++ b/internal/wire/cwpack/pack_test.go
@@ -8,7 +8,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func routes(n int) []byte {
+func sampleRoutes(n int) []byte {
 	var b bytes.Buffer
 	for i := range n {
 		fmt.Fprintf(&b, `{"host":"h%07d","kind":"primary","service":"s%d","timeoutMs":1500},`, i, i%31)
@@ -17,7 +17,7 @@
 }
 
 func TestPack(t *testing.T) {
-	value := routes(20_000)
+	value := sampleRoutes(20_000)
 	packed, err := Pack(value)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, len(packed) < len(value)/5, qt.IsTrue, qt.Commentf("%d of %d bytes", len(packed), len(value)))
@@ -26,21 +26,22 @@
 	qt.Assert(t, bytes.Equal(got, value), qt.IsTrue)
 }
 
-// Another instance sends a few bytes that would become gigabytes.
+// Guards against memory exhaustion. Another instance sends a few bytes that decompress
+// to gigabytes.
 func TestUnpackIsBounded(t *testing.T) {
-	packed, err := Pack(make([]byte, maxValue+1))
+	packed, err := Pack(make([]byte, maxUnpackedSize+1))
 	qt.Assert(t, err, qt.IsNil)
 	_, err = Unpack(packed)
 	qt.Assert(t, err, qt.IsNotNil)
 }
 
 func FuzzUnpack(f *testing.F) {
-	packed, err := Pack(routes(100))
+	packed, err := Pack(sampleRoutes(100))
 	qt.Assert(f, err, qt.IsNil)
 	f.Add(packed)
 	f.Add([]byte("no frame"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if out, err := Unpack(b); err == nil && len(out) > maxValue {
+		if out, err := Unpack(b); err == nil && len(out) > maxUnpackedSize {
 			t.Fatalf("%d bytes", len(out))
 		}
 	})
