--- a/internal/core/cwproof/doc.go
+++ b/internal/core/cwproof/doc.go
@@ -1,10 +1,10 @@
-// Package cwproof proves the promises of the core under failure. It has tests
-// only.
+// Package cwproof tests the guarantees of the core under failures, in a deterministic
+// simulation. It has tests only.
 //
-// A world of a few small fakes runs on virtual time: one group of three fake
-// databases, a fake table, and the decision parts of three proxies, the same
-// code that the daemon runs. A test draws a schedule of failures from a seed
-// and lets the world run: kills, freezes, cuts between any two, slow replicas,
-// lost answers, a table that is away, keepers that pause. Then everything is
-// healed, and the ledger of what callers were told is held against the logs.
+// The simulation runs on virtual time. It has one group of three fake databases, a fake
+// table, and three proxies, which use the same decision code as the daemon. A test
+// derives a schedule of faults from a seed: killed and frozen processes, cut network
+// paths, slow replicas, lost responses, an unavailable table, and proxies that pause
+// during a failover. After all faults have ended, the test compares the answers that
+// callers received with the logs of the databases.
 package cwproof
--- a/internal/core/cwproof/faults_test.go
+++ b/internal/core/cwproof/faults_test.go
@@ -11,11 +11,14 @@
 
 // fault is one failure of a schedule.
 type fault struct {
-	kind   faultKind
-	at     time.Duration
-	lasts  time.Duration
+	kind  faultKind
+	at    time.Duration
+	lasts time.Duration
+	// target is the index of the affected member and proxy.
 	target int
-	other  int
+	// other selects a second member, counted from target, or the number of members
+	// that an isolated proxy is cut off from.
+	other int
 }
 
 type faultKind int
@@ -25,23 +28,29 @@
 	freezeMember
 	// isolateMember cuts a member off from the proxies and the other members.
 	isolateMember
-	// cutProxyFromMember cuts one path.
+	// cutProxyFromMember cuts the path between a proxy and a member.
 	cutProxyFromMember
-	// cutReplication cuts two members off from each other.
+	// cutReplication cuts the path between two members.
 	cutReplication
+	// isolateProxy cuts a proxy off from the other proxies, the table, and one or
+	// two members.
 	isolateProxy
 	killProxy
 	pauseProxy
 	tableDown
 	tableSlow
+	// tableLoses loses the response to one write of the table.
 	tableLoses
+	// lagMember delays the replication of a member.
 	lagMember
 	killPrimary
 	isolatePrimary
 	freezePrimary
-	// cutPrimaryFromReplicas leaves the primary reachable for the proxies.
+	// cutPrimaryFromReplicas cuts the primary off from the other members. The
+	// proxies can still reach it.
 	cutPrimaryFromReplicas
-	// splitPrimary cuts the primary and one proxy, together, off from the rest.
+	// splitPrimary partitions the network, with the primary and one proxy on one
+	// side.
 	splitPrimary
 	faultKinds
 )
@@ -55,7 +64,7 @@
 	return fmt.Sprintf("%s(%d,%d) at %v for %v", faultNames[f.kind], f.target, f.other, f.at, f.lasts)
 }
 
-// drawFaults draws a schedule.
+// drawFaults draws a schedule of 1 to most faults.
 func drawFaults(t *rapid.T, most int) []fault {
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) fault {
 		return fault{
@@ -68,96 +77,96 @@
 	}), 1, most).Draw(t, "faults")
 }
 
-// inject makes a failure happen, and end.
-func (w *world) inject(f fault) {
-	m, p := w.members[f.target], w.proxies[f.target]
-	other := w.members[(f.target+f.other)%3]
+// inject starts a fault and schedules its end.
+func (sim *simulation) inject(f fault) {
+	m, p := sim.members[f.target], sim.proxies[f.target]
+	other := sim.members[(f.target+f.other)%3]
 	switch f.kind {
 	case killPrimary, isolatePrimary, freezePrimary, cutPrimaryFromReplicas, splitPrimary:
-		if pr := w.primary(); pr != nil {
+		if pr := sim.primary(); pr != nil {
 			m = pr
 		}
 	}
 	switch f.kind {
 	case killMember, killPrimary:
 		m.down = true
-		w.after(f.lasts, func() { m.down = false })
+		sim.after(f.lasts, func() { m.down = false })
 	case freezeMember, freezePrimary:
 		m.pause(f.lasts)
 	case isolateMember, isolatePrimary:
-		for _, o := range w.proxies {
-			w.cut(m.name, o.name, f.lasts)
+		for _, o := range sim.proxies {
+			sim.cutPath(m.name, o.name, f.lasts)
 		}
-		for _, o := range w.members {
+		for _, o := range sim.members {
 			if o != m {
-				w.cut(m.name, o.name, f.lasts)
+				sim.cutPath(m.name, o.name, f.lasts)
 			}
 		}
 	case splitPrimary:
-		w.split(p, m, f.lasts)
+		sim.split(p, m, f.lasts)
 	case cutPrimaryFromReplicas:
-		for _, o := range w.members {
+		for _, o := range sim.members {
 			if o != m {
-				w.cut(m.name, o.name, f.lasts)
+				sim.cutPath(m.name, o.name, f.lasts)
 			}
 		}
 	case cutProxyFromMember:
-		w.cut(p.name, other.name, f.lasts)
+		sim.cutPath(p.name, other.name, f.lasts)
 	case cutReplication:
-		w.cut(m.name, other.name, f.lasts)
+		sim.cutPath(m.name, other.name, f.lasts)
 	case isolateProxy:
-		for _, o := range w.proxies {
+		for _, o := range sim.proxies {
 			if o != p {
-				w.cut(p.name, o.name, f.lasts)
+				sim.cutPath(p.name, o.name, f.lasts)
 			}
 		}
-		for _, o := range w.members[:f.other] {
-			w.cut(p.name, o.name, f.lasts)
+		for _, o := range sim.members[:f.other] {
+			sim.cutPath(p.name, o.name, f.lasts)
 		}
-		w.cut(p.name, "table", f.lasts)
+		sim.cutPath(p.name, "table", f.lasts)
 	case killProxy:
 		p.down = true
-		w.after(f.lasts, func() {
+		sim.after(f.lasts, func() {
 			p.restart()
 			p.down = false
 		})
 	case pauseProxy:
 		p.pause(f.lasts)
 	case tableDown:
-		w.table.down = true
-		w.after(f.lasts, func() { w.table.down = false })
+		sim.table.down = true
+		sim.after(f.lasts, func() { sim.table.down = false })
 	case tableSlow:
-		w.table.slow = f.lasts / 4
-		w.after(f.lasts, func() { w.table.slow = 0 })
+		sim.table.slow = f.lasts / 4
+		sim.after(f.lasts, func() { sim.table.slow = 0 })
 	case tableLoses:
-		w.table.lose++
+		sim.table.lostResponses++
 	case lagMember:
 		m.lag = f.lasts / 4
-		w.after(f.lasts, func() { m.lag = w.opts.lag })
+		sim.after(f.lasts, func() { m.lag = sim.options.lag })
 	}
 }
 
-// split cuts a proxy and a member, together, off from everything else.
-func (w *world) split(p *proxy, m *member, lasts time.Duration) {
-	w.cut(p.name, "table", lasts)
-	for _, o := range w.proxies {
+// split partitions the network, with a proxy and a member on one side.
+func (sim *simulation) split(p *proxy, m *member, lasts time.Duration) {
+	sim.cutPath(p.name, "table", lasts)
+	for _, o := range sim.proxies {
 		if o != p {
-			w.cut(p.name, o.name, lasts)
-			w.cut(m.name, o.name, lasts)
+			sim.cutPath(p.name, o.name, lasts)
+			sim.cutPath(m.name, o.name, lasts)
 		}
 	}
-	for _, o := range w.members {
+	for _, o := range sim.members {
 		if o != m {
-			w.cut(m.name, o.name, lasts)
-			w.cut(p.name, o.name, lasts)
+			sim.cutPath(m.name, o.name, lasts)
+			sim.cutPath(p.name, o.name, lasts)
 		}
 	}
 }
 
-// primary returns the member that leads the highest term.
-func (w *world) primary() *member {
+// primary returns the primary of the highest term, or nil if there is none.
+func (sim *simulation) primary() *member {
 	var best *member
-	for _, m := range w.members {
+	for _, m := range sim.members {
 		if m.role == cwgroup.RolePrimary && (best == nil || m.adopted > best.adopted) {
 			best = m
 		}
@@ -165,41 +174,42 @@
 	return best
 }
 
-// Times of a run.
+// Durations of the phases of a run in virtual time, and the interval of writes.
 const (
-	faultTime = 12 * time.Second
-	healTime  = 25 * time.Second
-	writeGap  = 40 * time.Millisecond
+	faultPhase    = 12 * time.Second
+	recoveryPhase = 25 * time.Second
+	writeInterval = 40 * time.Millisecond
 )
 
-// play runs a schedule, heals, and returns what was broken.
-func (w *world) play(faults []fault) []string {
-	w.every(writeGap, w.ledger.write)
+// runSchedule runs a schedule of faults, waits until the group has recovered, and
+// returns the violations found.
+func (sim *simulation) runSchedule(faults []fault) []string {
+	sim.every(writeInterval, sim.ledger.write)
 	for _, f := range faults {
-		w.after(f.at, func() { w.inject(f) })
+		sim.after(f.at, func() { sim.inject(f) })
 	}
-	w.run(faultTime)
-	healed := len(w.ledger.acks)
-	w.run(healTime - 10*time.Second)
-	w.ledger.stopped = true
-	w.run(10 * time.Second)
-	p := w.primary()
+	sim.run(faultPhase)
+	acksDuringFaults := len(sim.ledger.ackTimes)
+	sim.run(recoveryPhase - 10*time.Second)
+	sim.ledger.stopped = true
+	sim.run(10 * time.Second)
+	p := sim.primary()
 	if p == nil {
-		return []string{"no primary after everything was healed"}
+		return []string{"no primary after all faults ended"}
 	}
-	out := w.ledger.violations(p.log)
-	for _, m := range w.members {
-		if common(m.log, p.log) != len(p.log) || len(m.log) != len(p.log) {
+	out := sim.ledger.violations(p.log)
+	for _, m := range sim.members {
+		if commonLength(m.log, p.log) != len(p.log) || len(m.log) != len(p.log) {
 			out = append(out, fmt.Sprintf("%s does not follow %s: %v, %v", m.name, p.name, m.last(), p.last()))
 		}
 	}
-	if len(w.ledger.acks) == healed {
-		out = append(out, "nothing was acknowledged after everything was healed")
+	if len(sim.ledger.ackTimes) == acksDuringFaults {
+		out = append(out, "nothing was acknowledged after all faults ended")
 	}
-	if w.opts.checksTerm {
-		for term, who := range w.promoted {
+	if sim.options.checksTerm {
+		for term, who := range sim.promoted {
 			if len(who) > 1 {
-				out = append(out, fmt.Sprintf("term %d was led by %v", term, who))
+				out = append(out, fmt.Sprintf("term %d has several primaries: %v", term, who))
 			}
 		}
 	}
--- a/internal/core/cwproof/ledger_test.go
+++ b/internal/core/cwproof/ledger_test.go
@@ -9,191 +9,194 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwroute"
 )
 
-// request is a keyed write of a caller, repeated until its answer is known.
+// request is a write of a caller with a request key. It is repeated until the caller has
+// an answer.
 type request struct {
-	id    int
-	began time.Time
-	// acked and notRun are what the caller was told; at most one is set.
+	id        int
+	startedAt time.Time
+	// acked and notRun are the answer to the caller. At most one is set.
 	acked, notRun bool
 	tries         int
-	mark          cwgroup.LogPosition
-	took          time.Duration
-	// done, if set, is called in place of a read of the record.
+	position      cwgroup.LogPosition
+	latency       time.Duration
+	// done, if set, is called after the acknowledgement. If it is nil, the record is
+	// read instead.
 	done func()
 }
 
-// ledger is what callers were told.
+// ledger sends the requests of the callers and records their answers.
 type ledger struct {
-	w        *world
-	requests map[int]*request
-	next     int
-	stale    []string
-	acks     []time.Time
-	reads    int
-	replica  int
-	waited   time.Duration
-	stopped  bool
+	sim          *simulation
+	requests     map[int]*request
+	next         int
+	staleReads   []string
+	ackTimes     []time.Time
+	reads        int
+	replicaReads int
+	readWait     time.Duration
+	stopped      bool
 }
 
-// retryAfter is how long a caller waits for an answer before it repeats the
-// request with the same key through another proxy.
+// retryAfter is the time that a caller waits for an answer before it repeats the request
+// with the same key through another proxy.
 const retryAfter = 1500 * time.Millisecond
 
-func (l *ledger) proxy() *proxy { return l.w.proxies[l.w.rng.IntN(len(l.w.proxies))] }
+func (l *ledger) proxy() *proxy { return l.sim.proxies[l.sim.rng.IntN(len(l.sim.proxies))] }
 
-// write begins a new request.
+// write starts a new request.
 func (l *ledger) write() {
 	if l.stopped {
 		return
 	}
 	l.next++
-	r := &request{id: l.next, began: l.w.now}
+	r := &request{id: l.next, startedAt: l.sim.now}
 	l.requests[r.id] = r
 	l.try(r, l.proxy())
 }
 
-// try sends a request through a proxy. After a few tries it is given up, by a
-// tombstone.
+// try sends a request through a proxy and schedules the next attempt. After six attempts
+// the request is abandoned: a tombstone is written in its place.
 func (l *ledger) try(r *request, p *proxy) {
 	if r.acked || r.notRun {
 		return
 	}
 	r.tries++
-	bury := r.tries > 6
+	abandon := r.tries > 6
 	p.do(func() {
-		pr, ok := cwroute.WritablePrimary(p.sup.View(), l.w.now)
+		pr, ok := cwroute.WritablePrimary(p.supervisor.View(), l.sim.now)
 		if !ok {
 			return
 		}
-		m := l.w.member(pr.Member)
-		l.w.send(p.name, m.name, func() { m.do(func() { l.runAt(r, p, m, bury) }) })
+		m := l.sim.member(pr.Member)
+		l.sim.send(p.name, m.name, func() { m.do(func() { l.execute(r, p, m, abandon) }) })
 	})
-	l.w.after(retryAfter, func() { l.try(r, l.proxy()) })
+	l.sim.after(retryAfter, func() { l.try(r, l.proxy()) })
 }
 
-// runAt is what a database does with a keyed request: the key is unique, so a
-// request that is there already is not run again.
-func (l *ledger) runAt(r *request, p *proxy, m *member, bury bool) {
+// execute runs a request at a database. The request key is unique, so a request that the
+// log contains already is not run again.
+func (l *ledger) execute(r *request, p *proxy, m *member, abandon bool) {
 	if m.role != cwgroup.RolePrimary {
 		return
 	}
 	found, tombstone := m.has(r.id)
 	if !found {
-		tombstone = bury
-		m.append(rec{term: m.adopted, id: r.id, tombstone: bury})
-		m.tell()
+		tombstone = abandon
+		m.append(logRecord{term: m.adopted, id: r.id, tombstone: abandon})
+		m.pushStatus()
 	}
-	mark := m.last()
-	if l.w.opts.noSettle && found {
-		// The mutation: an old record is answered as done without waiting.
-		l.w.send(m.name, p.name, func() { p.do(func() { l.told(r, tombstone, mark) }) })
+	position := m.last()
+	if l.sim.options.skipDuplicateWait && found {
+		// The mutation: a duplicate is acknowledged without waiting for a
+		// majority.
+		l.sim.send(m.name, p.name, func() { p.do(func() { l.complete(r, tombstone, position) }) })
 		return
 	}
-	l.w.send(m.name, p.name, func() { p.do(func() { l.await(r, p, mark, tombstone) }) })
+	l.sim.send(m.name, p.name, func() { p.do(func() { l.awaitMajority(r, p, position, tombstone) }) })
 }
 
-// await acknowledges once a majority has the record.
-func (l *ledger) await(r *request, p *proxy, mark cwgroup.LogPosition, tombstone bool) {
-	if l.w.opts.ackAtPrimary {
-		l.told(r, tombstone, mark)
+// awaitMajority answers the request when a majority has the record.
+func (l *ledger) awaitMajority(r *request, p *proxy, position cwgroup.LogPosition, tombstone bool) {
+	if l.sim.options.ackAtPrimary {
+		l.complete(r, tombstone, position)
 		return
 	}
-	p.tracker.Add(cwack.PendingWrite{Position: mark, Deadline: l.w.now.Add(5 * time.Second), Notify: func(o cwack.Outcome) {
+	p.tracker.Add(cwack.PendingWrite{Position: position, Deadline: l.sim.now.Add(5 * time.Second), Notify: func(o cwack.Outcome) {
 		if o == cwack.Acknowledged {
-			l.told(r, tombstone, mark)
+			l.complete(r, tombstone, position)
 		}
 	}})
-	p.tracker.Update(p.sup.View(), l.w.now)
+	p.tracker.Update(p.supervisor.View(), l.sim.now)
 }
 
-func (l *ledger) told(r *request, tombstone bool, mark cwgroup.LogPosition) {
+func (l *ledger) complete(r *request, tombstone bool, position cwgroup.LogPosition) {
 	if r.acked || r.notRun {
 		return
 	}
-	r.acked, r.notRun, r.mark, r.took = !tombstone, tombstone, mark, l.w.now.Sub(r.began)
+	r.acked, r.notRun, r.position, r.latency = !tombstone, tombstone, position, l.sim.now.Sub(r.startedAt)
 	if r.acked {
-		l.acks = append(l.acks, l.w.now)
+		l.ackTimes = append(l.ackTimes, l.sim.now)
 		if r.done != nil {
 			r.done()
 			return
 		}
-		l.w.after(time.Duration(l.w.rng.Int64N(int64(300*time.Millisecond))), func() { l.read(r) })
+		l.sim.after(time.Duration(l.sim.rng.Int64N(int64(300*time.Millisecond))), func() { l.read(r) })
 	}
 }
 
-// read lets the session that wrote r read it, through any proxy, with its token
-// or without.
+// read reads the record of r in the session that wrote it, through a random proxy, with
+// or without its session token.
 func (l *ledger) read(r *request) {
 	p := l.proxy()
 	p.do(func() {
-		if l.w.rng.IntN(4) > 0 {
-			l.placed(r, p, cwroute.Read{Floor: floorOf(r.mark)})
+		if l.sim.rng.IntN(4) > 0 {
+			l.placeRead(r, p, cwroute.Read{Floor: floorOf(r.position)})
 			return
 		}
-		p.tip(func(tip cwgroup.LogPosition) { l.placed(r, p, cwroute.Read{Floor: floorOf(tip)}) })
+		p.readPosition(func(position cwgroup.LogPosition) { l.placeRead(r, p, cwroute.Read{Floor: floorOf(position)}) })
 	})
 }
 
-func (l *ledger) placed(r *request, p *proxy, rd cwroute.Read) {
-	d := p.place(rd)
+func (l *ledger) placeRead(r *request, p *proxy, rd cwroute.Read) {
+	d := p.placeRead(rd)
 	switch d.Action {
 	case cwroute.Wait:
-		l.w.after(5*time.Millisecond, func() {
+		l.sim.after(5*time.Millisecond, func() {
 			p.do(func() {
 				rd.Waited += 5 * time.Millisecond
-				l.waited += 5 * time.Millisecond
-				l.placed(r, p, rd)
+				l.readWait += 5 * time.Millisecond
+				l.placeRead(r, p, rd)
 			})
 		})
 	case cwroute.Serve:
 		l.reads++
 		if d.Replica {
-			l.replica++
+			l.replicaReads++
 		}
-		m := l.w.member(d.Member)
-		l.w.send(p.name, m.name, func() {
+		m := l.sim.member(d.Member)
+		l.sim.send(p.name, m.name, func() {
 			m.do(func() {
-				if found, _ := find(m.log[:m.applied()], r.id); !found {
-					l.stale = append(l.stale, fmt.Sprintf("request %d (%v, floor %v) not at %s, which has %v as %v", r.id, r.mark, rd.Floor.Mark, m.name, m.last(), m.role))
+				if found, _ := findRecord(m.log[:m.applied()], r.id); !found {
+					l.staleReads = append(l.staleReads, fmt.Sprintf("request %d (%v, floor %v) is missing at %s, which has %v as %v", r.id, r.position, rd.Floor.Mark, m.name, m.last(), m.role))
 				}
 			})
 		})
 	}
 }
 
-// violations holds what callers were told against a log.
-func (l *ledger) violations(log []rec) []string {
+// violations compares the answers that callers received with a log.
+func (l *ledger) violations(log []logRecord) []string {
 	count := make(map[int]int)
-	buried := make(map[int]bool)
+	tombstones := make(map[int]bool)
 	for _, r := range log {
 		if r.id == 0 {
 			continue
 		}
 		count[r.id]++
-		buried[r.id] = r.tombstone
+		tombstones[r.id] = r.tombstone
 	}
 	var out []string
 	for id, r := range l.requests {
 		switch {
 		case count[id] > 1:
 			out = append(out, fmt.Sprintf("doubled: %d", id))
-		case r.acked && (count[id] == 0 || buried[id]):
-			out = append(out, fmt.Sprintf("lost: %d, acknowledged at %v", id, r.mark))
-		case r.notRun && count[id] == 1 && !buried[id]:
+		case r.acked && (count[id] == 0 || tombstones[id]):
+			out = append(out, fmt.Sprintf("lost: %d, acknowledged at %v", id, r.position))
+		case r.notRun && count[id] == 1 && !tombstones[id]:
 			out = append(out, fmt.Sprintf("false not run: %d", id))
 		}
 	}
-	for _, s := range l.stale {
+	for _, s := range l.staleReads {
 		out = append(out, "stale: "+s)
 	}
 	return out
 }
 
-// longestPause returns the longest time without an acknowledgement.
-func (w *world) longestPause() time.Duration {
+// longestPause returns the longest time between two acknowledgements.
+func (sim *simulation) longestPause() time.Duration {
 	var longest time.Duration
 	last := epoch
-	for _, at := range w.ledger.acks {
+	for _, at := range sim.ledger.ackTimes {
 		longest = max(longest, at.Sub(last))
 		last = at
 	}
--- a/internal/core/cwproof/measure_test.go
+++ b/internal/core/cwproof/measure_test.go
@@ -13,8 +13,9 @@
 	"cicadawalk.example/cicadawalk/internal/tool/cwbound"
 )
 
-// seeds is how many worlds a measurement runs: few in CI, 1,000 for the pages.
-func seeds(t *testing.T, few int) int {
+// seedCount returns the number of simulations for a measurement: few, as in CI, or the
+// value of CICADAWALK_SEEDS, which is 1,000 for the figures in the documentation.
+func seedCount(t *testing.T, few int) int {
 	n, err := strconv.Atoi(os.Getenv("CICADAWALK_SEEDS"))
 	if err != nil {
 		return few
@@ -22,8 +23,8 @@
 	return n
 }
 
-// TestFailoverGap measures how long nothing is acknowledged after each kind of
-// loss of the primary, in virtual time.
+// TestFailoverGap measures the longest time without an acknowledgement after each kind of
+// failure of the primary, in virtual time.
 func TestFailoverGap(t *testing.T) {
 	for name, kind := range map[string]faultKind{
 		"kill": killPrimary, "freeze": freezePrimary, "isolate": isolatePrimary, "desert": cutPrimaryFromReplicas,
@@ -31,16 +32,16 @@
 		t.Run(name, func(t *testing.T) {
 			var gaps []time.Duration
 			writes, changes := 0, 0
-			n := seeds(t, 40)
+			n := seedCount(t, 40)
 			for seed := range n {
-				w := newWorld(uint64(seed), checked)
-				w.every(10*time.Millisecond, w.ledger.write)
+				sim := newSimulation(uint64(seed), withTermChecks)
+				sim.every(10*time.Millisecond, sim.ledger.write)
 				at := 2*time.Second + time.Duration(seed%100)*3*time.Millisecond
-				w.after(at, func() { w.inject(fault{kind: kind, lasts: 8 * time.Second}) })
-				w.run(9 * time.Second)
-				gaps = append(gaps, w.longestPause())
-				writes += w.table.writes
-				changes += len(w.promoted) - 1
+				sim.after(at, func() { sim.inject(fault{kind: kind, lasts: 8 * time.Second}) })
+				sim.run(9 * time.Second)
+				gaps = append(gaps, sim.longestPause())
+				writes += sim.table.writes
+				changes += len(sim.promoted) - 1
 			}
 			slices.Sort(gaps)
 			t.Logf("%s over %d seeds: p50 %v p90 %v p99 %v max %v", name, n, gaps[n/2], gaps[n*9/10], gaps[n*99/100], gaps[n-1])
@@ -52,59 +53,59 @@
 	}
 }
 
-// TestAnyScheduleWithinSevenSeconds measures the longest time without an
-// acknowledgement that follows a failure while a majority of databases and one
-// proxy are well, over single failures of every kind.
+// TestAnyScheduleWithinSevenSeconds measures the longest time without an acknowledgement
+// after a single fault of every kind, while a majority of the databases and one proxy
+// work.
 func TestAnyScheduleWithinSevenSeconds(t *testing.T) {
 	var worst time.Duration
 	for kind := range faultKinds {
-		for seed := range seeds(t, 6) {
-			w := newWorld(uint64(seed), checked)
-			w.every(10*time.Millisecond, w.ledger.write)
-			w.after(2*time.Second, func() {
-				w.inject(fault{kind: kind, lasts: 8 * time.Second, target: seed % 3, other: 1 + seed%2})
+		for seed := range seedCount(t, 6) {
+			sim := newSimulation(uint64(seed), withTermChecks)
+			sim.every(10*time.Millisecond, sim.ledger.write)
+			sim.after(2*time.Second, func() {
+				sim.inject(fault{kind: kind, lasts: 8 * time.Second, target: seed % 3, other: 1 + seed%2})
 			})
-			w.run(11 * time.Second)
-			worst = max(worst, w.longestPause())
+			sim.run(11 * time.Second)
+			worst = max(worst, sim.longestPause())
 		}
 	}
 	cwbound.Check(t, "failoverGapWorstMs/any", float64(worst.Milliseconds()))
 }
 
-// TestSteadyStateWritesNothing counts the table's writes while nothing fails.
+// TestSteadyStateWritesNothing counts the writes to the table while there are no faults.
 func TestSteadyStateWritesNothing(t *testing.T) {
-	w := newWorld(1, checked)
-	w.every(10*time.Millisecond, w.ledger.write)
-	w.run(60 * time.Second)
-	cwbound.Check(t, "tableWritesPerMinuteSteady", float64(w.table.writes))
-	cwbound.Check(t, "changesPerMinuteSteady", float64(len(w.promoted)-1))
+	sim := newSimulation(1, withTermChecks)
+	sim.every(10*time.Millisecond, sim.ledger.write)
+	sim.run(60 * time.Second)
+	cwbound.Check(t, "tableWritesPerMinuteSteady", float64(sim.table.writes))
+	cwbound.Check(t, "changesPerMinuteSteady", float64(len(sim.promoted)-1))
 }
 
-// TestAcknowledgementRule compares acknowledging at the primary with
-// acknowledging on a majority: what is lost on the same seeds, and what each
-// adds to a write.
+// TestAcknowledgementRule compares two rules on the same seeds: to acknowledge a write
+// when the primary has it, or when a majority has it. It measures the lost writes and the
+// latency of writes.
 func TestAcknowledgementRule(t *testing.T) {
 	lost := map[bool]int{}
 	var wait [2]time.Duration
-	n := seeds(t, 40)
+	n := seedCount(t, 40)
 	for seed := range n {
 		for i, atPrimary := range []bool{false, true} {
-			o := checked
+			o := withTermChecks
 			o.ackAtPrimary = atPrimary
 			o.lag = 20 * time.Millisecond
-			w := newWorld(uint64(seed), o)
-			w.every(5*time.Millisecond, w.ledger.write)
-			w.after(2*time.Second, func() { w.inject(fault{kind: killPrimary, lasts: 4 * time.Second}) })
-			w.run(1900 * time.Millisecond)
-			for _, r := range w.ledger.requests {
+			sim := newSimulation(uint64(seed), o)
+			sim.every(5*time.Millisecond, sim.ledger.write)
+			sim.after(2*time.Second, func() { sim.inject(fault{kind: killPrimary, lasts: 4 * time.Second}) })
+			sim.run(1900 * time.Millisecond)
+			for _, r := range sim.ledger.requests {
 				if r.acked {
-					wait[i] += r.took / time.Duration(len(w.ledger.requests)*n)
+					wait[i] += r.latency / time.Duration(len(sim.ledger.requests)*n)
 				}
 			}
-			w.run(10 * time.Second)
-			w.ledger.stopped = true
-			w.run(10 * time.Second)
-			for _, v := range w.ledger.violations(w.primary().log) {
+			sim.run(10 * time.Second)
+			sim.ledger.stopped = true
+			sim.run(10 * time.Second)
+			for _, v := range sim.ledger.violations(sim.primary().log) {
 				if v[:4] == "lost" {
 					lost[atPrimary]++
 				}
@@ -116,15 +117,15 @@
 	cwbound.Check(t, "lostAcknowledged/primaryAlone", float64(lost[true]))
 }
 
-// session is a caller that reads and writes in turn.
+// session is a caller that reads and writes at random.
 type session struct {
-	w    *world
-	mark cwgroup.LogPosition
-	last int
+	sim         *simulation
+	position    cwgroup.LogPosition
+	lastRequest int
 }
 
-// TestReplicaReadShare measures the share of reads at replicas for replicas
-// that show what they have later, write shares and two policies.
+// TestReplicaReadShare measures the share of reads that replicas serve, for several
+// delays in applying the log, shares of writes and routing policies.
 func TestReplicaReadShare(t *testing.T) {
 	for _, policy := range []struct {
 		name string
@@ -132,20 +133,20 @@
 	}{{"toPrimary", 0}, {"wait50ms", 50 * time.Millisecond}, {"wait150ms", 150 * time.Millisecond}} {
 		for _, lag := range []time.Duration{0, 10, 100, 1000} {
 			for _, writes := range []float64{0.01, 0.1, 0.5} {
-				o := checked
-				o.waitReads, o.applyLag = policy.wait, lag*time.Millisecond
-				w := newWorld(7, o)
+				o := withTermChecks
+				o.replicaWait, o.applyLag = policy.wait, lag*time.Millisecond
+				sim := newSimulation(7, o)
 				for range 20 {
-					s := &session{w: w}
-					w.every(50*time.Millisecond, func() { s.step(writes) })
+					s := &session{sim: sim}
+					sim.every(50*time.Millisecond, func() { s.step(writes) })
 				}
-				w.run(10 * time.Second)
-				if len(w.ledger.stale) > 0 {
-					t.Fatalf("%v", w.ledger.stale)
+				sim.run(10 * time.Second)
+				if len(sim.ledger.staleReads) > 0 {
+					t.Fatalf("%v", sim.ledger.staleReads)
 				}
-				share := float64(w.ledger.replica) / float64(w.ledger.reads)
+				share := float64(sim.ledger.replicaReads) / float64(sim.ledger.reads)
 				name := fmt.Sprintf("replicaReadShare/%s/lag%dms/writes%.0f%%", policy.name, lag, writes*100)
-				t.Logf("%s = %.3f, waited %v a read", name, share, w.ledger.waited/time.Duration(w.ledger.reads))
+				t.Logf("%s = %.3f, waited %v a read", name, share, sim.ledger.readWait/time.Duration(sim.ledger.reads))
 				if lag == 100 && writes == 0.1 {
 					cwbound.Check(t, name, share)
 				}
@@ -155,18 +156,18 @@
 }
 
 func (s *session) step(writes float64) {
-	p := s.w.ledger.proxy()
-	if s.w.rng.Float64() < writes {
-		l := s.w.ledger
+	p := s.sim.ledger.proxy()
+	if s.sim.rng.Float64() < writes {
+		l := s.sim.ledger
 		l.next++
-		r := &request{id: l.next, began: s.w.now}
-		r.done = func() { s.mark, s.last = r.mark, r.id }
+		r := &request{id: l.next, startedAt: s.sim.now}
+		r.done = func() { s.position, s.lastRequest = r.position, r.id }
 		l.requests[r.id] = r
 		l.try(r, p)
 		return
 	}
-	if s.last == 0 {
+	if s.lastRequest == 0 {
 		return
 	}
-	s.w.ledger.placed(s.w.ledger.requests[s.last], p, cwroute.Read{Floor: floorOf(s.mark)})
+	s.sim.ledger.placeRead(s.sim.ledger.requests[s.lastRequest], p, cwroute.Read{Floor: floorOf(s.position)})
 }
--- a/internal/core/cwproof/proof_test.go
+++ b/internal/core/cwproof/proof_test.go
@@ -9,43 +9,44 @@
 	"pgregory.net/rapid"
 )
 
-// checked is a world whose members check the term of every order.
-var checked = options{checksTerm: true, withoutTable: true, lag: 2 * time.Millisecond}
+// withTermChecks configures members that check the term of every command. A failover
+// does not need the table.
+var withTermChecks = options{checksTerm: true, withoutTable: true, lag: 2 * time.Millisecond}
 
-// needsTable is one in which a change also needs the table's claim.
-var needsTable = options{checksTerm: true, lag: 2 * time.Millisecond}
+// withTable configures the same, but a failover also needs the claim in the table.
+var withTable = options{checksTerm: true, lag: 2 * time.Millisecond}
 
-// unchecked is one whose members obey anybody.
-var unchecked = options{lag: 2 * time.Millisecond}
+// withoutTermChecks configures members that obey every command.
+var withoutTermChecks = options{lag: 2 * time.Millisecond}
 
-// Somebody's acknowledged record is gone, is there twice, is missing from his
-// own list, or a request that was "not run" took effect. Whatever fails, in
-// whatever order, none of that may happen; and once everything is healed the
-// group serves again without anyone ordering it.
+// Guards against violations of the guarantees under any sequence of faults: an
+// acknowledged record is lost or exists twice, a caller does not see its own write, or a
+// request that was answered as "not run" took effect. After all faults have ended, the
+// group must recover without an operator.
 func TestNothingIsLostUnderAnyFaults(t *testing.T) {
-	for name, o := range map[string]options{"without table": checked, "with table": needsTable} {
+	for name, o := range map[string]options{"without table": withTermChecks, "with table": withTable} {
 		t.Run(name, func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
-				w := newWorld(rapid.Uint64().Draw(t, "seed"), o)
-				if broken := w.play(drawFaults(t, 6)); len(broken) > 0 {
-					t.Fatalf("%s", strings.Join(broken, "\n"))
+				sim := newSimulation(rapid.Uint64().Draw(t, "seed"), o)
+				if violations := sim.runSchedule(drawFaults(t, 6)); len(violations) > 0 {
+					t.Fatalf("%s", strings.Join(violations, "\n"))
 				}
 			})
 		})
 	}
 }
 
-// Members that obey anybody, as long as no proxy pauses in the middle of an
-// order: the table's claim, read back right before each order, keeps two
-// changes apart.
+// Guards against concurrent failovers of members that do not check terms. As long as no
+// proxy pauses during a command, the claim in the table, which is read right before each
+// command, prevents them.
 func TestUncheckedMembersWithoutPauses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(rapid.Uint64().Draw(t, "seed"), unchecked)
+		sim := newSimulation(rapid.Uint64().Draw(t, "seed"), withoutTermChecks)
 		faults := slices.DeleteFunc(drawFaults(t, 3), func(f fault) bool {
 			return f.kind == pauseProxy || f.kind == killProxy || f.kind == freezeMember || f.kind == freezePrimary
 		})
-		if broken := w.play(faults); len(broken) > 0 {
-			t.Fatalf("%s", strings.Join(broken, "\n"))
+		if violations := sim.runSchedule(faults); len(violations) > 0 {
+			t.Fatalf("%s", strings.Join(violations, "\n"))
 		}
 	})
 }
--- a/internal/core/cwproof/proxy_test.go
+++ b/internal/core/cwproof/proxy_test.go
@@ -11,147 +11,148 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwsession"
 )
 
-// unreachableAfter is how long a feed takes to call a silent member
-// unreachable: the silence and the fresh connection that fails.
+// unreachableAfter is the time until a feed reports an unresponsive member as
+// unreachable: the time without messages, and the new connection that fails.
 const unreachableAfter = 900 * time.Millisecond
 
-// proxy is the decision parts of one proxy, with fakes around them.
+// proxy is a simulated proxy. It uses the real decision code; all other parts are fakes.
 type proxy struct {
 	process
-	index   int
-	sup     *cwfailover.Supervisor
-	tracker cwack.Tracker
-	lagging cwroute.LagTracker
-	history cwroute.PositionHistory
-	heard   map[cwgroup.MemberID]time.Time
-	changes int
-	// starts counts the restarts, which makes claims unique.
+	index      int
+	supervisor *cwfailover.Supervisor
+	tracker    cwack.Tracker
+	lagTracker cwroute.LagTracker
+	history    cwroute.PositionHistory
+	lastHeard  map[cwgroup.MemberID]time.Time
+	changes    int
+	// starts is the number of starts. It makes claims unique.
 	starts int
 }
 
-func newProxy(w *world, i int) *proxy {
-	p := &proxy{process: process{w: w, name: fmt.Sprintf("p%d", i)}, index: i, heard: make(map[cwgroup.MemberID]time.Time)}
+func newProxy(sim *simulation, i int) *proxy {
+	p := &proxy{process: process{sim: sim, name: fmt.Sprintf("p%d", i)}, index: i, lastHeard: make(map[cwgroup.MemberID]time.Time)}
 	p.restart()
-	for _, m := range w.members {
-		w.every(250*time.Millisecond, func() { p.do(func() { p.probe(m) }) })
+	for _, m := range sim.members {
+		sim.every(250*time.Millisecond, func() { p.do(func() { p.probe(m) }) })
 	}
-	w.every(25*time.Millisecond, func() { p.do(p.tick) })
-	w.every(time.Second, func() { p.do(p.beat) })
+	sim.every(25*time.Millisecond, func() { p.do(p.tick) })
+	sim.every(time.Second, func() { p.do(p.broadcastVote) })
 	return p
 }
 
-// restart makes the proxy anew; whatever it knew is gone.
+// restart replaces the state of the proxy by that of a new process.
 func (p *proxy) restart() {
 	p.starts++
-	p.sup = cwfailover.NewSupervisor(cwfailover.InstanceID(p.name), fmt.Sprint(p.starts), "g", []cwgroup.MemberID{"m0", "m1", "m2"})
-	p.tracker, p.lagging, p.history = cwack.Tracker{}, cwroute.LagTracker{}, cwroute.PositionHistory{}
-	for _, m := range p.w.members {
-		p.heard[m.id()] = p.w.now
+	p.supervisor = cwfailover.NewSupervisor(cwfailover.InstanceID(p.name), fmt.Sprint(p.starts), "g", []cwgroup.MemberID{"m0", "m1", "m2"})
+	p.tracker, p.lagTracker, p.history = cwack.Tracker{}, cwroute.LagTracker{}, cwroute.PositionHistory{}
+	for _, m := range p.sim.members {
+		p.lastHeard[m.id()] = p.sim.now
 	}
 }
 
-// hear brings a member's status to the proxy.
-func (p *proxy) hear(m *member) {
+// receiveStatus delivers a member's current status to the proxy.
+func (p *proxy) receiveStatus(m *member) {
 	s, f := m.status(), m.following()
-	p.w.send(m.name, p.name, func() { p.do(func() { p.report(s, f, time.Time{}) }) })
+	p.sim.send(m.name, p.name, func() { p.do(func() { p.report(s, f, time.Time{}) }) })
 }
 
 func (p *proxy) report(s cwgroup.Status, following cwgroup.MemberID, asked time.Time) {
-	p.heard[s.Member] = p.w.now
-	if p.sup.AddReport(cwgroup.Report{Status: s, At: p.w.now, Reachable: true}, following, p.w.now) {
-		p.beat()
+	p.lastHeard[s.Member] = p.sim.now
+	if p.supervisor.AddReport(cwgroup.Report{Status: s, At: p.sim.now, Reachable: true}, following, p.sim.now) {
+		p.broadcastVote()
 	}
-	if pr, ok := p.sup.View().Primary(); ok && pr.Member == s.Member {
-		p.lagging.ObservePrimary(s.Durable, p.w.now)
-		if at, ok := cwroute.ConfirmedAt(p.sup.View(), pr, asked); ok && !asked.IsZero() {
+	if pr, ok := p.supervisor.View().Primary(); ok && pr.Member == s.Member {
+		p.lagTracker.ObservePrimary(s.Durable, p.sim.now)
+		if at, ok := cwroute.ConfirmedAt(p.supervisor.View(), pr, asked); ok && !asked.IsZero() {
 			p.history.Observe(s.Durable, at)
 		}
 	} else {
-		p.lagging.ObserveReplica(s.Member, s.Applied, p.w.now)
+		p.lagTracker.ObserveReplica(s.Member, s.Applied, p.sim.now)
 	}
-	p.tracker.Update(p.sup.View(), p.w.now)
+	p.tracker.Update(p.supervisor.View(), p.sim.now)
 }
 
-// probe asks a member for its status. One that is down refuses at once.
+// probe queries a member's status. A member that is down refuses the connection
+// immediately.
 func (p *proxy) probe(m *member) {
-	asked := p.w.now
-	p.w.send(p.name, m.name, func() {
+	asked := p.sim.now
+	p.sim.send(p.name, m.name, func() {
 		if m.down {
-			p.w.send(m.name, p.name, func() { p.do(func() { p.unreachable(m.id()) }) })
+			p.sim.send(m.name, p.name, func() { p.do(func() { p.unreachable(m.id()) }) })
 			return
 		}
 		m.do(func() {
 			s, f := m.status(), m.following()
-			p.w.send(m.name, p.name, func() { p.do(func() { p.report(s, f, asked) }) })
+			p.sim.send(m.name, p.name, func() { p.do(func() { p.report(s, f, asked) }) })
 		})
 	})
 }
 
 func (p *proxy) unreachable(id cwgroup.MemberID) {
-	if p.sup.SetUnreachable(id, p.w.now) {
-		p.beat()
+	if p.supervisor.SetUnreachable(id, p.sim.now) {
+		p.broadcastVote()
 	}
 }
 
-func (p *proxy) beat() {
-	v := p.sup.Vote()
-	for _, o := range p.w.proxies {
+func (p *proxy) broadcastVote() {
+	v := p.supervisor.Vote()
+	for _, o := range p.sim.proxies {
 		if o == p {
 			continue
 		}
-		p.w.send(p.name, o.name, func() {
+		p.sim.send(p.name, o.name, func() {
 			o.do(func() {
-				v.ReceivedAt = p.w.now
-				o.sup.AddVote(v)
+				v.ReceivedAt = p.sim.now
+				o.supervisor.AddVote(v)
 			})
 		})
 	}
 }
 
-func (p *proxy) conditions() cwfailover.TickInputs {
+func (p *proxy) tickInputs() cwfailover.TickInputs {
 	return cwfailover.TickInputs{
-		ListedProxies:    len(p.w.proxies),
+		ListedProxies:    len(p.sim.proxies),
 		Rank:             p.index,
-		MembersCheckTerm: p.w.opts.checksTerm,
-		WithoutTable:     p.w.opts.withoutTable,
+		MembersCheckTerm: p.sim.options.checksTerm,
+		WithoutTable:     p.sim.options.withoutTable,
 	}
 }
 
 func (p *proxy) tick() {
-	for _, m := range p.w.members {
-		if p.w.now.Sub(p.heard[m.id()]) > unreachableAfter {
+	for _, m := range p.sim.members {
+		if p.sim.now.Sub(p.lastHeard[m.id()]) > unreachableAfter {
 			p.unreachable(m.id())
 		}
 	}
-	p.tracker.Update(p.sup.View(), p.w.now)
-	orders := p.sup.Tick(p.w.now, p.conditions())
-	if r, ok := p.sup.TakeResult(p.w.now, p.conditions()); ok && r.Changed() {
+	p.tracker.Update(p.supervisor.View(), p.sim.now)
+	commands := p.supervisor.Tick(p.sim.now, p.tickInputs())
+	if r, ok := p.supervisor.TakeResult(p.sim.now, p.tickInputs()); ok && r.Changed() {
 		p.changes++
 	}
-	p.dispatch(orders)
+	p.dispatch(commands)
 }
 
-// dispatch sends orders a moment later; the proxy may be paused in between.
-func (p *proxy) dispatch(orders []cwfailover.Command) {
-	for _, o := range orders {
-		p.w.after(p.w.delay()/4, func() {
+// dispatch executes commands after a short delay, in which the proxy may be paused.
+func (p *proxy) dispatch(commands []cwfailover.Command) {
+	for _, o := range commands {
+		p.sim.after(p.sim.messageDelay()/4, func() {
 			p.do(func() {
-				if p.w.now.After(o.NotAfter) {
+				if p.sim.now.After(o.NotAfter) {
 					p.handle(cwfailover.Response{Kind: o.Kind, Member: o.Member, Claim: o.Claim, Failed: true, RowOutcome: cwfailover.RowUnavailable})
 					return
 				}
-				p.carry(o)
+				p.execute(o)
 			})
 		})
 	}
 }
 
 func (p *proxy) handle(ev cwfailover.Response) {
-	p.dispatch(p.sup.Handle(ev, p.w.now))
+	p.dispatch(p.supervisor.Handle(ev, p.sim.now))
 }
 
-// carry takes an order to a member or the table.
-func (p *proxy) carry(o cwfailover.Command) {
+// execute sends a command to a member or to the table.
+func (p *proxy) execute(o cwfailover.Command) {
 	ev := cwfailover.Response{Kind: o.Kind, Member: o.Member, Claim: o.Claim}
 	switch o.Kind {
 	case cwfailover.WriteClaim, cwfailover.ReadClaim, cwfailover.RecordReplacedTerm, cwfailover.RecordPrimary:
@@ -159,7 +160,7 @@
 		return
 	}
 	answered := false
-	p.w.after(500*time.Millisecond, func() {
+	p.sim.after(500*time.Millisecond, func() {
 		p.do(func() {
 			if !answered {
 				answered = true
@@ -168,8 +169,8 @@
 			}
 		})
 	})
-	m := p.w.member(o.Member)
-	p.w.send(p.name, m.name, func() {
+	m := p.sim.member(o.Member)
+	p.sim.send(p.name, m.name, func() {
 		m.do(func() {
 			ok := false
 			switch o.Kind {
@@ -178,10 +179,10 @@
 			case cwfailover.Promote:
 				ok = m.promote(o.Term, o.Claim)
 			case cwfailover.Follow:
-				ok = m.obeyFollow(o.Term, o.Claim, p.w.member(o.Primary))
+				ok = m.followPrimary(o.Term, o.Claim, p.sim.member(o.Primary))
 			}
 			s := m.status()
-			p.w.send(m.name, p.name, func() {
+			p.sim.send(m.name, p.name, func() {
 				p.do(func() {
 					if !answered {
 						answered = true
@@ -194,8 +195,8 @@
 	})
 }
 
-func (w *world) member(id cwgroup.MemberID) *member {
-	for _, m := range w.members {
+func (sim *simulation) member(id cwgroup.MemberID) *member {
+	for _, m := range sim.members {
 		if m.id() == id {
 			return m
 		}
@@ -203,41 +204,41 @@
 	return nil
 }
 
-// askTable reads the row, and changes it if it is still as it was read.
+// askTable reads the row, and replaces it if it was not changed since.
 func (p *proxy) askTable(o cwfailover.Command, ev cwfailover.Response) {
-	t := p.w.table
+	t := p.sim.table
 	answer := func(out cwfailover.RowOutcome) {
 		ev.RowOutcome = out
-		p.w.after(p.w.delay(), func() { p.do(func() { p.handle(ev) }) })
+		p.sim.after(p.sim.messageDelay(), func() { p.do(func() { p.handle(ev) }) })
 	}
-	if t.down || p.w.cuts[link(p.name, "table")] > 0 {
-		p.w.after(p.w.delay(), func() { answer(cwfailover.RowUnavailable) })
+	if t.down || p.sim.cuts[pathBetween(p.name, "table")] > 0 {
+		p.sim.after(p.sim.messageDelay(), func() { answer(cwfailover.RowUnavailable) })
 		return
 	}
-	p.w.after(p.w.delay()+t.slow, func() {
+	p.sim.after(p.sim.messageDelay()+t.slow, func() {
 		row, version := t.row, t.version
 		p.do(func() {
 			mine := row.claim == o.Claim
-			cwRow := cwfailover.Row{Term: row.term, Claim: row.claim, Owner: cwfailover.InstanceID(row.keeper), Done: row.done || row.term == 0}
+			cwRow := cwfailover.Row{Term: row.term, Claim: row.claim, Owner: cwfailover.InstanceID(row.owner), Done: row.done || row.term == 0}
 			switch {
 			case o.Kind == cwfailover.ReadClaim && mine:
 				answer(cwfailover.RowConfirmed)
 				return
 			case o.Kind == cwfailover.ReadClaim,
 				o.Kind == cwfailover.RecordReplacedTerm && !mine,
-				o.Kind == cwfailover.WriteClaim && !mine && !p.sup.MayClaim(cwRow, o.Term, p.w.now),
+				o.Kind == cwfailover.WriteClaim && !mine && !p.supervisor.MayClaim(cwRow, o.Term, p.sim.now),
 				o.Kind == cwfailover.RecordPrimary && row.term > o.Term:
 				answer(cwfailover.RowConflict)
 				return
 			}
-			next := tableRow{term: o.Term, claim: o.Claim, keeper: p.name, done: o.Kind == cwfailover.RecordPrimary}
-			p.w.after(p.w.delay()+t.slow, func() { p.commitRow(next, version, answer) })
+			next := tableRow{term: o.Term, claim: o.Claim, owner: p.name, done: o.Kind == cwfailover.RecordPrimary}
+			p.sim.after(p.sim.messageDelay()+t.slow, func() { p.commitRow(next, version, answer) })
 		})
 	})
 }
 
 func (p *proxy) commitRow(next tableRow, version int, answer func(cwfailover.RowOutcome)) {
-	t := p.w.table
+	t := p.sim.table
 	switch {
 	case t.down:
 		answer(cwfailover.RowUnavailable)
@@ -247,8 +248,8 @@
 		t.row = next
 		t.version++
 		t.writes++
-		if t.lose > 0 {
-			t.lose--
+		if t.lostResponses > 0 {
+			t.lostResponses--
 			answer(cwfailover.RowUnknown)
 			return
 		}
@@ -256,41 +257,41 @@
 	}
 }
 
-// place decides about a read as a Group does.
-func (p *proxy) place(rd cwroute.Read) cwroute.Decision {
+// placeRead selects a member for a read in the same way as a Group.
+func (p *proxy) placeRead(rd cwroute.Read) cwroute.Decision {
 	var cands []cwroute.Candidate
-	v := p.sup.View()
-	for _, m := range p.w.members {
-		c := cwroute.Candidate{Member: m.id(), Load: p.w.rng.Float64()}
+	v := p.supervisor.View()
+	for _, m := range p.sim.members {
+		c := cwroute.Candidate{Member: m.id(), Load: p.sim.rng.Float64()}
 		if rep, ok := v.Report(m.id()); ok {
-			c.Age, c.AgeKnown = p.history.Age(rep.Applied, p.w.now)
+			c.Age, c.AgeKnown = p.history.Age(rep.Applied, p.sim.now)
 		}
 		if rd.Floor.Known {
-			c.CatchUp = p.lagging.CatchUp(m.id(), rd.Floor.Mark, p.w.now)
+			c.CatchUp = p.lagTracker.CatchUp(m.id(), rd.Floor.Mark, p.sim.now)
 		}
 		cands = append(cands, c)
 	}
-	if b := p.w.opts.waitReads; b > 0 {
-		return cwroute.Router[cwroute.BoundedWait]{Policy: cwroute.BoundedWait{Bound: b}}.Route(v, cands, rd, p.w.now)
+	if b := p.sim.options.replicaWait; b > 0 {
+		return cwroute.Router[cwroute.BoundedWait]{Policy: cwroute.BoundedWait{Bound: b}}.Route(v, cands, rd, p.sim.now)
 	}
-	return cwroute.Router[cwroute.PrimaryFallback]{}.Route(v, cands, rd, p.w.now)
+	return cwroute.Router[cwroute.PrimaryFallback]{}.Route(v, cands, rd, p.sim.now)
 }
 
-// tip asks every member for its status, and answers with the primary's position
-// once a majority has confirmed its term.
-func (p *proxy) tip(then func(cwgroup.LogPosition)) {
+// readPosition queries the status of every member, and calls then with the primary's log
+// position when a majority has confirmed the primary's term.
+func (p *proxy) readPosition(then func(cwgroup.LogPosition)) {
 	var answers []cwgroup.Status
 	done := false
-	for _, m := range p.w.members {
-		p.w.send(p.name, m.name, func() {
+	for _, m := range p.sim.members {
+		p.sim.send(p.name, m.name, func() {
 			m.do(func() {
 				s := m.status()
-				p.w.send(m.name, p.name, func() {
+				p.sim.send(m.name, p.name, func() {
 					p.do(func() {
 						answers = append(answers, s)
-						if mark, ok := cwgroup.ConfirmedPosition(answers, len(p.w.members)); ok && !done {
+						if position, ok := cwgroup.ConfirmedPosition(answers, len(p.sim.members)); ok && !done {
 							done = true
-							then(mark)
+							then(position)
 						}
 					})
 				})
--- a/internal/core/cwproof/seed_test.go
+++ b/internal/core/cwproof/seed_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain draws the same cases at each run, so that CI gives the same verdict.
-// To draw others, give -rapid.seed, and -rapid.checks for more.
+// TestMain sets a fixed seed, so that every run of CI tests the same cases. Use the flag
+// -rapid.seed to test others, and -rapid.checks to test more.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	given := false
