--- a/internal/wire/cwhandover/conn.go
+++ b/internal/wire/cwhandover/conn.go
@@ -66,7 +66,7 @@
 		case methodQuota:
 			return s.answerQuota(req)
 		}
-		return s.runStatement(bounded, req)
+		return s.answerPingOrStatement(bounded, req)
 	}
 	rpc := jsonrpc2.NewConn(ctx, jsonrpc2.NewPlainObjectStream(bounded), jsonrpc2.AsyncHandler(jsonrpc2.HandlerWithError(handle).SuppressErrClosed()))
 	defer func() { _ = rpc.Close() }()
@@ -76,7 +76,8 @@
 	}
 }
 
-func (s *Server) runStatement(from any, req *jsonrpc2.Request) (any, error) {
+// answerPingOrStatement handles a ping or a forwarded statement.
+func (s *Server) answerPingOrStatement(from any, req *jsonrpc2.Request) (any, error) {
 	switch {
 	case req.Method == methodPing:
 		return struct{}{}, nil
