--- a/internal/proxy/cwlead/order.go
+++ b/internal/proxy/cwlead/command.go
@@ -14,51 +14,50 @@
 	"cicadawalk.example/cicadawalk/internal/wire/cwplatform"
 )
 
-// Timeouts and intervals of orders.
+// Timeouts and intervals of commands.
 const (
-	// orderTimeout bounds one order to a member, the table or the platform.
-	orderTimeout = 500 * time.Millisecond
-	// busyRetryDelay is the wait before an order that a busy member refused is sent
+	// commandTimeout bounds one command to a member, the table or the platform.
+	commandTimeout = 500 * time.Millisecond
+	// busyRetryDelay is the wait before a command that a busy member refused is sent
 	// again: about the time of one or two statements in its queue.
 	busyRetryDelay = 15 * time.Millisecond
 )
 
-// executeOrder executes one order of the supervisor and returns the outcome as an
-// event.
-func (g *Group) executeOrder(ctx context.Context, o cwfailover.Command) cwfailover.Response {
-	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+// executeCommand executes one command of the supervisor and returns the response to it.
+func (g *Group) executeCommand(ctx context.Context, cmd cwfailover.Command) cwfailover.Response {
+	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
-	ev := cwfailover.Response{Kind: o.Kind, Member: o.Member, Claim: o.Claim}
-	// The process may have been suspended since the order was made, and another proxy
+	resp := cwfailover.Response{Kind: cmd.Kind, Member: cmd.Member, Claim: cmd.Claim}
+	// The process may have been suspended since the command was made, and another proxy
 	// may have taken over. The clock also counts the time of a suspension.
-	if g.cfg.Clock.Now().After(o.NotAfter) {
-		ev.Failed, ev.RowOutcome = true, cwfailover.RowUnavailable
-		g.cfg.Log.Warn("orderTooLate", "group", g.cfg.Service, "order", o.Kind, "target", o.Member, "term", o.Term, "claim", o.Claim)
-		return ev
+	if g.cfg.Clock.Now().After(cmd.NotAfter) {
+		resp.Failed, resp.RowOutcome = true, cwfailover.RowUnavailable
+		g.cfg.Log.Warn("orderTooLate", "group", g.cfg.Service, "order", cmd.Kind, "target", cmd.Member, "term", cmd.Term, "claim", cmd.Claim)
+		return resp
 	}
 	var err error
-	switch o.Kind {
+	switch cmd.Kind {
 	case cwfailover.WriteClaim, cwfailover.ReadClaim, cwfailover.RecordReplacedTerm, cwfailover.RecordPrimary:
-		ev.RowOutcome = g.executeRowOrder(ctx, o)
-		g.cfg.Log.Info("order", "group", g.cfg.Service, "order", o.Kind, "term", o.Term, "claim", o.Claim, "row", ev.RowOutcome)
-		return ev
+		resp.RowOutcome = g.executeRowCommand(ctx, cmd)
+		g.cfg.Log.Info("order", "group", g.cfg.Service, "order", cmd.Kind, "term", cmd.Term, "claim", cmd.Claim, "row", resp.RowOutcome)
+		return resp
 	case cwfailover.AdoptTerm:
-		ev.Status, err = g.adopt(o)
+		resp.Status, err = g.adopt(cmd)
 	case cwfailover.Promote:
-		err = g.promote(ctx, o)
+		err = g.promote(ctx, cmd)
 	default:
-		err = g.follow(o)
+		err = g.follow(cmd)
 	}
-	ev.Failed = err != nil
-	g.cfg.Log.Info("order", "group", g.cfg.Service, "order", o.Kind, "target", o.Member, "term", o.Term, "claim", o.Claim,
-		"position", ev.Status.Durable, "cause", err)
-	return ev
+	resp.Failed = err != nil
+	g.cfg.Log.Info("order", "group", g.cfg.Service, "order", cmd.Kind, "target", cmd.Member, "term", cmd.Term, "claim", cmd.Claim,
+		"position", resp.Status.Durable, "cause", err)
+	return resp
 }
 
-func (g *Group) executeRowOrder(ctx context.Context, o cwfailover.Command) cwfailover.RowOutcome {
+func (g *Group) executeRowCommand(ctx context.Context, cmd cwfailover.Command) cwfailover.RowOutcome {
 	claims := cwclaim.Store{Table: g.cfg.Table, Group: g.cfg.Service, Self: g.cfg.Self, MayClaim: g.mayClaim}
-	r := claims.Execute(ctx, o)
-	readsBack := o.Kind == cwfailover.ReadClaim || o.Kind == cwfailover.RecordReplacedTerm
+	r := claims.Execute(ctx, cmd)
+	readsBack := cmd.Kind == cwfailover.ReadClaim || cmd.Kind == cwfailover.RecordReplacedTerm
 	if !readsBack || r.Outcome != cwfailover.RowConfirmed {
 		return r.Outcome
 	}
@@ -70,7 +69,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.rowMayBeLost(g.cfg.Clock.Now()) {
-		g.cfg.Log.Warn("claimFromBeforeRestore", "group", g.cfg.Service, "term", o.Term, "claim", o.Claim)
+		g.cfg.Log.Warn("claimFromBeforeRestore", "group", g.cfg.Service, "term", cmd.Term, "claim", cmd.Claim)
 		return cwfailover.RowConflict
 	}
 	g.fencingToken = version
@@ -100,16 +99,16 @@
 	return g.sup.MayClaim(row, t, now)
 }
 
-// orderWithRetry sends an order to a member on the next free connection of its pool and
-// repeats it until orderTimeout while the member is busy.
-func (g *Group) orderWithRetry(id cwgroup.MemberID, f func(cwport.Target) (cwstatement.Health, error)) (cwstatement.Health, error) {
+// sendWithRetry sends a command, given by f, to a member on the next free connection of
+// its pool and repeats it until commandTimeout while the member is busy.
+func (g *Group) sendWithRetry(id cwgroup.MemberID, f func(cwport.Target) (cwstatement.Health, error)) (cwstatement.Health, error) {
 	m, ok := g.Member(id)
 	if !ok {
 		return cwstatement.Health{}, &cwport.RefusedError{Code: cwstatement.WrongTarget, Detail: "no longer listed"}
 	}
-	end := g.cfg.Clock.Now().Add(orderTimeout)
+	end := g.cfg.Clock.Now().Add(commandTimeout)
 	for {
-		h, err := g.orderOnce(m, f)
+		h, err := g.sendOnce(m, f)
 		var refused *cwport.RefusedError
 		busy := errors.As(err, &refused) && refused.Code == cwstatement.Busy
 		if !busy || !g.cfg.Clock.Now().Add(busyRetryDelay).Before(end) {
@@ -119,9 +118,9 @@
 	}
 }
 
-func (g *Group) orderOnce(m Member, f func(cwport.Target) (cwstatement.Health, error)) (cwstatement.Health, error) {
+func (g *Group) sendOnce(m Member, f func(cwport.Target) (cwstatement.Health, error)) (cwstatement.Health, error) {
 	var h cwstatement.Health
-	err := g.withConn(m, orderTimeout, func(t cwport.Target, sentAt time.Time) error {
+	err := g.withConn(m, commandTimeout, func(t cwport.Target, sentAt time.Time) error {
 		var err error
 		if h, err = f(t); err == nil {
 			g.observeHealth(m.ID, h, sentAt)
@@ -145,7 +144,7 @@
 	return max(t, g.term) + 1
 }
 
-// NotFencedError reports a member that accepted the order to fence but still receives
+// NotFencedError reports a member that accepted the command to fence but still receives
 // records of an earlier term.
 type NotFencedError struct{ Member cwgroup.MemberID }
 
@@ -153,9 +152,9 @@
 
 // adopt stops a member from receiving records of a primary of an earlier term: a
 // replica is fenced, a primary is demoted to a replica.
-func (g *Group) adopt(o cwfailover.Command) (cwgroup.Status, error) {
+func (g *Group) adopt(cmd cwfailover.Command) (cwgroup.Status, error) {
 	var before cwgroup.Term
-	h, err := g.orderWithRetry(o.Member, func(t cwport.Target) (cwstatement.Health, error) {
+	h, err := g.sendWithRetry(cmd.Member, func(t cwport.Target) (cwstatement.Health, error) {
 		h, err := t.Health()
 		if err != nil {
 			return h, err
@@ -166,31 +165,31 @@
 			return t.Demote(next)
 		}
 		if h, err = t.Fence(next); err == nil && h.FencedTerm < next {
-			return h, &NotFencedError{Member: o.Member}
+			return h, &NotFencedError{Member: cmd.Member}
 		}
 		return h, err
 	})
 	if err == nil {
-		err = g.checkFencedLog(o.Member, h.Received)
+		err = g.checkFencedLog(cmd.Member, h.Received)
 	}
 	if err != nil {
 		return cwgroup.Status{}, err
 	}
-	return cwgroup.Status{Member: o.Member, AdoptedTerm: o.Term, PriorTerm: before, Claim: o.Claim, Durable: h.Received}, nil
+	return cwgroup.Status{Member: cmd.Member, AdoptedTerm: cmd.Term, PriorTerm: before, Claim: cmd.Claim, Durable: h.Received}, nil
 }
 
-func (g *Group) promote(ctx context.Context, o cwfailover.Command) error {
+func (g *Group) promote(ctx context.Context, cmd cwfailover.Command) error {
 	g.mu.Lock()
 	fence := g.fencingToken
 	g.mu.Unlock()
 	err := g.cfg.Promoter.Promote(ctx, cwport.Promotion{
-		Service: g.cfg.Service, ID: o.Member, Holder: string(g.cfg.Self), Fence: fence,
+		Service: g.cfg.Service, ID: cmd.Member, Holder: string(g.cfg.Self), Fence: fence,
 	})
 	var unknown *cwplatform.UnknownError
 	if errors.As(err, &unknown) {
 		// The promotion may have taken effect. If it has, the new primary shows within
 		// promotionTimeout; until then no proxy promotes again.
-		g.cfg.Log.Warn("promotionUnknown", "group", g.cfg.Service, "target", o.Member, "cause", err)
+		g.cfg.Log.Warn("promotionUnknown", "group", g.cfg.Service, "target", cmd.Member, "cause", err)
 		return nil
 	}
 	return err
@@ -198,8 +197,8 @@
 
 // follow makes a member that doesn't follow the primary rejoin the group: a replaced
 // primary is demoted to a replica.
-func (g *Group) follow(o cwfailover.Command) error {
-	_, err := g.orderWithRetry(o.Member, func(t cwport.Target) (cwstatement.Health, error) {
+func (g *Group) follow(cmd cwfailover.Command) error {
+	_, err := g.sendWithRetry(cmd.Member, func(t cwport.Target) (cwstatement.Health, error) {
 		h, err := t.Health()
 		if err != nil {
 			return h, err
--- a/internal/proxy/cwlead/group.go
+++ b/internal/proxy/cwlead/group.go
@@ -98,7 +98,8 @@
 	// RemotePath tracks whether targets in other data centres answer. The groups of an
 	// instance share it; if it is nil, New creates one for this group alone.
 	RemotePath *RemotePath
-	// MinHolderInterval is the minimum time between changes of primary by two different holders.
+	// MinHolderInterval is the minimum time between changes of primary by two different
+	// holders.
 	MinHolderInterval time.Duration
 	// ClaimSeed makes claim ids unique; it must differ between processes.
 	ClaimSeed string
--- a/internal/proxy/cwlead/health.go
+++ b/internal/proxy/cwlead/health.go
@@ -147,9 +147,8 @@
 }
 
 // withConn runs f, with the time at which it starts, on a pooled connection with timeout
-// d. If f fails for any reason
-// other than a refusal by the target, the connection is closed and the member is
-// probed.
+// d. If f fails for any reason other than a refusal by the target, the connection is
+// closed and the member is probed.
 func (g *Group) withConn(m Member, d time.Duration, f func(t cwport.Target, sentAt time.Time) error) error {
 	c, err := m.Pool.AcquireFirst(context.Background(), g.cfg.Clock.Now().Add(d))
 	if err != nil {
--- a/internal/proxy/cwlead/loop.go
+++ b/internal/proxy/cwlead/loop.go
@@ -11,7 +11,7 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwfailover"
 )
 
-// SetRow passes in the group's row as read from the table.
+// SetRow records the group's row as read from the table.
 func (g *Group) SetRow(row cwfailover.Row) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -45,7 +45,7 @@
 	g.notify()
 }
 
-// Run runs the group's periodic work until ctx ends, then waits for the orders in
+// Run runs the group's periodic work until ctx ends, then waits for the commands in
 // progress.
 func (g *Group) Run(ctx context.Context) error {
 	eg, ctx := errgroup.WithContext(ctx)
@@ -117,7 +117,7 @@
 		ListedProxies: assumedWatchers, Rank: g.rank, RowTerm: g.row.Term,
 		OtherChangePending: g.promotionPending(now) || g.rowMayBeLost(now) || g.claimInProgress(now) && !g.sup.ChangingPrimary(),
 	}
-	orders := g.sup.Tick(now, c)
+	commands := g.sup.Tick(now, c)
 	result, ended := g.sup.TakeResult(now, c)
 	ask := g.membersToCheck(now)
 	g.mu.Unlock()
@@ -127,7 +127,7 @@
 	for _, m := range ask {
 		g.checkOrProbe(m)
 	}
-	g.dispatch(ctx, eg, orders)
+	g.dispatch(ctx, eg, commands)
 }
 
 // rankCount is the number of ranks that proxies have for a change of primary; the first
@@ -187,14 +187,14 @@
 	return ask
 }
 
-// dispatch executes orders, each in its own goroutine, and passes the results to the
-// supervisor, which may return further orders.
-func (g *Group) dispatch(ctx context.Context, eg *errgroup.Group, orders []cwfailover.Command) {
-	for _, o := range orders {
+// dispatch executes commands of the supervisor, each in its own goroutine, and passes
+// the responses to the supervisor, which may return further commands.
+func (g *Group) dispatch(ctx context.Context, eg *errgroup.Group, commands []cwfailover.Command) {
+	for _, cmd := range commands {
 		eg.Go(func() error {
-			ev := g.executeOrder(ctx, o)
+			resp := g.executeCommand(ctx, cmd)
 			g.mu.Lock()
-			next := g.sup.Handle(ev, g.cfg.Clock.Now())
+			next := g.sup.Handle(resp, g.cfg.Clock.Now())
 			g.mu.Unlock()
 			g.dispatch(ctx, eg, next)
 			return nil
--- a/internal/proxy/cwlead/observe.go
+++ b/internal/proxy/cwlead/observe.go
@@ -24,8 +24,8 @@
 	reportedAt   time.Time
 }
 
-// ObservePosition records the log position in a member's answer to a statement that was sent at
-// sentAt. byPrimary is true if only a primary gives such an answer.
+// ObservePosition records the log position in a member's answer to a statement that was
+// sent at sentAt. byPrimary is true if only a primary gives such an answer.
 func (g *Group) ObservePosition(id cwgroup.MemberID, m cwgroup.LogPosition, byPrimary bool, sentAt time.Time) {
 	if m == (cwgroup.LogPosition{}) {
 		return
@@ -92,8 +92,8 @@
 	}
 }
 
-// RecordNotPrimary records that a member refused a transaction that was sent at sentAt because
-// it is not the primary.
+// RecordNotPrimary records that a member refused a transaction that was sent at sentAt
+// because it is not the primary.
 func (g *Group) RecordNotPrimary(id cwgroup.MemberID, sentAt time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/proxy/cwlead/place.go
+++ b/internal/proxy/cwlead/place.go
@@ -20,8 +20,8 @@
 	Reason string
 	// RetryAfter is the expected time until the statement can be placed.
 	RetryAfter time.Duration
-	// MayServeElsewhere is true if the group may have a primary that is unreachable only from
-	// here, so that other instances may be able to serve the statement.
+	// MayServeElsewhere is true if the group may have a primary that is unreachable only
+	// from here, so that other instances may be able to serve the statement.
 	MayServeElsewhere bool
 }
 
@@ -32,13 +32,13 @@
 // Placement is the member at which a statement runs.
 type Placement struct {
 	Member
-	// Term is the primary's term as known when the place was chosen. Primary is true if
-	// the member is that primary.
+	// Term is the primary's term as known when the member was chosen. Primary is true
+	// if the member is that primary.
 	Term    cwgroup.Term
 	Primary bool
-	// Floor is the mark that the member's log must hold before it serves the read.
+	// Floor is the position that the member's log must reach before it serves the read.
 	Floor cwgroup.LogPosition
-	// Evidence describes why the place is fresh enough for the read.
+	// Evidence describes why the placement is fresh enough for the read.
 	Evidence Evidence
 }
 
@@ -88,8 +88,8 @@
 // The caller holds mu.
 func (g *Group) recordedPrimaryUnreachable() bool { return g.row.Done && g.unreachable[g.row.Primary] }
 
-// claimInProgress reports whether the row holds an unfinished claim that is still
-// within its life. The caller holds mu.
+// claimInProgress reports whether the row holds an unfinished claim that has not
+// expired. The caller holds mu.
 func (g *Group) claimInProgress(now time.Time) bool {
 	return !g.row.Done && now.Sub(g.rowSeenAt) < cwfailover.ClaimTTL
 }
@@ -172,15 +172,15 @@
 	ArrivedAt time.Time
 	// MaxAge is the maximum age of the data that the caller accepts.
 	MaxAge time.Duration
-	// LastWrite is the mark of the session's last write.
+	// LastWrite is the log position of the session's last write.
 	LastWrite cwgroup.LogPosition
 	// RefusedBy holds the members that refused the read.
 	RefusedBy []cwgroup.MemberID
 }
 
 // PlaceRead returns the member at which a read with a maximum age runs; it may be the
-// primary. The target itself enforces the age, since it waits until its log holds the
-// place's floor. The error is a *NoPrimaryError.
+// primary. The target itself enforces the age, since it waits until its log reaches the
+// placement's floor. The error is a *NoPrimaryError.
 func (g *Group) PlaceRead(ctx context.Context, rd Read, deadline time.Time) (Placement, error) {
 	for {
 		g.mu.Lock()
@@ -221,13 +221,13 @@
 	}
 }
 
-// readFloor returns the mark that a log must hold to serve the read. The last result is
-// false if no confirmed sample of the primary's log is recent enough. The caller holds
-// mu.
+// readFloor returns the position that a log must reach to serve the read. The last
+// result is false if no confirmed sample of the primary's log is recent enough. The
+// caller holds mu.
 //
-// A mark of an earlier term may lie on a branch that was rolled back, which no log will
-// hold again. Everything of that term that was kept lies below termStart, so such a
-// mark is replaced by termStart.
+// A position of an earlier term may lie on a branch that was rolled back, which no log
+// will hold again. Everything of that term that was kept lies below termStart, so such
+// a position is replaced by termStart.
 func (g *Group) readFloor(rd Read) (cwgroup.LogPosition, Evidence, bool) {
 	aged, at, ok := g.history.FirstSince(rd.ArrivedAt.Add(-rd.MaxAge))
 	if !ok || at.After(g.confirmedAt) {
@@ -244,7 +244,7 @@
 	return aged, evidence, true
 }
 
-// newEvidence returns the evidence for a place chosen now. The caller holds mu.
+// newEvidence returns the evidence for a placement chosen now. The caller holds mu.
 func (g *Group) newEvidence(b Basis, complete time.Time) Evidence {
 	v := g.sup.View()
 	p, _ := v.Primary()
@@ -275,7 +275,7 @@
 	return Placement{Member: *g.members[o.Member], Term: primary.AdoptedTerm, Primary: o.Member == primary.Member, Floor: floor}, true
 }
 
-// catchUp returns the expected time until a member's data holds the floor. The caller
+// catchUp returns the expected time until a member's data reaches the floor. The caller
 // holds mu.
 func (g *Group) catchUp(rep cwgroup.Report, leads bool, floor cwgroup.LogPosition, now time.Time) time.Duration {
 	if leads || !rep.At.IsZero() && rep.Applied.AtLeast(floor) {
--- a/internal/proxy/cwlead/quorum.go
+++ b/internal/proxy/cwlead/quorum.go
@@ -8,7 +8,7 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwroute"
 )
 
-// quorumFloor returns the mark that a log must hold to serve the read, from the
+// quorumFloor returns the position that a log must reach to serve the read, from the
 // positions of the members other than the primary. The second result is false if too
 // few of them have answered since the time that the read needs, or if one of them leads
 // or has restarted. The caller holds mu.
--- a/internal/proxy/cwlead/reachability.go
+++ b/internal/proxy/cwlead/reachability.go
@@ -20,14 +20,15 @@
 	reachabilityKnownAfter = healthTimeout + 2*activeTick
 )
 
-// MajorityUnreachable reports whether fewer than a majority of the members can be reached from here.
+// MajorityUnreachable reports whether fewer than a majority of the members can be
+// reached from here.
 func (g *Group) MajorityUnreachable() bool { return g.majorityUnreachable.Load() }
 
-// RecordUnserved records that holders that are cut off forwarded a statement, and that it
-// could not be served here either.
+// RecordUnserved records that holders that are cut off forwarded a statement, and that
+// it could not be served here either.
 //
 // When a data centre is cut off by packet loss, its holders know after a second. The
-// instances that hand statements to them would each have to find out for every group,
+// instances that forward statements to them would each have to find out for every group,
 // over paths that they have not used, and the last ones would report it only when the
 // cut is over. The balancer keeps using the whole data centre until all of its
 // instances report it.
@@ -44,8 +45,8 @@
 	return g.cfg.Clock.Now().Sub(g.lastUnservedAt) < unservedWindow
 }
 
-// ServedElsewhere reports whether other instances are likely to serve the group while this
-// one refuses its statements.
+// ServedElsewhere reports whether other instances are likely to serve the group while
+// this one refuses its statements.
 //
 // When a primary and some instances are cut off from the rest, the rest replaces the
 // primary. These instances refuse every statement for the group as long as the cut
@@ -120,8 +121,8 @@
 	g.majorityAnswering.Store(answering >= majority)
 }
 
-// ReachabilityKnown reports whether the group is in use, and has been for long enough to know which
-// members can be reached.
+// ReachabilityKnown reports whether the group is in use, and has been for long enough to
+// know which members can be reached.
 func (g *Group) ReachabilityKnown() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/proxy/cwlead/reachability_test.go
+++ b/internal/proxy/cwlead/reachability_test.go
@@ -38,7 +38,7 @@
 	b.t.Fatal("the row was not read")
 }
 
-// assertServedElsewhere waits until Overtaken returns want.
+// assertServedElsewhere waits until ServedElsewhere returns want.
 func (b *testGroup) assertServedElsewhere(want bool) {
 	b.t.Helper()
 	for range 400 {
--- a/internal/proxy/cwlead/readlog.go
+++ b/internal/proxy/cwlead/readlog.go
@@ -19,7 +19,7 @@
 	BasisMembers Basis = "members"
 )
 
-// Evidence describes, for logs, why a place is fresh enough for a read.
+// Evidence describes, for logs, why a placement is fresh enough for a read.
 type Evidence struct {
 	// Basis is the kind of evidence.
 	Basis Basis
@@ -28,7 +28,7 @@
 	// ConfirmedAt is when a majority was last known to follow it.
 	ConfirmedAt time.Time
 	// CompleteAt is a time before which everything acknowledged is at or below the
-	// place's floor.
+	// placement's floor.
 	CompleteAt time.Time
 	// GroupSize is the size of the group at the time.
 	GroupSize int
@@ -54,8 +54,9 @@
 	suppressed int
 }
 
-// LogRead records that a read ran at a place. It logs one line a second for each member
-// and basis, and one at once if the leader or its term has changed.
+// LogRead logs that the read with the given id ran at placement p. It logs one line a
+// second for each member and basis, and one at once if the leader or its term has
+// changed.
 func (g *Group) LogRead(id string, p Placement) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/proxy/cwlead/remotepath.go
+++ b/internal/proxy/cwlead/remotepath.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// RemotePath tracks whether any target in other data centres answers this instance, over all
-// groups. The zero RemotePath suspects nothing.
+// RemotePath tracks whether any target in other data centres answers this instance, over
+// all groups. The zero RemotePath suspects nothing.
 //
 // When a data centre is cut off, each group on its own would find out only once one of
 // its statements has timed out at each of its members in turn. The last group would do
--- a/internal/proxy/cwlead/replaced_test.go
+++ b/internal/proxy/cwlead/replaced_test.go
@@ -15,7 +15,7 @@
 )
 
 // reportHealthAt lets a member answer a health check sent now, one millisecond later,
-// with its log at the given mark.
+// with its log at the given position.
 func (b *testGroup) reportHealthAt(id cwgroup.MemberID, role cwgroup.Role, term cwgroup.Term, received cwgroup.LogPosition) {
 	asked := b.clock.Now()
 	b.clock.Advance(time.Millisecond)
--- a/internal/proxy/cwlead/restart.go
+++ b/internal/proxy/cwlead/restart.go
@@ -33,13 +33,13 @@
 	// fenceUnchecked is true until the group's row, read after detectedAt, shows no
 	// change of primary for which the member may have been fenced.
 	fenceUnchecked bool
-	// requiredMark is the log position that the member must reach again: that of the
+	// requiredPosition is the log position that the member must reach again: that of the
 	// primary at the restart. It is zero once the member has reached it.
-	requiredMark cwgroup.LogPosition
+	requiredPosition cwgroup.LogPosition
 }
 
-// MissingRecordsError reports a restarted member whose log lacks records that it may have had
-// before.
+// MissingRecordsError reports a restarted member whose log lacks records that it may
+// have had before.
 type MissingRecordsError struct {
 	Member cwgroup.MemberID
 	// End is the end of its log, Required the position that it must reach.
@@ -66,11 +66,11 @@
 // has reached the position of the primary.
 func (g *Group) recordRestart(id cwgroup.MemberID, reason string) {
 	now := g.cfg.Clock.Now()
-	rs := restart{detectedAt: now, fenceUnchecked: true, requiredMark: g.restarts[id].requiredMark}
-	if p, ok := g.sup.View().Primary(); ok && p.Durable.AtLeast(rs.requiredMark) {
-		rs.requiredMark = p.Durable
+	rs := restart{detectedAt: now, fenceUnchecked: true, requiredPosition: g.restarts[id].requiredPosition}
+	if p, ok := g.sup.View().Primary(); ok && p.Durable.AtLeast(rs.requiredPosition) {
+		rs.requiredPosition = p.Durable
 	}
-	g.cfg.Log.Warn("targetRestarted", "group", g.cfg.Service, "target", id, "why", reason, "owed", rs.requiredMark)
+	g.cfg.Log.Warn("targetRestarted", "group", g.cfg.Service, "target", id, "why", reason, "owed", rs.requiredPosition)
 	g.restarts[id] = rs
 	g.confirmedAt = time.Time{}
 	g.logProgress[id] = &logProgress{}
@@ -111,11 +111,11 @@
 	if r.At.Before(rs.detectedAt) {
 		return r, false
 	}
-	if r.Durable.AtLeast(rs.requiredMark) {
-		rs.requiredMark = cwgroup.LogPosition{}
+	if r.Durable.AtLeast(rs.requiredPosition) {
+		rs.requiredPosition = cwgroup.LogPosition{}
 		g.restarts[r.Member] = rs
 	}
-	incomplete := rs.requiredMark != cwgroup.LogPosition{}
+	incomplete := rs.requiredPosition != cwgroup.LogPosition{}
 	switch {
 	case r.Role == cwgroup.RolePrimary && rs.fenceUnchecked:
 		return r, false
@@ -169,18 +169,18 @@
 	return true
 }
 
-// checkFencedLog returns an *MissingRecordsError if a fenced member restarted and lacks earlier
-// records, unless it has lacked them for missingRecordsTimeout.
+// checkFencedLog returns a *MissingRecordsError if a fenced member restarted and lacks
+// earlier records, unless it has lacked them for missingRecordsTimeout.
 func (g *Group) checkFencedLog(id cwgroup.MemberID, received cwgroup.LogPosition) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	rs, ok := g.restarts[id]
-	if !ok || received.AtLeast(rs.requiredMark) {
+	if !ok || received.AtLeast(rs.requiredPosition) {
 		return nil
 	}
 	if waited := g.cfg.Clock.Since(rs.detectedAt); waited >= missingRecordsTimeout {
-		g.cfg.Log.Warn("emptyMemberCounts", "group", g.cfg.Service, "target", id, "has", received, "owed", rs.requiredMark, "waitedMs", waited.Milliseconds())
+		g.cfg.Log.Warn("emptyMemberCounts", "group", g.cfg.Service, "target", id, "has", received, "owed", rs.requiredPosition, "waitedMs", waited.Milliseconds())
 		return nil
 	}
-	return &MissingRecordsError{Member: id, End: received, Required: rs.requiredMark}
+	return &MissingRecordsError{Member: id, End: received, Required: rs.requiredPosition}
 }
--- a/internal/proxy/cwlead/restore_test.go
+++ b/internal/proxy/cwlead/restore_test.go
@@ -116,11 +116,11 @@
 	const mine = `{"term":2,"claim":"x-1","keeper":"x"}`
 	b, table := newRestorableGroup(t, mine)
 	readBack := cwfailover.Command{Kind: cwfailover.ReadClaim, Term: 2, Claim: "x-1"}
-	qt.Assert(t, b.executeRowOrder(context.Background(), readBack), qt.Equals, cwfailover.RowConfirmed)
+	qt.Assert(t, b.executeRowCommand(context.Background(), readBack), qt.Equals, cwfailover.RowConfirmed)
 	table.restore([]byte(mine))
-	qt.Assert(t, b.executeRowOrder(context.Background(), readBack), qt.Equals, cwfailover.RowConflict)
+	qt.Assert(t, b.executeRowCommand(context.Background(), readBack), qt.Equals, cwfailover.RowConflict)
 	b.observeRestore(table)
-	qt.Assert(t, b.executeRowOrder(context.Background(), readBack), qt.Equals, cwfailover.RowConflict)
+	qt.Assert(t, b.executeRowCommand(context.Background(), readBack), qt.Equals, cwfailover.RowConflict)
 }
 
 // Guards against stale reads from a member that forgot its fence, when the row that
