--- a/internal/proxy/cwmembers/members.go
+++ b/internal/proxy/cwmembers/members.go
@@ -61,12 +61,12 @@
 	// Counted returns the members of each group, by service; nil while the store
 	// doesn't report which targets exist.
 	Counted func() map[string]Count
-	// HolderRank returns this instance's rank among the holders of a group, and false if it
-	// doesn't hold the group. A negative rank counts as the first, 0.
+	// HolderRank returns this instance's rank among the holders of a group, and false if
+	// it doesn't hold the group. A negative rank counts as the first, 0.
 	HolderRank func(service string) (int, bool)
-	// GroupCount returns the number of groups, held or not. Record calls GroupCount, Counted
-	// and Place without holding its lock, because their implementations may call
-	// methods of Record.
+	// GroupCount returns the number of groups, held or not. The Recorder calls
+	// GroupCount, Counted and HolderRank without holding its lock, because their
+	// implementations may call methods of the Recorder.
 	GroupCount func() int
 
 	mu   sync.Mutex
@@ -97,8 +97,8 @@
 	unreadable bool
 }
 
-// ObserveRows passes in rows of the table that belong to this product. whole is true if these
-// are all of them.
+// ObserveRows records rows of the table that belong to this product. whole is true if
+// these are all of them.
 func (r *Recorder) ObserveRows(rows []cwport.Row, whole bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -243,7 +243,7 @@
 }
 
 // writeRow writes a group's row. If another instance was first, or if the answer is
-// lost, the actual row arrives with the next rows passed to Rows.
+// lost, the actual row arrives with the next rows passed to ObserveRows.
 func (r *Recorder) writeRow(ctx context.Context, service string, c Count, tag string) {
 	value, err := encode(c)
 	if err != nil {
--- a/internal/proxy/cwmembers/members_test.go
+++ b/internal/proxy/cwmembers/members_test.go
@@ -18,14 +18,14 @@
 	"cicadawalk.example/cicadawalk/internal/wire/cwplatform"
 )
 
-// fakeTable is the platform's table with one row, which it passes to every record when
-// it changes.
+// fakeTable is the platform's table with one row, which it passes to every Recorder
+// when it changes.
 type fakeTable struct {
 	mu          sync.Mutex
 	row         cwport.Row
 	writes      int
 	unavailable bool
-	records     []*Recorder
+	recorders   []*Recorder
 }
 
 func (s *fakeTable) Get(context.Context, string) (cwplatform.Row, error) {
@@ -45,7 +45,7 @@
 	}
 	s.writes++
 	s.row = cwport.Row{Key: c.Put[0].Key, Value: c.Put[0].Value, Version: s.row.Version + 1}
-	for _, r := range s.records {
+	for _, r := range s.recorders {
 		r.ObserveRows([]cwport.Row{s.row}, false)
 	}
 	return nil
@@ -83,9 +83,9 @@
 	return map[string]Count{"s": {Members: c.members, StableSize: len(c.members)}}
 }
 
-// runRecords runs the records of instances that hold the group at the given ranks,
+// runRecorders runs the Recorders of instances that hold the group at the given ranks,
 // negative for none, while f runs.
-func runRecords(t *testing.T, f func(c *qt.C, s *fakeTable, all []*countedMembers), ranks ...int) {
+func runRecorders(t *testing.T, f func(c *qt.C, s *fakeTable, all []*countedMembers), ranks ...int) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		s := &fakeTable{}
@@ -102,7 +102,7 @@
 				HolderRank: func(string) (int, bool) { return rank, rank >= 0 }, GroupCount: func() int { return 1 },
 			}
 			r.ObserveRows(nil, true)
-			s.records, all = append(s.records, r), append(all, n)
+			s.recorders, all = append(s.recorders, r), append(all, n)
 			wg.Go(func() { c.Check(r.Run(ctx), qt.IsNil) })
 		}
 		f(c, s, all)
@@ -118,51 +118,51 @@
 
 func TestRecorder(t *testing.T) {
 	t.Run("counted members are written once and read back unchanged", func(t *testing.T) {
-		runRecords(t, func(c *qt.C, s *fakeTable, all []*countedMembers) {
+		runRecorders(t, func(c *qt.C, s *fakeTable, all []*countedMembers) {
 			time.Sleep(time.Minute)
 			c.Assert(s.writes, qt.Equals, 1)
-			c.Assert(sortedByID(s.records[2].RecordedMembers()), qt.DeepEquals, all[0].get()["s"].Members)
+			c.Assert(sortedByID(s.recorders[2].RecordedMembers()), qt.DeepEquals, all[0].get()["s"].Members)
 		}, 0, 1, -1)
 	})
 	t.Run("a member is added and another removed", func(t *testing.T) {
-		runRecords(t, func(c *qt.C, s *fakeTable, all []*countedMembers) {
+		runRecorders(t, func(c *qt.C, s *fakeTable, all []*countedMembers) {
 			time.Sleep(5 * time.Second)
 			for _, n := range all {
 				n.set("a", "c", "d")
 			}
 			time.Sleep(3 * time.Second)
-			c.Assert(rememberedIDs(s.records[1]), qt.DeepEquals, []string{"a", "c", "d"})
+			c.Assert(rememberedIDs(s.recorders[1]), qt.DeepEquals, []string{"a", "c", "d"})
 			c.Assert(s.writes, qt.Equals, 2)
 		}, 0, 1)
 	})
 	// The first holder is gone for good, but its row in the list of instances remains,
 	// so that it keeps its rank.
 	t.Run("the first holder is lost", func(t *testing.T) {
-		runRecords(t, func(c *qt.C, s *fakeTable, _ []*countedMembers) {
+		runRecorders(t, func(c *qt.C, s *fakeTable, _ []*countedMembers) {
 			time.Sleep(8 * time.Second)
-			c.Assert(rememberedIDs(s.records[0]), qt.DeepEquals, []string{"a", "b", "c"})
+			c.Assert(rememberedIDs(s.recorders[0]), qt.DeepEquals, []string{"a", "b", "c"})
 		}, 1, 2)
 	})
 	t.Run("an instance without news from the store writes nothing", func(t *testing.T) {
-		runRecords(t, func(c *qt.C, s *fakeTable, all []*countedMembers) {
+		runRecorders(t, func(c *qt.C, s *fakeTable, all []*countedMembers) {
 			time.Sleep(5 * time.Second)
 			all[0].set()
 			time.Sleep(time.Minute)
-			c.Assert(rememberedIDs(s.records[0]), qt.DeepEquals, []string{"a", "b", "c"})
+			c.Assert(rememberedIDs(s.recorders[0]), qt.DeepEquals, []string{"a", "b", "c"})
 		}, 0)
 	})
 	t.Run("a holder that knows more members does not wait for its rank", func(t *testing.T) {
-		runRecords(t, func(c *qt.C, s *fakeTable, all []*countedMembers) {
+		runRecorders(t, func(c *qt.C, s *fakeTable, all []*countedMembers) {
 			all[0].set("a")
 			time.Sleep(1500 * time.Millisecond)
 			all[0].set()
 			time.Sleep(time.Second)
-			c.Assert(rememberedIDs(s.records[2]), qt.DeepEquals, []string{"a", "b", "c"})
-			c.Assert(s.records[2].RecordedSize("s"), qt.Equals, 3)
+			c.Assert(rememberedIDs(s.recorders[2]), qt.DeepEquals, []string{"a", "b", "c"})
+			c.Assert(s.recorders[2].RecordedSize("s"), qt.Equals, 3)
 		}, 0, 1, 2)
 	})
 	t.Run("a failed write is repeated", func(t *testing.T) {
-		runRecords(t, func(c *qt.C, s *fakeTable, _ []*countedMembers) {
+		runRecorders(t, func(c *qt.C, s *fakeTable, _ []*countedMembers) {
 			s.setUnavailable(true)
 			time.Sleep(5 * time.Second)
 			s.setUnavailable(false)
@@ -171,16 +171,16 @@
 		}, 0)
 	})
 	t.Run("an unreadable row keeps the known members and is rewritten", func(t *testing.T) {
-		runRecords(t, func(c *qt.C, s *fakeTable, _ []*countedMembers) {
+		runRecorders(t, func(c *qt.C, s *fakeTable, _ []*countedMembers) {
 			time.Sleep(5 * time.Second)
 			s.mu.Lock()
 			s.row = cwport.Row{Key: KeyPrefix + "s", Value: []byte("?"), Version: 9}
-			s.records[0].ObserveRows([]cwport.Row{s.row}, false)
+			s.recorders[0].ObserveRows([]cwport.Row{s.row}, false)
 			s.mu.Unlock()
-			c.Assert(rememberedIDs(s.records[0]), qt.DeepEquals, []string{"a", "b", "c"})
+			c.Assert(rememberedIDs(s.recorders[0]), qt.DeepEquals, []string{"a", "b", "c"})
 			time.Sleep(3 * time.Second)
 			c.Assert(s.writes, qt.Equals, 2)
-			c.Assert(rememberedIDs(s.records[0]), qt.DeepEquals, []string{"a", "b", "c"})
+			c.Assert(rememberedIDs(s.recorders[0]), qt.DeepEquals, []string{"a", "b", "c"})
 		}, 0)
 	})
 }
@@ -199,7 +199,7 @@
 	qt.Assert(t, firstRowDelay("ledger0000", 3) < 3*firstRowSpacing, qt.IsTrue)
 }
 
-// Guards against a deadlock between the record and an engine that calls it from a
+// Guards against a deadlock between the Recorder and an engine that calls it from a
 // callback.
 func TestCallbacksRunWithoutTheLock(t *testing.T) {
 	r := &Recorder{Clock: clockwork.NewRealClock(), Log: log.New(io.Discard)}
@@ -215,7 +215,7 @@
 	select {
 	case <-done:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the record deadlocks with its callback")
+		t.Fatal("the Recorder deadlocks with its callback")
 	}
 }
 
