--- a/internal/proxy/cwwatch/command.go
+++ b/internal/proxy/cwwatch/command.go
@@ -13,17 +13,17 @@
 	"cicadawalk.example/cicadawalk/internal/wire/cwtarget"
 )
 
-// orderTimeout bounds one order to a member, including its answer.
-const orderTimeout = 500 * time.Millisecond
+// commandTimeout bounds one command to a member, including its answer.
+const commandTimeout = 500 * time.Millisecond
 
-// dispatch executes orders, each in its own goroutine, and passes the results to the
-// supervisor, which may return further orders.
-func (g *Group) dispatch(ctx context.Context, eg *errgroup.Group, orders []cwfailover.Command) {
-	for _, o := range orders {
+// dispatch executes commands of the supervisor, each in its own goroutine, and passes
+// the responses to the supervisor, which may return further commands.
+func (g *Group) dispatch(ctx context.Context, eg *errgroup.Group, commands []cwfailover.Command) {
+	for _, cmd := range commands {
 		eg.Go(func() error {
-			ev := g.executeOrder(ctx, o)
+			resp := g.executeCommand(ctx, cmd)
 			g.mu.Lock()
-			next := g.sup.Handle(ev, g.cfg.Clock.Now())
+			next := g.sup.Handle(resp, g.cfg.Clock.Now())
 			g.mu.Unlock()
 			g.dispatch(ctx, eg, next)
 			return nil
@@ -45,28 +45,27 @@
 		fmt.Sprintf("%s term %d", r.OldPrimary.Member, r.OldPrimary.AdoptedTerm), fmt.Sprintf("%s term %d", r.NewPrimary, r.Plan.Term))
 }
 
-// executeOrder executes one order of the supervisor and returns the outcome as an
-// event.
-func (g *Group) executeOrder(ctx context.Context, o cwfailover.Command) cwfailover.Response {
-	ev := cwfailover.Response{Kind: o.Kind, Member: o.Member, Claim: o.Claim}
-	// The process may have been paused since the order was made. The clock is
+// executeCommand executes one command of the supervisor and returns the response to it.
+func (g *Group) executeCommand(ctx context.Context, cmd cwfailover.Command) cwfailover.Response {
+	resp := cwfailover.Response{Kind: cmd.Kind, Member: cmd.Member, Claim: cmd.Claim}
+	// The process may have been paused since the command was made. The clock is
 	// monotonic; after NotAfter another proxy may have taken over.
-	if g.cfg.Clock.Now().After(o.NotAfter) {
-		ev.Failed, ev.RowOutcome = true, cwfailover.RowUnavailable
-		return ev
+	if g.cfg.Clock.Now().After(cmd.NotAfter) {
+		resp.Failed, resp.RowOutcome = true, cwfailover.RowUnavailable
+		return resp
 	}
-	switch o.Kind {
+	switch cmd.Kind {
 	case cwfailover.WriteClaim, cwfailover.ReadClaim, cwfailover.RecordReplacedTerm, cwfailover.RecordPrimary:
-		ev.RowOutcome = g.claims().Execute(ctx, o).Outcome
-		return ev
+		resp.RowOutcome = g.claims().Execute(ctx, cmd).Outcome
+		return resp
 	}
-	r, err := g.sendMemberOrder(ctx, o)
+	r, err := g.sendMemberCommand(ctx, cmd)
 	if err != nil {
-		ev.Failed = true
-		return ev
+		resp.Failed = true
+		return resp
 	}
-	ev.Status = r.Status
-	return ev
+	resp.Status = r.Status
+	return resp
 }
 
 func (g *Group) claims() cwclaim.Store {
@@ -80,18 +79,18 @@
 	return g.sup.MayClaim(row, t, g.cfg.Clock.Now())
 }
 
-// sendMemberOrder sends an order to a member over its feed and returns its report.
-func (g *Group) sendMemberOrder(ctx context.Context, o cwfailover.Command) (cwtarget.Report, error) {
-	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+// sendMemberCommand sends a command to a member over its feed and returns its report.
+func (g *Group) sendMemberCommand(ctx context.Context, cmd cwfailover.Command) (cwtarget.Report, error) {
+	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
-	feed := g.feeds[o.Member]
-	switch o.Kind {
+	feed := g.feeds[cmd.Member]
+	switch cmd.Kind {
 	case cwfailover.AdoptTerm:
-		return feed.Adopt(ctx, o.Term, o.Claim)
+		return feed.Adopt(ctx, cmd.Term, cmd.Claim)
 	case cwfailover.Promote:
-		return feed.Promote(ctx, o.Term, o.Claim)
+		return feed.Promote(ctx, cmd.Term, cmd.Claim)
 	default:
-		t, _ := g.cfg.Group.Target(o.Primary)
-		return feed.Follow(ctx, o.Term, o.Claim, o.Primary, t.Address)
+		t, _ := g.cfg.Group.Target(cmd.Primary)
+		return feed.Follow(ctx, cmd.Term, cmd.Claim, cmd.Primary, t.Address)
 	}
 }
--- a/internal/proxy/cwwatch/group.go
+++ b/internal/proxy/cwwatch/group.go
@@ -4,7 +4,7 @@
 // A Group owns a feed to each member and combines the reports of the feeds into a View.
 // The view determines where reads are placed, when writes are acknowledged, and whether
 // the primary is to be replaced. The decisions are made by the core packages; this
-// package supplies events, the clock and a lock, and carries out their orders.
+// package supplies events, the clock and a lock, and executes their commands.
 package cwwatch
 
 import (
@@ -164,7 +164,7 @@
 	c.MembersCheckTerm, c.WithoutTable = g.contract.ChecksTerm, g.contract.FailoverWithoutTable
 	g.tracker.Update(g.sup.View(), now)
 	g.measureGap(now)
-	orders := g.sup.Tick(now, c)
+	commands := g.sup.Tick(now, c)
 	result, ended := g.sup.TakeResult(now, c)
 	if ended {
 		g.notify()
@@ -173,11 +173,11 @@
 	if ended {
 		g.recordResult(result)
 	}
-	g.dispatch(ctx, eg, orders)
+	g.dispatch(ctx, eg, commands)
 }
 
-// conditions returns what is known of the other watchers. It calls Watchers without
-// holding the group's lock.
+// conditions returns what is known of the other watchers. It calls Config.Watchers
+// without holding the group's lock.
 func (g *Group) conditions() cwfailover.TickInputs {
 	live := g.cfg.Watchers.Live()
 	if !g.cachedRank.validFor(live) {
@@ -302,7 +302,8 @@
 	}
 }
 
-// TakeFailoverGaps returns the durations of the failover gaps that ended since the last call.
+// TakeFailoverGaps returns the durations of the failover gaps that ended since the last
+// call.
 func (g *Group) TakeFailoverGaps() []time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/proxy/cwwatch/place.go
+++ b/internal/proxy/cwwatch/place.go
@@ -34,14 +34,14 @@
 
 // positionAnswer is the result of one query, valid once done is closed.
 type positionAnswer struct {
-	done chan struct{}
-	mark cwgroup.LogPosition
-	err  error
+	done     chan struct{}
+	position cwgroup.LogPosition
+	err      error
 }
 
-// PrimaryPosition returns the primary's position at some moment after the call at which it was
-// certainly still the primary. The error is a refusal: no primary could be confirmed,
-// or ctx ended.
+// PrimaryPosition returns the primary's position at some moment after the call at which
+// it was certainly still the primary. The error is a refusal: no primary could be
+// confirmed, or ctx ended.
 func (g *Group) PrimaryPosition(ctx context.Context) (cwgroup.LogPosition, error) {
 	g.mu.Lock()
 	if g.positionQuery.next == nil {
@@ -55,7 +55,7 @@
 	g.mu.Unlock()
 	select {
 	case <-answer.done:
-		return answer.mark, answer.err
+		return answer.position, answer.err
 	case <-ctx.Done():
 		return cwgroup.LogPosition{}, noPrimary()
 	}
@@ -73,7 +73,7 @@
 			return
 		}
 		g.mu.Unlock()
-		a.mark, a.err = g.queryPosition()
+		a.position, a.err = g.queryPosition()
 		close(a.done)
 	}
 }
@@ -261,9 +261,9 @@
 	return <-done
 }
 
-// observeCommit treats the mark that the primary returned with a commit as a report,
-// since it is the earliest information about the primary's position. The caller holds
-// mu.
+// observeCommit treats the position that the primary returned with a commit as a
+// report, since it is the earliest information about the primary's position. The caller
+// holds mu.
 func (g *Group) observeCommit(m cwgroup.LogPosition, now time.Time) {
 	p, ok := g.sup.View().Primary()
 	if !ok || p.AdoptedTerm != m.Term || p.Durable.AtLeast(m) {
