--- a/internal/proxy/cwengine/access.go
+++ b/internal/proxy/cwengine/access.go
@@ -9,9 +9,9 @@
 
 // Limits of the use of keys.
 const (
-	// keyBoundPercent is the percentage of Config.KeyRevocationBound that the desired state
-	// may reach in age while callers with keys are still served. The rest allows for
-	// a local clock that runs slower than the store's.
+	// keyBoundPercent is the percentage of Config.KeyRevocationBound that the desired
+	// state may reach in age while callers with keys are still served. The rest allows
+	// for a local clock that runs slower than the store's.
 	keyBoundPercent = 90
 	// staleKeysRetryAfter is the retry delay for callers whose key cannot be checked:
 	// an unavailable store is asked twice a second.
@@ -96,8 +96,8 @@
 }
 
 // workspaceOf returns the workspace of a caller of an entry, or the answer that
-// refuses the caller. The statement arrived at the given time. Public entries and catalogues
-// without keys need no key; the workspace is empty then.
+// refuses the caller. The statement arrived at the given time. Public entries and
+// catalogues without keys need no key; the workspace is empty then.
 func (e *Engine) workspaceOf(entry cwcatalogue.Entry, key cwcatalogue.KeyDigest, arrived time.Time) (string, cwstatement.Response) {
 	// The age is read before the keys: whatever had been confirmed by then is in
 	// force now.
--- a/internal/proxy/cwengine/engine.go
+++ b/internal/proxy/cwengine/engine.go
@@ -58,7 +58,8 @@
 	Log   *log.Logger
 	// NewGroup creates the group of a service.
 	NewGroup func(service string) *cwlead.Group
-	// GracePeriod is the time between the start of a shutdown and the exit of the process.
+	// GracePeriod is the time between the start of a shutdown and the exit of the
+	// process.
 	GracePeriod time.Duration
 	// Metrics may be nil; New creates metrics then.
 	Metrics *Metrics
@@ -70,12 +71,12 @@
 	// Holders tells which instances hold a group. If it is nil, this instance holds
 	// all groups.
 	Holders cwport.Holders
-	// Path is the connectivity state that all groups share; if it is nil, New
-	// creates one.
+	// Path tracks whether targets in other data centres answer. All groups share it;
+	// if it is nil, New creates one.
 	Path *cwlead.RemotePath
-	// KeyRevocationBound is the time within which a revoked key must be out of use; zero
-	// means no bound. Confirmed returns a time at which the store certainly had
-	// nothing newer than the catalogue in force.
+	// KeyRevocationBound is the time within which a revoked key must be out of use;
+	// zero means no bound. CatalogueConfirmedAt returns a time at which the store
+	// certainly had nothing newer than the catalogue in force.
 	KeyRevocationBound   time.Duration
 	CatalogueConfirmedAt func() time.Time
 	// RecordedSize returns the size of a service's group according to the stored row
@@ -119,8 +120,8 @@
 	// plans has an entry for every group in the catalogue, running or not.
 	plans    map[string]*groupPlan
 	sessions map[*session]struct{}
-	// forwardedTransactions has the open transactions that other instances forwarded here,
-	// by name.
+	// forwardedTransactions has the open transactions that other instances forwarded
+	// here, by name.
 	forwardedTransactions map[string]*forwardedTransaction
 
 	// catalogueLoaded is closed when the first catalogue is in force, and
@@ -166,8 +167,8 @@
 // a list of targets, is not shutting down, can check keys, is not isolated, and does
 // not suspect its network path to other data centres.
 func (e *Engine) Ready() bool {
-	// Confirmed may need a lock that is held while ChangeListings waits for e.mu, so
-	// it is called before e.mu is locked.
+	// CatalogueConfirmedAt may need a lock that is held while ChangeListings waits
+	// for e.mu, so it is called before e.mu is locked.
 	stale := e.keysStale(e.cfg.Clock.Now())
 	e.mu.RLock()
 	defer e.mu.RUnlock()
@@ -220,8 +221,8 @@
 	e.updateGroups()
 }
 
-// ChangeListings applies changes to the list of targets: listed are new or changed
-// ones, removed are those that are no longer listed.
+// ChangeListings applies changes to the list of targets: listed are the new or changed
+// targets, removed are those that are no longer listed.
 //
 // With a thousand groups, some target changes every few moments. Therefore only the
 // groups of the changed targets are updated.
--- a/internal/proxy/cwengine/handover_test.go
+++ b/internal/proxy/cwengine/forward_test.go
@@ -44,8 +44,8 @@
 
 func (h *testHolder) Name() string { return h.name }
 
-func (h *testHolder) Hand(_ context.Context, ho cwport.Handover) (cwport.Handed, error) {
-	r := h.engine.Hand(h, ho)
+func (h *testHolder) Hand(_ context.Context, req cwport.Handover) (cwport.Handed, error) {
+	r := h.engine.Hand(h, req)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.dropAnswers {
@@ -207,16 +207,16 @@
 	env.entry.Contract.IdleTransaction = time.Second
 	h := &testHolder{name: "holder", engine: env.engine("holder")}
 	env.waitForPrimary(h.engine)
-	hand := cwport.Handover{
+	req := cwport.Handover{
 		Transaction: "front/1", Begin: cwstatement.Begin, Entry: env.entry,
 		Statement: cwstatement.Statement{ID: "w", Verb: cwstatement.Write, Text: "WRITE i 1"},
 	}
-	r, err := h.Hand(context.Background(), hand)
+	r, err := h.Hand(context.Background(), req)
 	env.c.Assert(err, qt.IsNil)
 	assertOK(env.c, r.Answer)
 	env.eventually("the transaction is over", func() bool { return h.engine.SessionCount() == 0 })
-	hand.Begin, hand.Statement = cwstatement.Unknown, cwstatement.Statement{ID: "c", Verb: cwstatement.Commit, Text: "COMMIT"}
-	r, err = h.Hand(context.Background(), hand)
+	req.Begin, req.Statement = cwstatement.Unknown, cwstatement.Statement{ID: "c", Verb: cwstatement.Commit, Text: "COMMIT"}
+	r, err = h.Hand(context.Background(), req)
 	env.c.Assert(err, qt.IsNil)
 	assertNothingKept(env.c, r.Answer)
 	env.c.Assert(env.group.Value("i"), qt.Equals, "")
--- a/internal/proxy/cwengine/forwarded.go
+++ b/internal/proxy/cwengine/forwarded.go
@@ -55,12 +55,12 @@
 		return runElsewhere("the instance does not serve the group")
 	}
 	s := &session{engine: e, database: h.Entry.Service, forwarded: &forwardedContext{entry: h.Entry, group: group}}
-	s.applyHandover(h)
+	s.applyForwardRequest(h)
 	if h.Transaction == "" {
-		return s.handedAnswer(h, group, s.handle(h.Statement, began))
+		return s.newForwardResponse(h, group, s.handle(h.Statement, began))
 	}
 	if a := s.begin(cwstatement.Statement{Verb: h.Begin}); a.Code != cwstatement.OK {
-		return s.handedAnswer(h, group, a.WithState(cwstatement.InFailedTransaction))
+		return s.newForwardResponse(h, group, a.WithState(cwstatement.InFailedTransaction))
 	}
 	t := &forwardedTransaction{conn: from, session: s}
 	t.lastUsed.Store(e.cfg.Clock.Now().UnixNano())
@@ -85,7 +85,7 @@
 	if t.ended {
 		return rolledBackAnswer(h.Statement.Verb)
 	}
-	t.session.applyHandover(h)
+	t.session.applyForwardRequest(h)
 	return e.runForwarded(t, h, began)
 }
 
@@ -108,7 +108,7 @@
 		t.rollback("")
 		e.removeForwarded(h.Transaction, t)
 	}
-	return t.session.handedAnswer(h, t.session.forwarded.group, a)
+	return t.session.newForwardResponse(h, t.session.forwarded.group, a)
 }
 
 // rollback ends the transaction and rolls it back if it is open. The caller holds
@@ -128,9 +128,9 @@
 	}
 }
 
-// applyHandover replaces the state of the session by that in the message from the
+// applyForwardRequest replaces the state of the session by that in the message from the
 // caller's instance.
-func (s *session) applyHandover(h cwport.Handover) {
+func (s *session) applyForwardRequest(h cwport.Handover) {
 	group := h.Entry.Groups[0].Name
 	s.workspace, s.settings = h.Workspace, h.Values
 	s.prepared = nil
@@ -146,13 +146,13 @@
 	}
 }
 
-// handedAnswer builds the answer to the caller's own instance.
+// newForwardResponse builds the answer to the caller's own instance.
 //
 // If this instance is cut off from the group's members, other instances may still
 // reach them, and refusing the caller would be wrong. A statement that was refused
 // here with the guarantee that nothing of it is kept may run on another instance, as
 // may the first statement of a transaction.
-func (s *session) handedAnswer(h cwport.Handover, group *cwlead.Group, a cwstatement.Response) cwport.Handed {
+func (s *session) newForwardResponse(h cwport.Handover, group *cwlead.Group, a cwstatement.Response) cwport.Handed {
 	r := cwport.Handed{Answer: a}
 	first := h.Transaction == "" || h.Begin != cwstatement.Unknown
 	if a.Code != cwstatement.OK {
--- a/internal/proxy/cwengine/groups.go
+++ b/internal/proxy/cwengine/groups.go
@@ -21,10 +21,10 @@
 // not.
 type groupPlan struct {
 	contract cwcatalogue.Contract
-	demand   cwholder.TargetCapacity
-	// held is true if this instance holds the group, and rank is its position
-	// among the holders. Both follow from demand and are valid if placementKnown
-	// is true.
+	capacity cwholder.TargetCapacity
+	// held is true if this instance holds the group, and rank is its rank among the
+	// holders, counted from 0. Both follow from capacity and are valid if
+	// placementKnown is true.
 	placementKnown, held bool
 	rank                 int
 }
@@ -38,7 +38,7 @@
 		service := entry.Groups[0].Name
 		p := &groupPlan{contract: entry.Contract}
 		if old := previous[service]; old != nil {
-			p.demand, p.placementKnown, p.held, p.rank = old.demand, old.placementKnown, old.held, old.rank
+			p.capacity, p.placementKnown, p.held, p.rank = old.capacity, old.placementKnown, old.held, old.rank
 		}
 		e.plans[service] = p
 	}
@@ -57,8 +57,8 @@
 // and the group too if it is running. The caller holds mu.
 func (e *Engine) updateGroup(service string, p *groupPlan) {
 	members := e.listings.forService(service)
-	if d := demandOf(p.contract, members, len(e.plans)); d != p.demand {
-		p.demand, p.placementKnown = d, false
+	if d := capacityOf(p.contract, members, len(e.plans)); d != p.capacity {
+		p.capacity, p.placementKnown = d, false
 	}
 	if g := e.groups[service]; g != nil {
 		g.SetMembers(members, e.memberships[service].StableSize(), p.contract.Connections, p.contract.Synchronous)
@@ -66,9 +66,9 @@
 	e.updateHolding(service, p)
 }
 
-// demandOf returns the load limits of the members of one group, out of groups in
-// total.
-func demandOf(c cwcatalogue.Contract, members []cwport.Listing, groups int) cwholder.TargetCapacity {
+// capacityOf returns the capacity of the members of a group, out of the given number
+// of groups.
+func capacityOf(c cwcatalogue.Contract, members []cwport.Listing, groups int) cwholder.TargetCapacity {
 	d := cwholder.TargetCapacity{Connections: c.Connections, ManyGroups: groups > cwholder.ManyGroupsThreshold}
 	for _, l := range members {
 		d.Slots = max(d.Slots, l.Slots)
@@ -80,7 +80,7 @@
 // if it does, or if there are few groups. It also passes the rank to the group and
 // prepares the connections to its holders. The caller holds mu.
 func (e *Engine) updateHolding(service string, p *groupPlan) {
-	few := !p.demand.ManyGroups
+	few := !p.capacity.ManyGroups
 	e.updatePlacement(service, p)
 	if p.held || few {
 		e.startGroup(service, p)
@@ -92,7 +92,7 @@
 		g.SetHeld(p.rank, p.held)
 	}
 	if few {
-		e.cfg.Holders.Connect(service, p.demand)
+		e.cfg.Holders.Connect(service, p.capacity)
 	}
 }
 
@@ -102,12 +102,12 @@
 	switch {
 	case e.cfg.Holders == nil:
 		p.rank, p.held = 0, true
-	case p.demand.ManyGroups && p.demand.Slots == 0:
-		// The demand depends on the targets, which are not known yet, so the
+	case p.capacity.ManyGroups && p.capacity.Slots == 0:
+		// The capacity depends on the targets, which are not known yet, so the
 		// holders cannot be determined.
 		p.rank, p.held, p.placementKnown = -1, false, false
 	case !p.placementKnown:
-		p.rank, p.held = e.cfg.Holders.Holds(service, p.demand)
+		p.rank, p.held = e.cfg.Holders.Holds(service, p.capacity)
 		p.placementKnown = true
 	}
 }
@@ -148,7 +148,7 @@
 // it, and over time would have started all of them.
 func (e *Engine) stopIdleGroups() {
 	for service, g := range e.groups {
-		if p := e.plans[service]; p != nil && p.demand.ManyGroups && !p.held && g.Idle(groupIdleTimeout) {
+		if p := e.plans[service]; p != nil && p.capacity.ManyGroups && !p.held && g.Idle(groupIdleTimeout) {
 			e.stopGroup(service)
 		}
 	}
@@ -242,19 +242,18 @@
 	return e.entries.Entry(name)
 }
 
-// demand returns the load limits of a group's members; zero if the group is not
-// known.
-func (e *Engine) demand(group string) cwholder.TargetCapacity {
+// capacity returns the capacity of a group's members; zero if the group is not known.
+func (e *Engine) capacity(group string) cwholder.TargetCapacity {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
 	if p := e.plans[group]; p != nil {
-		return p.demand
+		return p.capacity
 	}
 	return cwholder.TargetCapacity{}
 }
 
-// HolderRank returns the rank of this instance among the holders of a group, counted from
-// 0, and false if it does not hold the group. The rank is 0 where every instance
+// HolderRank returns the rank of this instance among the holders of a group, counted
+// from 0, and false if it does not hold the group. The rank is 0 where every instance
 // holds every group.
 func (e *Engine) HolderRank(group string) (int, bool) {
 	e.mu.RLock()
--- a/internal/proxy/cwengine/groups_test.go
+++ b/internal/proxy/cwengine/groups_test.go
@@ -80,8 +80,8 @@
 	env.c.Assert(made, qt.IsFalse)
 }
 
-// Guards against groups that are held on the basis of a demand that is not known yet.
-func TestNoGroupIsHeldBeforeItsDemandIsKnown(t *testing.T) {
+// Guards against groups that are held on the basis of a capacity that is not known yet.
+func TestNoGroupIsHeldBeforeItsCapacityIsKnown(t *testing.T) {
 	env := newTestEnv(t, cwcatalogue.ReadNewest)
 	env.listed = nil
 	h := &holdsAllGroups{}
--- a/internal/proxy/cwengine/isolation.go
+++ b/internal/proxy/cwengine/isolation.go
@@ -79,7 +79,7 @@
 }
 
 // allGroupsCutOff reports whether every group in use is cut off. While the instance is
-// isolated, it does so until a majority of some group answers.
+// isolated, it returns true until a majority of some group answers.
 func (e *Engine) allGroupsCutOff() bool {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
@@ -103,7 +103,7 @@
 // reachesAny reports whether a majority of any group answers. The callers have left
 // and use no group any more, so the groups that were cut off are kept under watch.
 //
-// Without this, an isolated instance could come to a group that it has not tried yet,
+// Otherwise an isolated instance could come to a group that it has not tried yet,
 // count it as reachable and report itself ready; the load balancer would then use the
 // whole data centre again. Only answers end the isolation. The caller holds mu.
 func (e *Engine) reachesAny() bool {
@@ -117,8 +117,8 @@
 	return reached
 }
 
-// AnswerProbe answers a health probe of the load balancer: it reports whether callers may
-// connect.
+// AnswerProbe answers a health probe of the load balancer: it reports whether callers
+// may connect.
 func (e *Engine) AnswerProbe() bool {
 	ready := e.Ready()
 	if ready {
--- a/internal/proxy/cwengine/listings.go
+++ b/internal/proxy/cwengine/listings.go
@@ -68,7 +68,7 @@
 	return out
 }
 
-// anyActive reports whether a service has such targets.
+// anyActive reports whether a service has a target that is neither leaving nor lapsed.
 func (l *targetList) anyActive(service string) bool {
 	return slices.ContainsFunc(l.byService[service], func(id cwgroup.MemberID) bool { return isActive(l.byID[id]) })
 }
--- a/internal/proxy/cwengine/membership.go
+++ b/internal/proxy/cwengine/membership.go
@@ -89,7 +89,7 @@
 }
 
 // newlyRecordedSize returns the size of a group according to the stored rows if it has
-// changed since the last call, and zero otherwise. started is true if the membership of
+// changed since the last call, and zero otherwise. known is true if the membership of
 // the group was known before. The caller holds mu.
 //
 // It matters for an instance that starts after the store has lost the row of a group's
@@ -99,7 +99,7 @@
 // that time. For an instance that starts, that row may be older than the row of the
 // members, so it counts only if there is no such row. Any instance that has been
 // running since then writes the row of the members again.
-func (e *Engine) newlyRecordedSize(service string, started bool) int {
+func (e *Engine) newlyRecordedSize(service string, known bool) int {
 	r := recordedSize{row: e.rows[service].GroupSize}
 	if e.cfg.RecordedSize != nil {
 		r.members = e.cfg.RecordedSize(service)
@@ -110,7 +110,7 @@
 	if r.members != before.members {
 		n = r.members
 	}
-	if r.row != before.row && (started || r.members == 0) {
+	if r.row != before.row && (known || r.members == 0) {
 		n = max(n, r.row)
 	}
 	return n
--- a/internal/proxy/cwengine/metrics.go
+++ b/internal/proxy/cwengine/metrics.go
@@ -22,8 +22,8 @@
 	// and FeedAnswersSent the answers to other instances.
 	StoreRequests, FeederAnswers, FeedAnswersSent *metrics.Counter
 	// StoreRestores counts how often the store was found to have been restored from an
-	// older copy, and OutdatedStoreAnswers its answers that were ignored because newer data was
-	// known.
+	// older copy, and OutdatedStoreAnswers its answers that were ignored because newer
+	// data was known.
 	StoreRestores, OutdatedStoreAnswers *metrics.Counter
 	// QuotaRefused counts operations over the quota of their workspace, QuotaUnknown
 	// those whose quota could not be checked, and Unauthorised statements and
@@ -65,8 +65,8 @@
 	}
 }
 
-// AddAgeGauge adds a gauge of the maximum possible age of the desired state in force, in
-// seconds. It must be called at most once.
+// AddAgeGauge adds a gauge of the maximum possible age of the desired state in force,
+// in seconds. It must be called at most once.
 func (m *Metrics) AddAgeGauge(age func() float64) {
 	m.set.NewGauge("cicadawalk_desired_state_age_seconds", age)
 }
--- a/internal/proxy/cwengine/remote.go
+++ b/internal/proxy/cwengine/remote.go
@@ -47,11 +47,11 @@
 		// Other instances may reach members that this one does not.
 		tried = append(slices.Clone(tried), e.cfg.Name)
 	}
-	return e.cfg.Holders.Holder(group, e.demand(group), tried)
+	return e.cfg.Holders.Holder(group, e.capacity(group), tried)
 }
 
-// newHandover builds the message that forwards a statement to a holder.
-func (s *session) newHandover(entry cwcatalogue.Entry, st cwstatement.Statement, began time.Time) cwport.Handover {
+// newForwardRequest builds the message that forwards a statement to a holder.
+func (s *session) newForwardRequest(entry cwcatalogue.Entry, st cwstatement.Statement, began time.Time) cwport.Handover {
 	h := cwport.Handover{
 		Entry: entry, Workspace: s.workspace, Statement: st, Values: s.settings, Seen: s.lastWrites[entry.Groups[0].Name],
 		Elapsed: s.engine.cfg.Clock.Since(began),
@@ -128,7 +128,7 @@
 			return out
 		}
 		tried = append(tried, to.Name())
-		r, err := s.forward(to, s.newHandover(entry, st, began), began)
+		r, err := s.forward(to, s.newForwardRequest(entry, st, began), began)
 		switch {
 		case err == nil && !r.Elsewhere:
 			return forwardResult{answer: r.Answer.WithState(cwstatement.Idle), final: true}
@@ -166,7 +166,7 @@
 	if s.remote.holder == nil {
 		return s.openRemote(st, began)
 	}
-	h := s.newHandover(s.remote.entry, st, began)
+	h := s.newForwardRequest(s.remote.entry, st, began)
 	h.Transaction = s.remote.name
 	r, err := s.forward(s.remote.holder, h, began)
 	if err != nil {
@@ -190,7 +190,7 @@
 // holder accepts it, the transaction runs here.
 func (s *session) openRemote(st cwstatement.Statement, began time.Time) cwstatement.Response {
 	t := s.remote
-	h := s.newHandover(t.entry, st, began)
+	h := s.newForwardRequest(t.entry, st, began)
 	h.Transaction, h.Begin = t.name, t.begin
 	tried := t.tried
 	for {
