--- a/internal/proxy/cwdirectory/directory.go
+++ b/internal/proxy/cwdirectory/directory.go
@@ -42,8 +42,8 @@
 	// milliseconds, or some hundreds of them when it is slow.
 	snapshotTimeout = 2 * time.Second
 	// unavailableTimeout bounds a request for changes while the store is unavailable or
-	// a feeder is expected. The store answers it without holding it, even when slow in some
-	// hundreds of milliseconds.
+	// a feeder is expected. The store answers it without holding it, even when slow in
+	// some hundreds of milliseconds.
 	unavailableTimeout = time.Second
 	// minRetryPause and maxRetryPause bound the pause between requests while the store is
 	// unavailable: a newer desired state must be in force within seconds of its return.
@@ -72,8 +72,8 @@
 type Sink interface {
 	// SetCatalogue replaces the desired state.
 	SetCatalogue(c cwcatalogue.Catalogue)
-	// SetTargets sets all targets. It is called with a complete list while no targets are
-	// known.
+	// SetTargets sets all targets. It is called with a complete list while no targets
+	// are known.
 	SetTargets(all []cwport.Listing)
 	// UpdateTargets adds or updates the targets in listed and removes those in removed.
 	UpdateTargets(listed []cwport.Listing, removed []cwgroup.MemberID)
@@ -84,7 +84,7 @@
 	SetEra(era uint64)
 }
 
-// PollWaits is how long the store may hold a long poll, by topic.
+// PollWaits holds how long the store may hold a long poll, by topic.
 //
 // The waits also bound the effect of a lost answer. If a connection stops delivering
 // data without an error, the instance continues with an old desired state, or sends
@@ -96,9 +96,9 @@
 // instances request changes from it with TellNews. Set the exported fields before Run.
 type Directory struct {
 	PollWaits PollWaits
-	// RemovalDelay is how long after its entry disappeared a target is removed, counting
-	// only time in which the store was available without interruption. Lower values than
-	// MinRemovalDelay count as MinRemovalDelay.
+	// RemovalDelay is how long after the disappearance of its entry a target is removed,
+	// counting only time in which the store was available without interruption. Values
+	// below MinRemovalDelay count as MinRemovalDelay.
 	RemovalDelay time.Duration
 
 	Source cwport.Source
@@ -106,19 +106,19 @@
 	Clock  clockwork.Clock
 	Log    *log.Logger
 
-	// Feeders returns the instance from which to request changes; nil to always ask the
+	// Feeders finds the instance from which to request changes; nil to always ask the
 	// store.
 	Feeders cwport.Feeders
 	// Decoder decodes the rows that a feeder sends, and rows that remain after known
 	// ones were dropped. It is needed only with Feeders.
 	Decoder cwport.Decoder
-	// StaleAfter is the age of each topic's data beyond which the store is asked. It is needed
-	// only with Feeders.
+	// StaleAfter holds the age of each topic's data beyond which the store is asked. It
+	// is needed only with Feeders.
 	StaleAfter StaleAfter
 
-	// RememberedTargets returns the targets that were known before this instance started, as
-	// stored in own rows; nil if none are stored. It is called once, after the own rows
-	// were read or ownRowsTimeout has passed.
+	// RememberedTargets returns the targets that were known before this instance
+	// started, as stored in own rows; nil if none are stored. It is called once, after
+	// the own rows were read or ownRowsTimeout has passed.
 	RememberedTargets func() []cwport.Listing
 
 	// Counts are the metrics to increment; nil counters are skipped.
@@ -132,13 +132,13 @@
 	topics [cwport.TopicCount]topicState
 	// source is where changes are received from. pollDueChanged is closed and replaced
 	// when that changes, or when a topic must be read from the store.
-	source         newsSource
+	source         changeSource
 	pollDueChanged chan struct{}
-	// newsAvailable is closed and replaced with each batch of changes and each
+	// changesAvailable is closed and replaced with each batch of changes and each
 	// confirmation of the desired state.
-	newsAvailable chan struct{}
-	// lastAskedAt is when another instance last requested changes.
-	lastAskedAt time.Time
+	changesAvailable chan struct{}
+	// lastRequestAt is when another instance last requested changes.
+	lastRequestAt time.Time
 	// era is the newest known era of the store; eraKnown is true once any is known.
 	era      uint64
 	eraKnown bool
@@ -162,8 +162,8 @@
 	// became available again after that.
 	knownTargets map[cwgroup.MemberID]cwport.Listing
 	missingSince map[cwgroup.MemberID]time.Time
-	// rememberedOnly are the targets from Remembered whose entries this instance has never
-	// seen.
+	// rememberedOnly are the targets from RememberedTargets whose entries this instance
+	// has never seen.
 	rememberedOnly map[cwgroup.MemberID]bool
 	// loggedFaults are the malformed rows that were logged.
 	loggedFaults map[rowID]bool
@@ -174,9 +174,9 @@
 	// StoreRequests counts requests to the store, FeederAnswers answers received from
 	// feeders, and NewsServed answers given to other instances.
 	StoreRequests, FeederAnswers, NewsServed *metrics.Counter
-	// StoreRestores counts the times that the store was found to be restored from an older
-	// copy. OutdatedAnswers counts complete answers that were ignored because newer data was
-	// known.
+	// StoreRestores counts the times that the store was found to be restored from an
+	// older copy. OutdatedAnswers counts complete answers that were ignored because
+	// newer data was known.
 	StoreRestores, OutdatedAnswers *metrics.Counter
 }
 
@@ -249,7 +249,7 @@
 	d.missingSince = make(map[cwgroup.MemberID]time.Time)
 	d.rememberedOnly = make(map[cwgroup.MemberID]bool)
 	d.loggedFaults = make(map[rowID]bool)
-	d.pollDueChanged, d.newsAvailable = make(chan struct{}), make(chan struct{})
+	d.pollDueChanged, d.changesAvailable = make(chan struct{}), make(chan struct{})
 }
 
 // applyBatch applies a batch. confirmed is a time at which the store certainly had
@@ -288,16 +288,16 @@
 	if whole {
 		return b, b.Version >= known
 	}
-	var fresh []cwport.Row
+	var newer []cwport.Row
 	for _, r := range b.Raw {
 		if r.Version > known {
-			fresh = append(fresh, r)
+			newer = append(newer, r)
 		}
 	}
-	if len(fresh) == len(b.Raw) {
+	if len(newer) == len(b.Raw) {
 		return b, b.Changed() || len(b.Faults) > 0
 	}
-	b = d.Decoder.Decode(t, b.Version, fresh)
+	b = d.Decoder.Decode(t, b.Version, newer)
 	return b, b.Changed() || len(b.Faults) > 0
 }
 
@@ -320,8 +320,8 @@
 		d.wakeStoreWaiters(t)
 	}
 	if t == cwport.Desired || whole || b.Changed() {
-		close(d.newsAvailable)
-		d.newsAvailable = make(chan struct{})
+		close(d.changesAvailable)
+		d.changesAvailable = make(chan struct{})
 	}
 }
 
@@ -336,7 +336,7 @@
 
 // historyEntries converts rows to entries of a topic's history.
 func (d *Directory) historyEntries(rows []cwport.Row) []cwfeed.Entry[cwport.Row] {
-	compress := d.askedRecently()
+	compress := d.requestedRecently()
 	out := make([]cwfeed.Entry[cwport.Row], 0, len(rows))
 	for _, r := range rows {
 		out = append(out, cwfeed.Entry[cwport.Row]{Key: r.Key, Version: r.Version, Removed: r.Removed, Row: d.rowForHistory(r, compress)})
--- a/internal/proxy/cwdirectory/feed_test.go
+++ b/internal/proxy/cwdirectory/feed_test.go
@@ -48,7 +48,7 @@
 			}
 			runOne(t, d, func(*qt.C) {
 				time.Sleep(300 * time.Millisecond)
-				c.Check(d.newsSource(), qt.Equals, fromFeeder)
+				c.Check(d.changeSource(), qt.Equals, fromFeeder)
 			})
 		}
 	})
--- a/internal/proxy/cwdirectory/follow.go
+++ b/internal/proxy/cwdirectory/follow.go
@@ -38,36 +38,36 @@
 	ownStaleAfter = 2 * ownPollWait
 )
 
-// StaleAfter is the age of data from a feeder, by topic, beyond which the store is asked. The
-// age counts from the store's last confirmation.
+// StaleAfter holds the age of data from a feeder, by topic, beyond which the store is
+// asked. The age counts from the store's last confirmation.
 type StaleAfter struct{ Desired, Targets time.Duration }
 
 func (s StaleAfter) ages(t cwport.Topic) cwfeed.Staleness {
 	return cwfeed.Staleness{MaxAge: [cwport.TopicCount]time.Duration{cwport.Desired: s.Desired, cwport.Targets: s.Targets, cwport.Own: ownStaleAfter}[t]}
 }
 
-// newsSource is where an instance receives changes from.
-type newsSource uint8
+// changeSource is where an instance receives changes from.
+type changeSource uint8
 
 const (
 	// fromStore is the source of a root, and of an instance without Feeders.
-	fromStore newsSource = iota
+	fromStore changeSource = iota
 	// fromFeeder is the source of an instance below another one in the tree.
 	fromFeeder
 	// fromNone is the source before this instance has a place in the tree.
 	fromNone
 )
 
-func (s newsSource) String() string { return [...]string{"store", "feeder", "nobody"}[s] }
+func (s changeSource) String() string { return [...]string{"store", "feeder", "nobody"}[s] }
 
-func (d *Directory) newsSource() newsSource {
+func (d *Directory) changeSource() changeSource {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.source
 }
 
 // setSource sets where changes are received from.
-func (d *Directory) setSource(s newsSource) {
+func (d *Directory) setSource(s changeSource) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.source == s {
@@ -88,13 +88,13 @@
 			d.setSource(fromStore)
 			d.sleep(ctx, rootCheckInterval)
 		case f == nil:
-			if d.newsSource() == fromStore {
+			if d.changeSource() == fromStore {
 				d.setSource(fromNone)
 			}
 			d.sleep(ctx, d.lookupInterval())
 		default:
 			d.recordFeederFound()
-			d.askFeeder(ctx, f)
+			d.pollFeeder(ctx, f)
 		}
 	}
 	return nil
@@ -118,9 +118,9 @@
 	}
 }
 
-// askFeeder sends one request to a feeder and applies the answer.
-func (d *Directory) askFeeder(ctx context.Context, f cwport.Feeder) {
-	sent, q := d.Clock.Now(), d.newsQuestion()
+// pollFeeder sends one request to a feeder and applies the answer.
+func (d *Directory) pollFeeder(ctx context.Context, f cwport.Feeder) {
+	sent, q := d.Clock.Now(), d.changesRequest()
 	n, err := f.TellNews(ctx, q)
 	if err != nil {
 		if ctx.Err() == nil {
@@ -134,14 +134,14 @@
 	d.setUnavailable(cwport.Targets, n.TargetsAway)
 	changed, missing := false, false
 	for _, t := range applyOrder {
-		topicNews := n.Topics[t]
-		answer := cwfeed.FeederResponse{Sent: sent, Held: n.Held, Age: topicNews.Age}
+		changes := n.Topics[t]
+		answer := cwfeed.FeederResponse{Sent: sent, Held: n.Held, Age: changes.Age}
 		if !d.isLoaded(t) && !d.acceptsFirst(t, n, answer) {
 			missing = true
 			continue
 		}
-		d.applyBatch(t, d.Decoder.Decode(t, topicNews.Version, topicNews.Rows), topicNews.Whole, answer.Confirmed())
-		changed = changed || len(topicNews.Rows) > 0
+		d.applyBatch(t, d.Decoder.Decode(t, changes.Version, changes.Rows), changes.Whole, answer.Confirmed())
+		changed = changed || len(changes.Rows) > 0
 	}
 	switch {
 	case missing:
@@ -187,10 +187,10 @@
 	d.pollDueChanged = make(chan struct{})
 }
 
-// newsQuestion returns a request for the changes since the known versions. The first
+// changesRequest returns a request for the changes since the known versions. The first
 // request to a feeder has no wait and is answered at once, because until then the feeder
 // is not this instance's source, and stale topics ask the store.
-func (d *Directory) newsQuestion() cwport.NewsQuestion {
+func (d *Directory) changesRequest() cwport.NewsQuestion {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	q := cwport.NewsQuestion{}
@@ -209,9 +209,9 @@
 	return q
 }
 
-// awaitPollDue waits until this instance has to ask the store for a topic: not at all if
-// must is true, and otherwise until the topic is due by untilPollDue. It returns false
-// once ctx has ended.
+// awaitPollDue waits until this instance has to ask the store for a topic, as
+// untilPollDue determines it. It does not wait if must is true. It returns false once ctx
+// has ended.
 func (d *Directory) awaitPollDue(ctx context.Context, t cwport.Topic, must bool) bool {
 	for ctx.Err() == nil {
 		wait, dueChanged := d.untilPollDue(t)
--- a/internal/proxy/cwdirectory/poll.go
+++ b/internal/proxy/cwdirectory/poll.go
@@ -159,7 +159,7 @@
 	case t == cwport.Targets && len(d.missingSince) > 0:
 		// An answer after MinRemovalDelay is needed to decide whether the entry is back.
 		return min(configured, MinRemovalDelay)
-	case d.Clock.Since(d.lastAskedAt) < 2*d.StaleAfter.ages(cwport.Desired).FeederWait():
+	case d.Clock.Since(d.lastRequestAt) < 2*d.StaleAfter.ages(cwport.Desired).FeederWait():
 		// Other instances follow this one. The store's next confirmation must reach them
 		// before their data is stale.
 		return min(configured, d.StaleAfter.ages(t).StoreWait())
@@ -176,7 +176,7 @@
 // no snapshot of the topic yet.
 func (d *Directory) awaitRetry(ctx context.Context, p *poll) {
 	t, pause, firstFailure := p.topic, p.retryPause, !p.unavailable
-	follower := d.newsSource() != fromStore && !p.needSnapshot
+	follower := d.changeSource() != fromStore && !p.needSnapshot
 	switch {
 	case t == cwport.Desired && follower && !firstFailure:
 		pause = followerRetryPause
--- a/internal/proxy/cwdirectory/removal.go
+++ b/internal/proxy/cwdirectory/removal.go
@@ -78,7 +78,7 @@
 const ownRowsTimeout = 2 * time.Second
 
 // awaitOwnRows waits before the first list of targets until own rows are known, from
-// which Remembered is derived, or ownRowsTimeout has passed.
+// which RememberedTargets is derived, or ownRowsTimeout has passed.
 func (d *Directory) awaitOwnRows(ctx context.Context) {
 	if d.RememberedTargets == nil || d.isLoaded(cwport.Targets) {
 		return
@@ -86,13 +86,13 @@
 	end := d.Clock.After(ownRowsTimeout)
 	for {
 		d.mu.Lock()
-		known, newsAvailable := d.topics[cwport.Own].loaded, d.newsAvailable
+		known, changesAvailable := d.topics[cwport.Own].loaded, d.changesAvailable
 		d.mu.Unlock()
 		if known {
 			return
 		}
 		select {
-		case <-newsAvailable:
+		case <-changesAvailable:
 		case <-end:
 			d.Log.Warn("membersNotRemembered", "waitedMs", ownRowsTimeout.Milliseconds())
 			return
@@ -127,8 +127,8 @@
 	return out
 }
 
-// TargetsAvailable reports whether the list of targets was read and the store currently answers
-// requests for it.
+// TargetsAvailable reports whether the list of targets was read and the store currently
+// answers requests for it.
 func (d *Directory) TargetsAvailable() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -193,7 +193,7 @@
 	now := d.Clock.Now()
 	var gone []cwgroup.MemberID
 	for id, since := range d.missingSince {
-		if !d.isGone(id, since, now) {
+		if !d.removalDue(id, since, now) {
 			continue
 		}
 		d.Log.Info("targetGone", "target", id)
@@ -207,14 +207,14 @@
 	}
 }
 
-// isGone reports whether a target whose entry has been missing since the given time is
-// to be removed. The caller holds mu.
+// removalDue reports whether a target whose entry has been missing since the given time
+// is to be removed. The caller holds mu.
 //
 // If the store stops answering right after it reported that entries lapsed, the time can
 // be up before any request to it has failed, and targets that are alive would be removed.
 // So the store must also have confirmed, at least MinRemovalDelay after an entry
 // disappeared, that it is not back.
-func (d *Directory) isGone(id cwgroup.MemberID, missingSince, now time.Time) bool {
+func (d *Directory) removalDue(id cwgroup.MemberID, missingSince, now time.Time) bool {
 	delay := max(d.RemovalDelay, MinRemovalDelay)
 	if d.rememberedOnly[id] {
 		// The entry disappeared before this instance started.
--- a/internal/proxy/cwdirectory/serve.go
+++ b/internal/proxy/cwdirectory/serve.go
@@ -8,25 +8,25 @@
 	"cicadawalk.example/cicadawalk/internal/wire/cwpack"
 )
 
-// maxNewsWait bounds how long a request of another instance is held, whatever wait it
-// asks for, because each occupies a goroutine.
-const maxNewsWait = 10 * time.Second
+// maxResponseWait bounds how long a request of another instance is held, whatever wait
+// it asks for, because each occupies a goroutine.
+const maxResponseWait = 10 * time.Second
 
 // TellNews implements cwport.NewsTeller. It answers as soon as there are changes after
 // the versions in q or the desired state is confirmed anew, and otherwise when q.Wait, at
-// most maxNewsWait, has passed. The error is a *cwport.NoNewsError while a topic has no
-// snapshot, or that of ctx.
+// most maxResponseWait, has passed. The error is a *cwport.NoNewsError while a topic has
+// no snapshot, or that of ctx.
 func (d *Directory) TellNews(ctx context.Context, q cwport.NewsQuestion) (cwport.News, error) {
 	d.initState()
 	received := d.Clock.Now()
-	end := d.Clock.After(min(q.Wait, maxNewsWait))
-	lastConfirmed, ok := d.recordQuestion()
+	end := d.Clock.After(min(q.Wait, maxResponseWait))
+	lastConfirmed, ok := d.recordRequest()
 	if !ok {
 		return cwport.News{}, &cwport.NoNewsError{}
 	}
 	for {
-		n, news, newsAvailable := d.newsSince(q, lastConfirmed)
-		if news {
+		n, ready, changesAvailable := d.responseSince(q, lastConfirmed)
+		if ready {
 			n.Held = d.Clock.Since(received)
 			inc(d.Counts.NewsServed)
 			for _, t := range n.Topics {
@@ -37,10 +37,10 @@
 			return n, nil
 		}
 		select {
-		case <-newsAvailable:
+		case <-changesAvailable:
 		case <-end:
-			// Answer without changes or a new confirmation, so that the asker learns that
-			// this instance is alive. The ages in the answer say how old its data is.
+			// Answer without changes or a new confirmation, so that the other instance
+			// learns that this one is alive. The ages in the answer say how old its data is.
 			lastConfirmed = time.Time{}
 		case <-ctx.Done():
 			return cwport.News{}, ctx.Err()
@@ -48,12 +48,12 @@
 	}
 }
 
-// recordQuestion records that another instance requests changes, and returns when the
+// recordRequest records that another instance requests changes, and returns when the
 // desired state was last confirmed; false if a topic has no snapshot yet.
-func (d *Directory) recordQuestion() (time.Time, bool) {
+func (d *Directory) recordRequest() (time.Time, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.lastAskedAt = d.Clock.Now()
+	d.lastRequestAt = d.Clock.Now()
 	for i := range d.topics {
 		if !d.topics[i].loaded {
 			return time.Time{}, false
@@ -62,18 +62,18 @@
 	return d.topics[cwport.Desired].confirmed, true
 }
 
-// newsSince returns the answer to a request. news is false if there are no changes for it
-// and the desired state was not confirmed after lastConfirmed. newsAvailable is closed
-// when to check again.
-func (d *Directory) newsSince(q cwport.NewsQuestion, lastConfirmed time.Time) (n cwport.News, news bool, newsAvailable <-chan struct{}) {
+// responseSince returns the answer to a request. ready is false if there are no changes
+// for it and the desired state was not confirmed after lastConfirmed. changesAvailable is
+// closed when to check again.
+func (d *Directory) responseSince(q cwport.NewsQuestion, lastConfirmed time.Time) (n cwport.News, ready bool, changesAvailable <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	news = d.topics[cwport.Desired].confirmed.After(lastConfirmed)
+	ready = d.topics[cwport.Desired].confirmed.After(lastConfirmed)
 	for i := range d.topics {
-		news = news || d.topics[i].history.HasChangesSince(q.After[i])
+		ready = ready || d.topics[i].history.HasChangesSince(q.After[i])
 	}
-	if !news {
-		return n, false, d.newsAvailable
+	if !ready {
+		return n, false, d.changesAvailable
 	}
 	now := d.Clock.Now()
 	n.TargetsAway, n.TargetsUnsettled = d.unavailable, !d.listComplete(now)
@@ -83,7 +83,7 @@
 		version, _ := s.history.Version()
 		n.Topics[i] = cwport.TopicNews{Version: version, Whole: whole, Rows: rows, Age: now.Sub(s.confirmed)}
 	}
-	return n, true, d.newsAvailable
+	return n, true, d.changesAvailable
 }
 
 // listComplete reports whether the list of targets can serve as the first list of a
@@ -129,10 +129,10 @@
 	return d.packedRow(r)
 }
 
-// askedRecently reports whether another instance has requested changes within
-// maxNewsWait.
-func (d *Directory) askedRecently() bool {
+// requestedRecently reports whether another instance has requested changes within
+// maxResponseWait.
+func (d *Directory) requestedRecently() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.Clock.Since(d.lastAskedAt) < maxNewsWait
+	return d.Clock.Since(d.lastRequestAt) < maxResponseWait
 }
--- a/internal/proxy/cwdirectory/start_test.go
+++ b/internal/proxy/cwdirectory/start_test.go
@@ -159,7 +159,7 @@
 			d, out := startInFleet(fl)
 			runOne(t, d, func(c *qt.C) {
 				time.Sleep(time.Second)
-				c.Assert(d.newsSource(), qt.Equals, fromFeeder)
+				c.Assert(d.changeSource(), qt.Equals, fromFeeder)
 				c.Assert(out.has("a"), qt.IsTrue)
 			})
 		})
@@ -182,7 +182,7 @@
 			d.Counts.FeederAnswers = answers
 			runOne(t, d, func(c *qt.C) {
 				time.Sleep(10 * time.Second)
-				c.Assert(d.newsSource(), qt.Equals, fromFeeder)
+				c.Assert(d.changeSource(), qt.Equals, fromFeeder)
 				c.Assert(out.has("a"), qt.IsFalse)
 				c.Assert(answers.Get() < 30, qt.IsTrue, qt.Commentf("%d answers", answers.Get()))
 				time.Sleep(15 * time.Second)
