--- a/internal/proxy/cwpeers/feeder.go
+++ b/internal/proxy/cwpeers/feeder.go
@@ -9,15 +9,15 @@
 	"cicadawalk.example/cicadawalk/internal/proxy/cwport"
 )
 
-// newsAnswerMargin is how much longer than its requested wait a request for news may
+// answerMargin is how much longer than its requested wait a request for changes may
 // take: a busy instance answers within some tens of milliseconds, one that runs four
 // times as slowly within a few hundred.
-const newsAnswerMargin = 500 * time.Millisecond
+const answerMargin = 500 * time.Millisecond
 
-// firstNewsAnswerMargin is the margin for the first request of a starting instance:
+// firstAnswerMargin is the margin for the first request of a starting instance:
 // sixteen instances request all rows at once, which their feeder compresses and sends
 // over a link of low bandwidth.
-const firstNewsAnswerMargin = 3 * time.Second
+const firstAnswerMargin = 3 * time.Second
 
 // Feeder implements cwport.Feeders. It returns neither a feeder nor root while this
 // instance has no row, and thus no place in the tree, and while its parent is not
@@ -39,8 +39,8 @@
 	return nil, false
 }
 
-// parent returns the instance that this one asks for news; false if it is a root of
-// the tree and asks the store. The caller holds mu.
+// parent returns the instance from which this one requests changes; false if this one
+// is a root of the tree and asks the store. The caller holds mu.
 //
 // The row of an instance stays when the instance is gone for good, and without a
 // replacement all instances below it would ask the store. So instances that cannot be
@@ -59,21 +59,21 @@
 	return parent, ok
 }
 
-// answerMargin returns how much longer than its requested wait a request may take.
+// marginOf returns how much longer than its requested wait a request may take.
 //
 // With the margin of half a second for first requests too, when a whole data centre
 // starts at once, each instance would time out with the answer on its way, close the
 // connection and do the same with the next feeder, until all of them read the store.
-func answerMargin(q cwport.NewsQuestion) time.Duration {
+func marginOf(q cwport.NewsQuestion) time.Duration {
 	for _, after := range q.After {
 		if after == 0 {
-			return firstNewsAnswerMargin
+			return firstAnswerMargin
 		}
 	}
-	return newsAnswerMargin
+	return answerMargin
 }
 
-// feederLink is the link to the instance that this one asks for news.
+// feederLink is the link to the instance from which this one requests changes.
 type feederLink struct{ *link }
 
 // TellNews implements cwport.NewsTeller.
@@ -88,7 +88,7 @@
 	if conn == nil {
 		return cwport.News{}, &cwport.LostError{Holder: l.remote.ID, NotSent: true, Cause: errNoAnswer}
 	}
-	ctx, cancel := context.WithTimeout(ctx, q.Wait+answerMargin(q))
+	ctx, cancel := context.WithTimeout(ctx, q.Wait+marginOf(q))
 	defer cancel()
 	n, err := conn.TellNews(ctx, q)
 	if errors.As(err, new(*cwport.NoNewsError)) {
--- a/internal/proxy/cwpeers/feeder_test.go
+++ b/internal/proxy/cwpeers/feeder_test.go
@@ -72,10 +72,10 @@
 		_, root := p.Feeder()
 		c.Assert(root, qt.IsTrue)
 	})
-	t.Run("a feeder that has no news yet keeps its connection", func(t *testing.T) {
+	t.Run("a feeder without a snapshot keeps its connection", func(t *testing.T) {
 		c, p, n, clock := startFollower(t)
 		first := awaitFeeder(c, p, clock)
-		n.withLock(func() { n.newsErr = &cwport.NoNewsError{} })
+		n.withLock(func() { n.changesErr = &cwport.NoNewsError{} })
 		_, err := first.TellNews(context.Background(), cwport.NewsQuestion{})
 		c.Assert(err, qt.ErrorAs, new(*cwport.NoNewsError))
 		f, _ := p.Feeder()
@@ -110,12 +110,12 @@
 
 // Guards against a start at which each instance gives up its feeder while the answer is
 // on its way.
-func TestFirstNewsAnswerHasLongerMargin(t *testing.T) {
+func TestFirstAnswerHasLongerMargin(t *testing.T) {
 	known := cwport.NewsQuestion{After: [cwport.TopicCount]cwfeed.Version{5, 5, 5}}
-	qt.Assert(t, answerMargin(known), qt.Equals, newsAnswerMargin)
-	qt.Assert(t, answerMargin(cwport.NewsQuestion{}), qt.Equals, firstNewsAnswerMargin)
+	qt.Assert(t, marginOf(known), qt.Equals, answerMargin)
+	qt.Assert(t, marginOf(cwport.NewsQuestion{}), qt.Equals, firstAnswerMargin)
 	known.After[cwport.Targets] = cwport.NotAsked
-	qt.Assert(t, answerMargin(known), qt.Equals, newsAnswerMargin)
+	qt.Assert(t, marginOf(known), qt.Equals, answerMargin)
 	known.After[cwport.Own] = 0
-	qt.Assert(t, answerMargin(known), qt.Equals, firstNewsAnswerMargin)
+	qt.Assert(t, marginOf(known), qt.Equals, firstAnswerMargin)
 }
--- a/internal/proxy/cwpeers/link.go
+++ b/internal/proxy/cwpeers/link.go
@@ -43,7 +43,7 @@
 	log    *log.Logger
 	// onDialEnded is called after each connection attempt; it may be nil.
 	onDialEnded func()
-	// path is told of answers and missing answers; nil if the remote instance is in this
+	// path records answers and missing answers; nil if the remote instance is in this
 	// data centre.
 	path PathMonitor
 
@@ -351,15 +351,15 @@
 		l.probe(conn)
 	})
 	defer overdue.Stop()
-	handed, err := conn.Hand(ctx, h)
+	resp, err := conn.Hand(ctx, h)
 	if err != nil {
-		return handed, err
+		return resp, err
 	}
 	l.recordAnswer()
-	if handed.Elsewhere {
+	if resp.Elsewhere {
 		l.avoid()
 	}
-	return handed, nil
+	return resp, nil
 }
 
 // avoid stops statements to the holder for avoidFor.
--- a/internal/proxy/cwpeers/ondemand_test.go
+++ b/internal/proxy/cwpeers/ondemand_test.go
@@ -19,8 +19,8 @@
 	"cicadawalk.example/cicadawalk/internal/proxy/cwport"
 )
 
-// manyGroupsDemand is the demand of a group in a deployment with many groups.
-var manyGroupsDemand = cwholder.TargetCapacity{Connections: 278, Slots: 3, ManyGroups: true}
+// manyGroupsCapacity is that of a group in a deployment with many groups.
+var manyGroupsCapacity = cwholder.TargetCapacity{Connections: 278, Slots: 3, ManyGroups: true}
 
 // manyGroupsTest has the Peers of an instance that does not hold group "g", one of 24 in
 // four data centres, on virtual time.
@@ -43,7 +43,7 @@
 			in := instance(fmt.Sprintf("i%d", i), fmt.Sprintf("z%d", i%4))
 			all, rows = append(all, in), append(rows, row(in))
 		}
-		holders := cwholder.Holders("g", all, manyGroupsDemand)
+		holders := cwholder.Holders("g", all, manyGroupsCapacity)
 		self := all[slices.IndexFunc(all, func(i cwholder.Instance) bool { return !slices.Contains(holders, i) })]
 		path := &pathRecorder{}
 		p := &Peers{Self: self, Table: n, Dial: n.dial, Clock: clockwork.NewRealClock(), Log: log.New(io.Discard), Path: path}
@@ -61,7 +61,7 @@
 func (w manyGroupsTest) chooseHolder(tried ...string) (cwport.Holder, time.Duration) {
 	w.Helper()
 	began := time.Now()
-	h, ok := w.Holder("g", manyGroupsDemand, tried)
+	h, ok := w.Holder("g", manyGroupsCapacity, tried)
 	w.Assert(ok, qt.IsTrue)
 	return h, time.Since(began)
 }
@@ -80,7 +80,7 @@
 		for range 3 {
 			h, _ := w.chooseHolder()
 			w.Assert(h.Name(), qt.Equals, w.holders[0].ID)
-			_, err := handOver(h, "s")
+			_, err := forwardTo(h, "s")
 			w.Assert(err, qt.IsNil)
 			time.Sleep(time.Second)
 		}
@@ -139,7 +139,7 @@
 				}
 			})
 			began := time.Now()
-			_, ok := w.Holder("g", manyGroupsDemand, nil)
+			_, ok := w.Holder("g", manyGroupsCapacity, nil)
 			w.Assert(ok, qt.IsFalse)
 			w.Assert(time.Since(began) < maxConnectWait, qt.IsTrue)
 		})
@@ -173,7 +173,7 @@
 
 // Guards against an instance that accepts callers while its data centre is cut off: a
 // missing answer from another data centre must be reported to Path.
-func TestUnansweredStatementIsReportedToPath(t *testing.T) {
+func TestUnansweredStatementIsReportedToPathMonitor(t *testing.T) {
 	runManyGroups(t, func(w manyGroupsTest) {
 		var remote cwholder.Instance
 		for _, h := range w.holders {
@@ -190,12 +190,12 @@
 		}
 		h, _ := w.chooseHolder(tried...)
 		w.Assert(h.Name(), qt.Equals, remote.ID)
-		_, err := handOver(h, "s")
+		_, err := forwardTo(h, "s")
 		w.Assert(err, qt.IsNil)
 		w.Assert(w.path.cut(), qt.IsFalse)
 		w.net.withLock(func() { w.net.unresponsive[remote.ID] = true })
 		began := time.Now()
-		_, err = handOver(h, "s")
+		_, err = forwardTo(h, "s")
 		w.Assert(err, qt.ErrorAs, new(*cwport.LostError))
 		w.Assert(w.path.cut(), qt.IsTrue)
 		w.Assert(time.Since(began) <= 2*answerTimeout, qt.IsTrue)
@@ -213,7 +213,7 @@
 		}
 		h, _ := w.chooseHolder()
 		for range 3 {
-			_, err := handOver(h, "s")
+			_, err := forwardTo(h, "s")
 			w.Assert(err, qt.IsNil)
 			time.Sleep(idleTimeout / 2)
 			w.Assert(connected(), qt.IsTrue)
--- a/internal/proxy/cwpeers/peers.go
+++ b/internal/proxy/cwpeers/peers.go
@@ -5,9 +5,9 @@
 // address on which it serves other instances. Peers follows these rows, writes its
 // own, and keeps a connection to each holder that it uses.
 //
-// With few groups (see cwholder.ManyGroupsThreshold) holders are connected in advance and a
-// statement never waits for a connection: while a holder is being connected in the
-// background, the next holder or this instance itself runs the statement. With many
+// With few groups (see cwholder.ManyGroupsThreshold) holders are connected in advance
+// and a statement never waits for a connection: while a holder is being connected in
+// the background, the next holder or this instance itself runs the statement. With many
 // groups a holder is connected when the first statement for it arrives, and that
 // statement waits up to maxConnectWait.
 package cwpeers
@@ -78,12 +78,12 @@
 	// FirstStart is true if the deployment starts for the first time, so that no
 	// instance has a row yet.
 	FirstStart bool
-	// Path is told of answers and missing answers on connections to other data
-	// centres; it may be nil.
+	// Path records answers and missing answers on connections to other data centres;
+	// it may be nil.
 	Path PathMonitor
 
 	mu sync.Mutex
-	// dirty is true if the set of instances has changed since Changed was last called.
+	// dirty is true if the set of instances has changed since OnChange was last called.
 	dirty bool
 	// allRowsRead is true once the rows of all instances were received. centreRowsRead
 	// is true once those of this data centre were; they suffice to find the feeder,
@@ -160,7 +160,7 @@
 
 // Holds implements cwport.Holders. Until all rows were read the instance counts as a
 // holder of each group if there are few groups, and of none if there are many; its
-// place is then -1.
+// rank is then -1.
 func (p *Peers) Holds(group string, d cwholder.TargetCapacity) (int, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -202,6 +202,6 @@
 	_ cwport.QuotaIssuers = (*Peers)(nil)
 )
 
-// errNoAnswer is the cause of closing a connection whose probe was not answered, and
-// of failing a call for which no connection is open.
+// errNoAnswer is the cause for which a connection is closed whose probe was not
+// answered, and for which a call fails if no connection is open.
 var errNoAnswer = errors.New("no answer to a probe")
--- a/internal/proxy/cwpeers/peers_test.go
+++ b/internal/proxy/cwpeers/peers_test.go
@@ -30,8 +30,8 @@
 	commitFails bool
 	// refused are the instances that refuse connections.
 	refused map[string]bool
-	// newsErr is the result of all requests for news.
-	newsErr error
+	// changesErr is the result of all requests for changes.
+	changesErr error
 	// dials are the attempted connections, in order. An attempt to a hanging instance
 	// lasts until its channel is closed.
 	dials   []string
@@ -115,7 +115,7 @@
 	}
 	c.net.mu.Lock()
 	defer c.net.mu.Unlock()
-	return cwport.News{}, c.net.newsErr
+	return cwport.News{}, c.net.changesErr
 }
 
 func (c *fakeConn) AskQuota(ctx context.Context, _ string) (cwport.Verdict, error) {
@@ -130,8 +130,8 @@
 	return nil
 }
 
-// scarceDemand is that of a group with connections for few holders.
-var scarceDemand = cwholder.TargetCapacity{Connections: 4, Slots: 2}
+// scarceCapacity is that of a group with connections for few holders.
+var scarceCapacity = cwholder.TargetCapacity{Connections: 4, Slots: 2}
 
 func instance(name, centre string) cwholder.Instance {
 	return cwholder.Instance{ID: name, DataCentre: centre, Address: "10.0.0.1:1"}
@@ -156,7 +156,7 @@
 	}
 	var self cwholder.Instance
 	for _, i := range all {
-		if holders := cwholder.Holders("g", all, scarceDemand); holders[0] != i && holders[1] != i {
+		if holders := cwholder.Holders("g", all, scarceCapacity); holders[0] != i && holders[1] != i {
 			self = i
 		}
 	}
@@ -205,24 +205,24 @@
 	var h cwport.Holder
 	eventually(c, clock, func() bool {
 		var ok bool
-		h, ok = p.Holder("g", scarceDemand, tried)
+		h, ok = p.Holder("g", scarceCapacity, tried)
 		return ok
 	})
 	return h
 }
 
-// handOver has a holder run a statement with the given id.
-func handOver(h cwport.Holder, id string) (cwport.Handed, error) {
+// forwardTo has a holder run a statement with the given id.
+func forwardTo(h cwport.Holder, id string) (cwport.Handed, error) {
 	return h.Hand(context.Background(), cwport.Handover{Statement: cwstatement.Statement{ID: id}})
 }
 
 func TestHolder(t *testing.T) {
 	t.Run("statements do not wait for a connection", func(t *testing.T) {
 		c, p, _, clock := startNonHolder(t)
-		_, ok := p.Holder("g", scarceDemand, nil)
+		_, ok := p.Holder("g", scarceCapacity, nil)
 		c.Assert(ok, qt.IsFalse)
 		first := awaitHolder(c, p, clock)
-		_, err := handOver(first, "s")
+		_, err := forwardTo(first, "s")
 		c.Assert(err, qt.IsNil)
 		second := awaitHolder(c, p, clock, first.Name())
 		c.Assert(second.Name(), qt.Not(qt.Equals), first.Name())
@@ -230,15 +230,15 @@
 	t.Run("one that returned a statement is avoided for a while", func(t *testing.T) {
 		c, p, _, clock := startNonHolder(t)
 		first := awaitHolder(c, p, clock)
-		r, err := handOver(first, "elsewhere")
+		r, err := forwardTo(first, "elsewhere")
 		c.Assert(err, qt.IsNil)
 		c.Assert(r.Elsewhere, qt.IsTrue)
 		eventually(c, clock, func() bool {
-			h, ok := p.Holder("g", scarceDemand, nil)
+			h, ok := p.Holder("g", scarceCapacity, nil)
 			return ok && h.Name() != first.Name()
 		})
 		eventually(c, clock, func() bool {
-			h, ok := p.Holder("g", scarceDemand, nil)
+			h, ok := p.Holder("g", scarceCapacity, nil)
 			return ok && h.Name() == first.Name()
 		})
 	})
@@ -247,7 +247,7 @@
 		first := awaitHolder(c, p, clock)
 		p.ApplyRows([]cwport.Row{{Key: InstanceKey(instance(first.Name(), "z")), Removed: true}}, false)
 		// Without the removed instance, this one may hold the group itself.
-		h, ok := p.Holder("g", scarceDemand, nil)
+		h, ok := p.Holder("g", scarceCapacity, nil)
 		c.Assert(!ok || h.Name() != first.Name(), qt.IsTrue)
 	})
 }
@@ -259,7 +259,7 @@
 	first := awaitHolder(c, p, clock)
 	n.withLock(func() { n.unresponsive[first.Name()] = true })
 	began := clock.Now()
-	_, err := handOver(first, "s")
+	_, err := forwardTo(first, "s")
 	c.Assert(err, qt.ErrorAs, new(*cwport.LostError))
 	c.Assert(clock.Since(began) < 10*time.Second, qt.IsTrue, qt.Commentf("%v", clock.Since(began)))
 	c.Assert(awaitHolder(c, p, clock).Name(), qt.Not(qt.Equals), first.Name())
@@ -272,7 +272,7 @@
 	first := awaitHolder(c, p, clock)
 	n.withLock(func() { n.unresponsive[first.Name()] = true })
 	eventually(c, clock, func() bool {
-		h, ok := p.Holder("g", scarceDemand, nil)
+		h, ok := p.Holder("g", scarceCapacity, nil)
 		return !ok || h.Name() != first.Name()
 	})
 }
@@ -316,10 +316,10 @@
 		clock.Sleep(2 * registerInterval)
 		p.ApplyRows([]cwport.Row{row(instance(first.Name(), "z"))}, false)
 		for range 10 {
-			h, ok := p.Holder("g", scarceDemand, nil)
+			h, ok := p.Holder("g", scarceCapacity, nil)
 			c.Assert(ok, qt.IsTrue)
 			c.Assert(h.Name(), qt.Equals, first.Name())
-			_, err := handOver(h, "s")
+			_, err := forwardTo(h, "s")
 			c.Assert(err, qt.IsNil)
 			clock.Sleep(registerInterval)
 		}
@@ -328,11 +328,11 @@
 		c, p, _, clock := startNonHolder(t)
 		first := awaitHolder(c, p, clock)
 		p.ApplyRows(without(first.Name()), true)
-		h, ok := p.Holder("g", scarceDemand, nil)
+		h, ok := p.Holder("g", scarceCapacity, nil)
 		c.Assert(ok, qt.IsTrue)
 		c.Assert(h.Name(), qt.Equals, first.Name())
 		eventually(c, clock, func() bool {
-			h, ok := p.Holder("g", scarceDemand, nil)
+			h, ok := p.Holder("g", scarceCapacity, nil)
 			return !ok || h.Name() != first.Name()
 		})
 	})
--- a/internal/proxy/cwpeers/quota.go
+++ b/internal/proxy/cwpeers/quota.go
@@ -11,21 +11,22 @@
 // they differ from the holders of a group of the same name.
 const quotaHashPrefix = "quota of "
 
-// QuotaIssuers implements cwport.QuotaIssuers. Connected issuers come first. A request
-// to one that is being connected waits for the connection; one that could not be
-// connected is left out. Issuers of other data centres are rarely needed, so they are
-// connected only when this method is called for them.
+// QuotaIssuers implements cwport.QuotaIssuers. It returns the issuers in other data
+// centres if remote is true, and those in this data centre otherwise. Connected issuers
+// come first. A request to one that is being connected waits for the connection; one
+// that could not be connected is left out. Issuers of other data centres are rarely
+// needed, so they are connected only when this method is called for them.
 //
 // When a workspace has used up the share of the issuers in its own data centre, most of
 // its quota is with the others. If those without a connection were left out, each
 // instance would refuse its first operations as over the quota.
-func (p *Peers) QuotaIssuers(workspace string, far bool) []cwport.QuotaIssuer {
+func (p *Peers) QuotaIssuers(workspace string, remote bool) []cwport.QuotaIssuer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.Clock.Now()
 	var out, connecting []cwport.QuotaIssuer
 	for _, i := range p.quotaIssuers(workspace) {
-		if far != (i.DataCentre != p.Self.DataCentre) {
+		if remote != (i.DataCentre != p.Self.DataCentre) {
 			continue
 		}
 		if i == p.Self {
--- a/internal/proxy/cwpeers/rows.go
+++ b/internal/proxy/cwpeers/rows.go
@@ -11,8 +11,8 @@
 	"cicadawalk.example/cicadawalk/internal/wire/cwplatform"
 )
 
-// InstanceKeyPrefix is the prefix of the keys of instance rows in the table. The data centre, a
-// slash and the instance's name follow.
+// InstanceKeyPrefix is the prefix of the keys of instance rows in the table. The data
+// centre, a slash and the instance's name follow.
 const InstanceKeyPrefix = "instance/"
 
 // InstanceKey returns the key of an instance's row in the table.
@@ -53,8 +53,8 @@
 	DataCentre string `json:"dataCentre"`
 }
 
-// ApplyRows applies rows of the table; whole is true if these are all rows, otherwise they
-// are changes. ApplyRows of other kinds are ignored.
+// ApplyRows applies rows of the table; whole is true if these are all rows, otherwise
+// they are changes. Rows of other kinds are ignored.
 func (p *Peers) ApplyRows(rows []cwport.Row, whole bool) {
 	p.applyRows(rows, whole)
 	if whole {
@@ -62,7 +62,7 @@
 	}
 }
 
-// notifyChanged calls Changed if the set of instances has changed since the last call.
+// notifyChanged calls OnChange if the set of instances has changed since the last call.
 //
 // When hundreds of instances start together, each row reaches all instances separately.
 // If each of them recomputed the holders of every group for each row, the work would
