--- a/internal/proxy/cwdirectory/directory_test.go
+++ b/internal/proxy/cwdirectory/directory_test.go
@@ -33,8 +33,8 @@
 	// targets supplies the answers to requests for changes of targets.
 	targets chan cwport.Batch
 	// targetsFail makes requests for changes of targets fail.
-	targetsFail  atomic.Bool
-	targetsAsked atomic.Int64
+	targetsFail    atomic.Bool
+	targetRequests atomic.Int64
 }
 
 func (s *fakeSource) Snapshot(_ context.Context, t cwport.Topic) (cwport.Batch, error) {
@@ -55,7 +55,7 @@
 			return s.changes(ctx, n, wait)
 		}
 	case cwport.Targets:
-		s.targetsAsked.Add(1)
+		s.targetRequests.Add(1)
 		if s.targetsFail.Load() {
 			return cwport.Batch{}, errUnavailable
 		}
@@ -315,7 +315,7 @@
 	src.targetsFail.Store(true)
 	startDirectory(t, src)
 	time.Sleep(2 * time.Second)
-	targets := src.targetsAsked.Load()
+	targets := src.targetRequests.Load()
 	qt.Assert(t, targets <= 4, qt.IsTrue, qt.Commentf("%d requests for targets in two seconds", targets))
 	src.mu.Lock()
 	defer src.mu.Unlock()
--- a/internal/proxy/cwdirectory/fleet_test.go
+++ b/internal/proxy/cwdirectory/fleet_test.go
@@ -106,9 +106,9 @@
 	end := time.After(wait)
 	for {
 		s.mu.Lock()
-		changed, news, unavailable := s.changed, s.history[t].HasChangesSince(after), s.unavailable(s.name)
+		changed, hasChanges, unavailable := s.changed, s.history[t].HasChangesSince(after), s.unavailable(s.name)
 		s.mu.Unlock()
-		if news || unavailable {
+		if hasChanges || unavailable {
 			return s.answer(ctx, t, after, false)
 		}
 		select {
--- a/internal/proxy/cwengine/failover_test.go
+++ b/internal/proxy/cwengine/failover_test.go
@@ -43,10 +43,10 @@
 	for _, rule := range []cwcatalogue.ReadRule{cwcatalogue.ReadNewest, cwcatalogue.ReadAged, cwcatalogue.ReadOwnWrites} {
 		t.Run(string(rule), func(t *testing.T) {
 			env := newTestEnv(t, rule)
-			cut, whole := env.engine("x"), env.engine("y")
-			env.waitForPrimary(cut)
-			env.waitForPrimary(whole)
-			x, y := env.session(cut), env.session(whole)
+			isolated, connected := env.engine("x"), env.engine("y")
+			env.waitForPrimary(isolated)
+			env.waitForPrimary(connected)
+			x, y := env.session(isolated), env.session(connected)
 			assertOK(env.c, y.ask(cwstatement.Write, "WRITE i 1"))
 			assertRead(env.c, x.ask(cwstatement.Read, "READ i"), "1")
 
@@ -62,12 +62,12 @@
 
 			// The instance may close its idle sessions, so each step uses a session of its
 			// own.
-			assertNothingKept(env.c, env.session(cut).tryAsk(cwstatement.Read, "READ i"))
-			plain := env.session(cut)
+			assertNothingKept(env.c, env.session(isolated).tryAsk(cwstatement.Read, "READ i"))
+			plain := env.session(isolated)
 			if plain.tryAsk(cwstatement.Begin, "BEGIN").Code == cwstatement.OK {
 				assertNothingKept(env.c, plain.tryAsk(cwstatement.Read, "READ i"))
 			}
-			aged := env.session(cut)
+			aged := env.session(isolated)
 			if aged.tryAsk(cwstatement.BeginRead, "BEGIN READ").Code == cwstatement.OK {
 				assertNothingKept(env.c, aged.tryAsk(cwstatement.Read, "READ i"))
 			}
@@ -112,8 +112,8 @@
 	env.c.Assert(e.Ready(), qt.IsTrue)
 }
 
-// Guards against repeated changes of primary. Some instances have not received news of the
-// platform's table for a while when the primary is lost. One of them promotes another
+// Guards against repeated changes of primary. Some instances have not received changes of
+// the platform's table for a while when the primary is lost. One of them promotes another
 // member; until that member leads, the others promoted again, one after the other, and the
 // holders acted in turns.
 func TestPrimaryIsReplacedOnce(t *testing.T) {
@@ -184,7 +184,7 @@
 }
 
 // Guards against an attempt to replace the primary that fails as a whole because a busy
-// replica refuses the fencing order. The next attempt may begin only two seconds later.
+// replica refuses the fencing command. The next attempt may begin only two seconds later.
 func TestBusyMemberIsFencedAgain(t *testing.T) {
 	env, s := newSessionBeforeLostPrimary(t)
 	env.group.BusyAtFences("c", 3)
@@ -207,9 +207,9 @@
 	env := newTestEnv(t, cwcatalogue.ReadNewest)
 	e := env.engine("x")
 	env.waitForPrimary(e)
-	s, resting := env.session(e), env.session(e)
+	s, idle := env.session(e), env.session(e)
 	assertOK(env.c, s.ask(cwstatement.Write, "WRITE i 1"))
-	assertRead(env.c, resting.ask(cwstatement.Read, "READ i"), "1")
+	assertRead(env.c, idle.ask(cwstatement.Read, "READ i"), "1")
 	env.c.Assert(e.AnswerProbe(), qt.IsTrue)
 
 	for _, id := range []string{"b", "c"} {
@@ -221,7 +221,7 @@
 	env.c.Assert(e.AnswerProbe(), qt.IsFalse)
 	env.eventually("idle sessions are closed", func() bool {
 		select {
-		case <-resting.gone:
+		case <-idle.gone:
 			return true
 		default:
 			return false
--- a/internal/proxy/cwengine/groups_test.go
+++ b/internal/proxy/cwengine/groups_test.go
@@ -34,15 +34,15 @@
 		c.Entries = append(c.Entries, env.otherEntry(i))
 	}
 	front.SetCatalogue(c)
-	_, made := front.Group("other1")
-	env.c.Assert(made, qt.IsFalse)
+	_, running := front.Group("other1")
+	env.c.Assert(running, qt.IsFalse)
 	front.SetRow("other1", cwfailover.Row{Term: 3, Claim: "x", Owner: "y"})
 	g, ok := front.ensureGroup("other1")
 	env.c.Assert(ok, qt.IsTrue)
 	_, err := g.Primary()
 	env.c.Assert(err, qt.ErrorMatches, ".*none is known.*")
-	_, made = front.Group("other2")
-	env.c.Assert(made, qt.IsFalse)
+	_, running = front.Group("other2")
+	env.c.Assert(running, qt.IsFalse)
 	_, ok = front.ensureGroup("nowhere")
 	env.c.Assert(ok, qt.IsFalse)
 	s := env.session(front)
@@ -53,8 +53,8 @@
 	env.clock.Advance(time.Millisecond)
 	c.Revision, c.Entries = 3, c.Entries[:1]
 	front.SetCatalogue(c)
-	_, made = front.Group("other1")
-	env.c.Assert(made, qt.IsFalse)
+	_, running = front.Group("other1")
+	env.c.Assert(running, qt.IsFalse)
 }
 
 // Guards against an instance that starts a group only to forward its statements. Callers
@@ -76,8 +76,8 @@
 	assertOK(env.c, s.ask(cwstatement.Begin, "BEGIN"))
 	assertOK(env.c, s.ask(cwstatement.Write, "WRITE i 2"))
 	assertOK(env.c, s.ask(cwstatement.Commit, "COMMIT"))
-	_, made := front.Group(testService)
-	env.c.Assert(made, qt.IsFalse)
+	_, running := front.Group(testService)
+	env.c.Assert(running, qt.IsFalse)
 }
 
 // Guards against groups that are held on the basis of a capacity that is not known yet.
@@ -91,13 +91,13 @@
 		c.Entries = append(c.Entries, env.otherEntry(i))
 	}
 	front.SetCatalogue(c)
-	_, made := front.Group("other1")
-	env.c.Assert(made, qt.IsFalse)
+	_, running := front.Group("other1")
+	env.c.Assert(running, qt.IsFalse)
 	front.SetListings([]cwport.Listing{{ID: "t", Service: "other1", Address: "t", DataCentre: "dc-a", Slots: 3}})
-	_, made = front.Group("other1")
-	env.c.Assert(made, qt.IsTrue)
-	_, made = front.Group("other2")
-	env.c.Assert(made, qt.IsFalse)
+	_, running = front.Group("other1")
+	env.c.Assert(running, qt.IsTrue)
+	_, running = front.Group("other2")
+	env.c.Assert(running, qt.IsFalse)
 }
 
 // holdsAllGroups makes its instance hold every group.
@@ -141,7 +141,7 @@
 	assertCalls("another role", func() { front.ChangeListings([]cwport.Listing{changed}, nil) }, 0)
 	changed.Slots = 5
 	assertCalls("other slots", func() { front.ChangeListings([]cwport.Listing{changed}, nil) }, 1)
-	assertCalls("one that is gone", func() { front.ChangeListings(nil, []cwgroup.MemberID{changed.ID}) }, 0)
+	assertCalls("a removed target", func() { front.ChangeListings(nil, []cwgroup.MemberID{changed.ID}) }, 0)
 	assertCalls("another catalogue", func() {
 		c.Revision++
 		front.SetCatalogue(c)
@@ -160,12 +160,12 @@
 	front.SetCatalogue(c)
 	s := env.session(front)
 	env.eventually("the caller is served", func() bool { return s.ask(cwstatement.Write, "WRITE i 1").Code == cwstatement.OK })
-	_, made := front.Group(testService)
-	env.c.Assert(made, qt.IsTrue)
+	_, running := front.Group(testService)
+	env.c.Assert(running, qt.IsTrue)
 	env.clock.Advance(groupIdleTimeout)
-	env.eventually("the group is given up", func() bool {
-		_, made := front.Group(testService)
-		return !made
+	env.eventually("the group is stopped", func() bool {
+		_, running := front.Group(testService)
+		return !running
 	})
 	env.eventually("the caller is served again", func() bool { return s.ask(cwstatement.Write, "WRITE i 2").Code == cwstatement.OK })
 }
--- a/internal/proxy/cwengine/harness_test.go
+++ b/internal/proxy/cwengine/harness_test.go
@@ -85,7 +85,8 @@
 	return env.engineWithConfig(name, func(cfg *Config) { cfg.Holders = h })
 }
 
-// engineWithConfig starts an engine whose configuration change modifies first.
+// engineWithConfig starts an engine with the default test configuration as modified by
+// change.
 func (env *testEnv) engineWithConfig(name string, change func(*Config)) *Engine {
 	logger, path := log.New(io.Discard), &cwlead.RemotePath{}
 	cfg := Config{
