--- a/internal/proxy/cwmembers/members_test.go
+++ b/internal/proxy/cwmembers/members_test.go
@@ -143,7 +143,7 @@
 			c.Assert(rememberedIDs(s.recorders[0]), qt.DeepEquals, []string{"a", "b", "c"})
 		}, 1, 2)
 	})
-	t.Run("an instance without news from the store writes nothing", func(t *testing.T) {
+	t.Run("an instance to which the store reports no targets writes nothing", func(t *testing.T) {
 		runRecorders(t, func(c *qt.C, s *fakeTable, all []*countedMembers) {
 			time.Sleep(5 * time.Second)
 			all[0].set()
