--- a/internal/proxy/cwengine/access_test.go
+++ b/internal/proxy/cwengine/access_test.go
@@ -255,7 +255,7 @@
 		})
 		for range 20_000 {
 			mu.Lock()
-			e.ChangeListings(nil, nil)
+			e.UpdateTargets(nil, nil)
 			mu.Unlock()
 		}
 	}()
--- a/internal/proxy/cwengine/engine.go
+++ b/internal/proxy/cwengine/engine.go
@@ -71,9 +71,9 @@
 	// Holders tells which instances hold a group. If it is nil, this instance holds
 	// all groups.
 	Holders cwport.Holders
-	// Path tracks whether targets in other data centres answer. All groups share it;
+	// RemotePath tracks whether targets in other data centres answer. All groups share it;
 	// if it is nil, New creates one.
-	Path *cwlead.RemotePath
+	RemotePath *cwlead.RemotePath
 	// KeyRevocationBound is the time within which a revoked key must be out of use;
 	// zero means no bound. CatalogueConfirmedAt returns a time at which the store
 	// certainly had nothing newer than the catalogue in force.
@@ -147,8 +147,8 @@
 	if cfg.Metrics == nil {
 		cfg.Metrics = NewMetrics()
 	}
-	if cfg.Path == nil {
-		cfg.Path = &cwlead.RemotePath{}
+	if cfg.RemotePath == nil {
+		cfg.RemotePath = &cwlead.RemotePath{}
 	}
 	return &Engine{
 		cfg:                   cfg,
@@ -167,7 +167,7 @@
 // a list of targets, is not shutting down, can check keys, is not isolated, and does
 // not suspect its network path to other data centres.
 func (e *Engine) Ready() bool {
-	// CatalogueConfirmedAt may need a lock that is held while ChangeListings waits
+	// CatalogueConfirmedAt may need a lock that is held while UpdateTargets waits
 	// for e.mu, so it is called before e.mu is locked.
 	stale := e.keysStale(e.cfg.Clock.Now())
 	e.mu.RLock()
@@ -175,7 +175,7 @@
 	if e.access.keysRequired && stale {
 		return false
 	}
-	return e.revision > 0 && e.listingsLoaded.Load() && !e.draining.Load() && !e.isolated.Load() && !e.cfg.Path.Suspected()
+	return e.revision > 0 && e.listingsLoaded.Load() && !e.draining.Load() && !e.isolated.Load() && !e.cfg.RemotePath.Suspected()
 }
 
 // Revision returns the revision of the catalogue in force; zero if there is none.
@@ -209,8 +209,8 @@
 	e.closeRevokedSessions()
 }
 
-// SetListings replaces the whole list of targets.
-func (e *Engine) SetListings(all []cwport.Listing) {
+// SetTargets replaces the whole list of targets.
+func (e *Engine) SetTargets(all []cwport.Listing) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.listings = targetList{}
@@ -221,12 +221,12 @@
 	e.updateGroups()
 }
 
-// ChangeListings applies changes to the list of targets: listed are the new or changed
+// UpdateTargets applies changes to the list of targets: listed are the new or changed
 // targets, removed are those that are no longer listed.
 //
 // With a thousand groups, some target changes every few moments. Therefore only the
 // groups of the changed targets are updated.
-func (e *Engine) ChangeListings(listed []cwport.Listing, removed []cwgroup.MemberID) {
+func (e *Engine) UpdateTargets(listed []cwport.Listing, removed []cwgroup.MemberID) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	changed := make(map[string]bool)
@@ -282,7 +282,7 @@
 // must be called once, before any other method.
 func (e *Engine) Start(ctx context.Context, eg *errgroup.Group) {
 	e.runCtx, e.eg = ctx, eg
-	e.cfg.Path.OnSuspicion = e.handlePathSuspicion
+	e.cfg.RemotePath.OnSuspicion = e.handlePathSuspicion
 	eg.Go(func() error { return e.loopIsolation(ctx) })
 	eg.Go(func() error { return e.loopForwarded(ctx) })
 	eg.Go(func() error { return e.loopMemberships(ctx) })
--- a/internal/proxy/cwengine/failover_test.go
+++ b/internal/proxy/cwengine/failover_test.go
@@ -216,7 +216,7 @@
 		env.group.SetUnresponsive(memberID(id), true, env.clock)
 	}
 	go s.tryAsk(cwstatement.Write, "WRITE i 2")
-	env.eventually("the path is suspected", e.cfg.Path.Suspected)
+	env.eventually("the path is suspected", e.cfg.RemotePath.Suspected)
 	env.c.Assert(e.AnswerProbe(), qt.IsFalse)
 	env.c.Assert(e.AnswerProbe(), qt.IsFalse)
 	env.eventually("idle sessions are closed", func() bool {
--- a/internal/proxy/cwengine/groups_test.go
+++ b/internal/proxy/cwengine/groups_test.go
@@ -93,7 +93,7 @@
 	front.SetCatalogue(c)
 	_, running := front.Group("other1")
 	env.c.Assert(running, qt.IsFalse)
-	front.SetListings([]cwport.Listing{{ID: "t", Service: "other1", Address: "t", DataCentre: "dc-a", Slots: 3}})
+	front.SetTargets([]cwport.Listing{{ID: "t", Service: "other1", Address: "t", DataCentre: "dc-a", Slots: 3}})
 	_, running = front.Group("other1")
 	env.c.Assert(running, qt.IsTrue)
 	_, running = front.Group("other2")
@@ -130,7 +130,7 @@
 		all = append(all, cwport.Listing{ID: memberID(fmt.Sprintf("t%d", i)), Service: fmt.Sprintf("other%d", i), Address: "t", DataCentre: "dc-a", Slots: 3})
 	}
 	front.SetCatalogue(c)
-	front.SetListings(all)
+	front.SetTargets(all)
 	assertCalls := func(what string, f func(), want int) {
 		h.calls = 0
 		f()
@@ -138,10 +138,10 @@
 	}
 	changed := all[7]
 	changed.Role = cwport.LeadershipPrimary
-	assertCalls("another role", func() { front.ChangeListings([]cwport.Listing{changed}, nil) }, 0)
+	assertCalls("another role", func() { front.UpdateTargets([]cwport.Listing{changed}, nil) }, 0)
 	changed.Slots = 5
-	assertCalls("other slots", func() { front.ChangeListings([]cwport.Listing{changed}, nil) }, 1)
-	assertCalls("a removed target", func() { front.ChangeListings(nil, []cwgroup.MemberID{changed.ID}) }, 0)
+	assertCalls("other slots", func() { front.UpdateTargets([]cwport.Listing{changed}, nil) }, 1)
+	assertCalls("a removed target", func() { front.UpdateTargets(nil, []cwgroup.MemberID{changed.ID}) }, 0)
 	assertCalls("another catalogue", func() {
 		c.Revision++
 		front.SetCatalogue(c)
--- a/internal/proxy/cwengine/harness_test.go
+++ b/internal/proxy/cwengine/harness_test.go
@@ -90,7 +90,7 @@
 func (env *testEnv) engineWithConfig(name string, change func(*Config)) *Engine {
 	logger, path := log.New(io.Discard), &cwlead.RemotePath{}
 	cfg := Config{
-		Clock: env.clock, Log: logger, GracePeriod: 6 * time.Second, Name: name, Path: path, FirstStart: true,
+		Clock: env.clock, Log: logger, GracePeriod: 6 * time.Second, Name: name, RemotePath: path, FirstStart: true,
 		NewGroup: func(service string) *cwlead.Group {
 			return cwlead.New(cwlead.Config{
 				Self: cwfailover.InstanceID(name), DataCentre: "dc-a", Service: service, Clock: env.clock,
@@ -111,7 +111,7 @@
 	for _, id := range env.listed {
 		all = append(all, cwport.Listing{ID: memberID(id), Service: testService, Address: id, DataCentre: "dc-" + id, Slots: 3})
 	}
-	e.SetListings(all)
+	e.SetTargets(all)
 	env.c.Cleanup(func() {
 		cancel()
 		env.c.Check(eg.Wait(), qt.IsNil)
--- a/internal/proxy/cwengine/isolation.go
+++ b/internal/proxy/cwengine/isolation.go
@@ -46,7 +46,7 @@
 			return nil
 		}
 		now := e.cfg.Clock.Now()
-		if e.cfg.Path.Suspected() {
+		if e.cfg.RemotePath.Suspected() {
 			// Probing goes on until a member answers, even without callers.
 			e.probeOtherDataCentres()
 		}
--- a/internal/proxy/cwengine/members_test.go
+++ b/internal/proxy/cwengine/members_test.go
@@ -46,7 +46,7 @@
 			assertOK(env.c, env.session(y).ask(cwstatement.Write, "WRITE i 2"))
 			env.clock.Sleep(2 * env.entry.Contract.MaxAge)
 			env.group.Cut("x", "c", true)
-			x.ChangeListings(nil, []cwgroup.MemberID{"a"})
+			x.UpdateTargets(nil, []cwgroup.MemberID{"a"})
 			for range 10 {
 				if a := env.session(x).tryAsk(cwstatement.Read, "READ i"); a.Code == cwstatement.OK {
 					assertRead(env.c, a, "2")
@@ -154,10 +154,10 @@
 	listing := func(id string, lapsed bool) cwport.Listing {
 		return cwport.Listing{ID: memberID(id), Service: testService, Address: id, DataCentre: "dc-" + id, Slots: 3, Lapsed: lapsed}
 	}
-	e.ChangeListings([]cwport.Listing{listing("c", true)}, nil)
-	e.ChangeListings([]cwport.Listing{listing("d", false)}, nil)
+	e.UpdateTargets([]cwport.Listing{listing("c", true)}, nil)
+	e.UpdateTargets([]cwport.Listing{listing("d", false)}, nil)
 	env.c.Assert(e.Members()[testService].StableSize, qt.Equals, 3)
-	e.ChangeListings(nil, []cwgroup.MemberID{"c"})
+	e.UpdateTargets(nil, []cwgroup.MemberID{"c"})
 	env.c.Assert(e.Members()[testService].StableSize, qt.Equals, 3)
 	env.c.Assert(e.Members()[testService].Members, qt.HasLen, 3)
 }
--- a/internal/proxy/cwinstance/instance.go
+++ b/internal/proxy/cwinstance/instance.go
@@ -121,7 +121,7 @@
 	in.members.Counted = in.countMembers
 	engine := cwengine.Config{
 		Clock: cfg.Clock, Log: cfg.Log, GracePeriod: cfg.Grace, Metrics: in.metrics, NewGroup: in.newGroup,
-		Name: cfg.Name, RunID: cfg.Seed, Holders: in.peers, Path: in.remotePath,
+		Name: cfg.Name, RunID: cfg.Seed, Holders: in.peers, RemotePath: in.remotePath,
 		KeyRevocationBound: cfg.KeyBound, CatalogueConfirmedAt: in.directory.Confirmed, RecordedSize: in.members.RecordedSize,
 		FirstStart: cfg.FirstStart,
 	}
@@ -276,11 +276,11 @@
 func (in *Instance) SetCatalogue(c cwcatalogue.Catalogue) { in.engine.SetCatalogue(c) }
 
 // SetTargets implements cwdirectory.Sink.
-func (in *Instance) SetTargets(all []cwport.Listing) { in.engine.SetListings(all) }
+func (in *Instance) SetTargets(all []cwport.Listing) { in.engine.SetTargets(all) }
 
 // UpdateTargets implements cwdirectory.Sink.
 func (in *Instance) UpdateTargets(listed []cwport.Listing, removed []cwgroup.MemberID) {
-	in.engine.ChangeListings(listed, removed)
+	in.engine.UpdateTargets(listed, removed)
 }
 
 // SetEra implements cwdirectory.Sink.
--- a/internal/proxy/cwmeter/meter.go
+++ b/internal/proxy/cwmeter/meter.go
@@ -159,7 +159,7 @@
 // ask asks one issuer, and pauses it if it does not allow the operation.
 func (m *Meter) ask(workspace string, issuer cwport.QuotaIssuer) cwport.Verdict {
 	if issuer.Ask == nil {
-		return m.TellQuota(workspace)
+		return m.IssueQuota(workspace)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
 	defer cancel()
@@ -176,8 +176,8 @@
 	return v
 }
 
-// TellQuota implements cwport.QuotaTeller.
-func (m *Meter) TellQuota(workspace string) cwport.Verdict {
+// IssueQuota implements cwport.QuotaTeller.
+func (m *Meter) IssueQuota(workspace string) cwport.Verdict {
 	m.Start()
 	quota, ok := m.Quota(workspace)
 	if !ok {
--- a/internal/proxy/cwmeter/meter_test.go
+++ b/internal/proxy/cwmeter/meter_test.go
@@ -138,15 +138,15 @@
 func TestTellQuota(t *testing.T) {
 	f := &fakeIssuers{}
 	m, clock := newMeter(f)
-	qt.Assert(t, m.TellQuota("nobody").Unknown, qt.IsTrue)
+	qt.Assert(t, m.IssueQuota("nobody").Unknown, qt.IsTrue)
 	clock.Advance(time.Minute)
 	n := 0
-	for m.TellQuota(workspace).Allowed {
+	for m.IssueQuota(workspace).Allowed {
 		n++
 	}
 	// This is one of two shards: half of the burst of 100, of the overage of 10 (0.1 of
 	// the burst), and of three quarters of the slack of 20.
 	qt.Assert(t, n, qt.Equals, 62)
-	v := m.TellQuota(workspace)
+	v := m.IssueQuota(workspace)
 	qt.Assert(t, v.RetryAfter > 0 && v.RetryAfter <= 20*time.Millisecond, qt.IsTrue)
 }
--- a/internal/proxy/cwport/quota.go
+++ b/internal/proxy/cwport/quota.go
@@ -43,6 +43,6 @@
 // QuotaTeller answers requests for the part of a workspace's quota that this
 // instance issues.
 type QuotaTeller interface {
-	// TellQuota requests quota for one operation from this instance's part.
-	TellQuota(workspace string) Verdict
+	// IssueQuota requests quota for one operation from this instance's part.
+	IssueQuota(workspace string) Verdict
 }
--- a/internal/wire/cwhandover/quota.go
+++ b/internal/wire/cwhandover/quota.go
@@ -28,7 +28,7 @@
 	if err := json.Unmarshal(*req.Params, &b); err != nil {
 		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeInvalidParams, Message: err.Error()}
 	}
-	v := s.Quotas.TellQuota(b.Workspace)
+	v := s.Quotas.IssueQuota(b.Workspace)
 	return quotaResultBody{Allowed: v.Allowed, Unknown: v.Unknown, RetryAfterUS: v.RetryAfter.Microseconds()}, nil
 }
 
