--- a/internal/proxy/cwdirectory/directory.go
+++ b/internal/proxy/cwdirectory/directory.go
@@ -172,8 +172,8 @@
 // Counts holds the metrics of a Directory. Nil counters are skipped.
 type Counts struct {
 	// StoreRequests counts requests to the store, FeederAnswers answers received from
-	// feeders, and NewsServed answers given to other instances.
-	StoreRequests, FeederAnswers, NewsServed *metrics.Counter
+	// feeders, and FeedAnswersSent answers given to other instances.
+	StoreRequests, FeederAnswers, FeedAnswersSent *metrics.Counter
 	// StoreRestores counts the times that the store was found to be restored from an
 	// older copy. OutdatedAnswers counts complete answers that were ignored because
 	// newer data was known.
--- a/internal/proxy/cwdirectory/serve.go
+++ b/internal/proxy/cwdirectory/serve.go
@@ -28,7 +28,7 @@
 		n, ready, changesAvailable := d.responseSince(q, lastConfirmed)
 		if ready {
 			n.Held = d.Clock.Since(received)
-			inc(d.Counts.NewsServed)
+			inc(d.Counts.FeedAnswersSent)
 			for _, t := range n.Topics {
 				for i, r := range t.Rows {
 					t.Rows[i] = d.packedRow(r)
--- a/internal/proxy/cwinstance/instance.go
+++ b/internal/proxy/cwinstance/instance.go
@@ -114,7 +114,7 @@
 		Feeders: in.peers, Decoder: cfg.Decoder, StaleAfter: cfg.StaleAfter,
 		RememberedTargets: in.members.RecordedMembers,
 		Counts: cwdirectory.Counts{
-			StoreRequests: in.metrics.StoreRequests, FeederAnswers: in.metrics.FeederAnswers, NewsServed: in.metrics.FeedAnswersSent,
+			StoreRequests: in.metrics.StoreRequests, FeederAnswers: in.metrics.FeederAnswers, FeedAnswersSent: in.metrics.FeedAnswersSent,
 			StoreRestores: in.metrics.StoreRestores, OutdatedAnswers: in.metrics.OutdatedStoreAnswers,
 		},
 	}
