--- a/internal/proxy/cwinstance/instance.go
+++ b/internal/proxy/cwinstance/instance.go
@@ -105,7 +105,7 @@
 	in := &Instance{cfg: cfg, remotePath: &cwlead.RemotePath{}, metrics: cwengine.NewMetrics()}
 	in.peers = &cwpeers.Peers{
 		Self:  cwholder.Instance{ID: cfg.Name, DataCentre: cfg.DataCentre, Address: cfg.Peers},
-		Table: cfg.Table, Dial: dialPeer, Clock: cfg.Clock, Log: cfg.Log, FirstStart: cfg.FirstStart, Path: in.remotePath,
+		Table: cfg.Table, Dial: dialPeer, Clock: cfg.Clock, Log: cfg.Log, FirstStart: cfg.FirstStart, PathMonitor: in.remotePath,
 	}
 	in.peers.OnChange = in.refreshHolders
 	in.members = &cwmembers.Recorder{Table: cfg.Table, Clock: cfg.Clock, Log: cfg.Log, HolderRank: in.holderRank, GroupCount: in.groupCount}
--- a/internal/proxy/cwpeers/ondemand_test.go
+++ b/internal/proxy/cwpeers/ondemand_test.go
@@ -46,7 +46,7 @@
 		holders := cwholder.Holders("g", all, manyGroupsCapacity)
 		self := all[slices.IndexFunc(all, func(i cwholder.Instance) bool { return !slices.Contains(holders, i) })]
 		path := &pathRecorder{}
-		p := &Peers{Self: self, Table: n, Dial: n.dial, Clock: clockwork.NewRealClock(), Log: log.New(io.Discard), Path: path}
+		p := &Peers{Self: self, Table: n, Dial: n.dial, Clock: clockwork.NewRealClock(), Log: log.New(io.Discard), PathMonitor: path}
 		p.ApplyRows(rows, true)
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan error)
--- a/internal/proxy/cwpeers/peers.go
+++ b/internal/proxy/cwpeers/peers.go
@@ -78,9 +78,9 @@
 	// FirstStart is true if the deployment starts for the first time, so that no
 	// instance has a row yet.
 	FirstStart bool
-	// Path records answers and missing answers on connections to other data centres;
+	// PathMonitor records answers and missing answers on connections to other data centres;
 	// it may be nil.
-	Path PathMonitor
+	PathMonitor PathMonitor
 
 	mu sync.Mutex
 	// dirty is true if the set of instances has changed since OnChange was last called.
@@ -186,7 +186,7 @@
 	if l == nil {
 		l = &link{remote: to, dial: p.Dial, clock: p.Clock, log: p.Log, onDialEnded: p.wakeDialWaiters}
 		if to.DataCentre != p.Self.DataCentre {
-			l.path = p.Path
+			l.path = p.PathMonitor
 		}
 		if p.links == nil {
 			p.links = make(map[string]*link)
