--- a/internal/proxy/cwengine/membership.go
+++ b/internal/proxy/cwengine/membership.go
@@ -147,19 +147,19 @@
 // Members returns the members of each group that this instance holds, by service,
 // including those that are no longer listed and still count. It leaves out groups of
 // which some members are not known.
-func (e *Engine) Members() map[string]cwmembers.Count {
+func (e *Engine) Members() map[string]cwmembers.CountedMembers {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
 	absent := make(map[string][]cwport.Listing)
 	for _, l := range e.absentListings {
 		absent[l.Service] = append(absent[l.Service], l)
 	}
-	out := make(map[string]cwmembers.Count)
+	out := make(map[string]cwmembers.CountedMembers)
 	for service, p := range e.plans {
 		if !p.held {
 			continue
 		}
-		c := cwmembers.Count{Members: append(e.listings.forService(service), absent[service]...), StableSize: e.memberships[service].StableSize()}
+		c := cwmembers.CountedMembers{Members: append(e.listings.forService(service), absent[service]...), StableSize: e.memberships[service].StableSize()}
 		if len(c.Members) > 0 && len(c.Members) >= c.StableSize {
 			out[service] = c
 		}
--- a/internal/proxy/cwinstance/instance.go
+++ b/internal/proxy/cwinstance/instance.go
@@ -147,7 +147,7 @@
 
 // countMembers returns the members of each group; nil while the store doesn't answer
 // requests for the list of targets.
-func (in *Instance) countMembers() map[string]cwmembers.Count {
+func (in *Instance) countMembers() map[string]cwmembers.CountedMembers {
 	if !in.directory.TargetsAvailable() {
 		return nil
 	}
--- a/internal/proxy/cwmembers/members.go
+++ b/internal/proxy/cwmembers/members.go
@@ -60,7 +60,7 @@
 	Log   *log.Logger
 	// Counted returns the members of each group, by service; nil while the store
 	// doesn't report which targets exist.
-	Counted func() map[string]Count
+	Counted func() map[string]CountedMembers
 	// HolderRank returns this instance's rank among the holders of a group, and false if
 	// it doesn't hold the group. A negative rank counts as the first, 0.
 	HolderRank func(service string) (int, bool)
@@ -78,8 +78,8 @@
 	differsSince map[string]time.Time
 }
 
-// Count is the members of a group as an instance counts them.
-type Count struct {
+// CountedMembers is the members of a group as an instance counts them.
+type CountedMembers struct {
 	Members []cwport.Listing
 	// StableSize is the number of members without those that are about to be exchanged.
 	StableSize int
@@ -167,7 +167,7 @@
 }
 
 // dropUncounted removes the differences of groups that are no longer counted here.
-func (r *Recorder) dropUncounted(counted map[string]Count) {
+func (r *Recorder) dropUncounted(counted map[string]CountedMembers) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	maps.DeleteFunc(r.differsSince, func(service string, _ time.Time) bool {
@@ -183,7 +183,7 @@
 // rewrite it with only the members that it finds. Other starting instances then count
 // too few members until a holder that knows more gets its turn. A holder that counts
 // more members than the row therefore doesn't wait for its rank.
-func (r *Recorder) writeDue(service string, c Count) (tag string, due bool) {
+func (r *Recorder) writeDue(service string, c CountedMembers) (tag string, due bool) {
 	rank, held := r.HolderRank(service)
 	groups := r.GroupCount()
 	r.mu.Lock()
@@ -232,7 +232,7 @@
 
 // rewriteRankDelay returns how much longer each holder waits before it rewrites a row
 // than the holder of the rank before it.
-func rewriteRankDelay(c Count, w groupRow) time.Duration {
+func rewriteRankDelay(c CountedMembers, w groupRow) time.Duration {
 	switch {
 	case w.etag == "":
 		return missingRowDelay
@@ -244,7 +244,7 @@
 
 // writeRow writes a group's row. If another instance was first, or if the answer is
 // lost, the actual row arrives with the next rows passed to ObserveRows.
-func (r *Recorder) writeRow(ctx context.Context, service string, c Count, tag string) {
+func (r *Recorder) writeRow(ctx context.Context, service string, c CountedMembers, tag string) {
 	value, err := encode(c)
 	if err != nil {
 		r.Log.Error("membersNotWritten", "group", service, "cause", err)
@@ -287,7 +287,7 @@
 }
 
 // encode returns the value of a group's row, with the members in the order of their ids.
-func encode(c Count) ([]byte, error) {
+func encode(c CountedMembers) ([]byte, error) {
 	var out []memberJSON
 	for _, l := range sortedByID(c.Members) {
 		out = append(out, memberJSON{ID: string(l.ID), Address: l.Address, DataCentre: l.DataCentre, Slots: l.Slots, StableSize: c.StableSize})
--- a/internal/proxy/cwmembers/members_test.go
+++ b/internal/proxy/cwmembers/members_test.go
@@ -74,13 +74,13 @@
 	}
 }
 
-func (c *countedMembers) get() map[string]Count {
+func (c *countedMembers) get() map[string]CountedMembers {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.members == nil {
 		return nil
 	}
-	return map[string]Count{"s": {Members: c.members, StableSize: len(c.members)}}
+	return map[string]CountedMembers{"s": {Members: c.members, StableSize: len(c.members)}}
 }
 
 // runRecorders runs the Recorders of instances that hold the group at the given ranks,
@@ -210,7 +210,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		r.writeDue("s", Count{Members: []cwport.Listing{{ID: "a"}}, StableSize: 1})
+		r.writeDue("s", CountedMembers{Members: []cwport.Listing{{ID: "a"}}, StableSize: 1})
 	}()
 	select {
 	case <-done:
@@ -228,7 +228,7 @@
 				HolderRank: func(string) (int, bool) { return rank, true },
 			}
 			r.ObserveRows(nil, true)
-			c := Count{Members: []cwport.Listing{{ID: "a"}}, StableSize: 1}
+			c := CountedMembers{Members: []cwport.Listing{{ID: "a"}}, StableSize: 1}
 			r.writeDue("s", c)
 			time.Sleep(wait + firstRowDelay("s", 1000) - time.Millisecond)
 			_, due := r.writeDue("s", c)
@@ -243,7 +243,7 @@
 // Guards against delaying a lost row as if it were the group's first one.
 func TestLostRowIsRewrittenAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := Count{Members: []cwport.Listing{{ID: "a"}}, StableSize: 1}
+		c := CountedMembers{Members: []cwport.Listing{{ID: "a"}}, StableSize: 1}
 		r := &Recorder{
 			Clock: clockwork.NewRealClock(), Log: log.New(io.Discard), GroupCount: func() int { return 100_000 },
 			HolderRank: func(string) (int, bool) { return 0, true },
