--- a/internal/proxy/cwdirectory/directory.go
+++ b/internal/proxy/cwdirectory/directory.go
@@ -74,9 +74,9 @@
 	SetCatalogue(c cwcatalogue.Catalogue)
 	// SetTargets sets all targets. It is called with a complete list while no targets
 	// are known.
-	SetTargets(all []cwport.Listing)
+	SetTargets(all []cwport.ListedTarget)
 	// UpdateTargets adds or updates the targets in listed and removes those in removed.
-	UpdateTargets(listed []cwport.Listing, removed []cwgroup.MemberID)
+	UpdateTargets(listed []cwport.ListedTarget, removed []cwgroup.MemberID)
 	// ApplyRows applies own rows; whole is true if these are all of them.
 	ApplyRows(rows []cwport.Row, whole bool)
 	// SetEra sets the era of the store's data, before any data of that era is passed. A
@@ -119,7 +119,7 @@
 	// RememberedTargets returns the targets that were known before this instance
 	// started, as stored in own rows; nil if none are stored. It is called once, after
 	// the own rows were read or ownRowsTimeout has passed.
-	RememberedTargets func() []cwport.Listing
+	RememberedTargets func() []cwport.ListedTarget
 
 	// Counts are the metrics to increment; nil counters are skipped.
 	Counts Counts
@@ -160,7 +160,7 @@
 	// knownTargets are the targets in use, including those whose entries have
 	// disappeared. missingSince is when such an entry disappeared, or when the store
 	// became available again after that.
-	knownTargets map[cwgroup.MemberID]cwport.Listing
+	knownTargets map[cwgroup.MemberID]cwport.ListedTarget
 	missingSince map[cwgroup.MemberID]time.Time
 	// rememberedOnly are the targets from RememberedTargets whose entries this instance
 	// has never seen.
@@ -231,7 +231,7 @@
 func (d *Directory) Confirmed() time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.topics[cwport.Desired].confirmed
+	return d.topics[cwport.TopicDesired].confirmed
 }
 
 // initState initializes the unexported fields once. TellNews calls it too, since another
@@ -245,7 +245,7 @@
 	if d.Feeders != nil {
 		d.startDeadline = d.Clock.Now().Add(placementTimeout)
 	}
-	d.knownTargets = make(map[cwgroup.MemberID]cwport.Listing)
+	d.knownTargets = make(map[cwgroup.MemberID]cwport.ListedTarget)
 	d.missingSince = make(map[cwgroup.MemberID]time.Time)
 	d.rememberedOnly = make(map[cwgroup.MemberID]bool)
 	d.loggedFaults = make(map[rowID]bool)
@@ -259,7 +259,7 @@
 	defer d.applyMu.Unlock()
 	d.updateEra(t, b)
 	outdated := b.Version < d.versionOf(t)
-	if outdated || t == cwport.Desired && d.updateRevision(b, whole) {
+	if outdated || t == cwport.TopicDesired && d.updateRevision(b, whole) {
 		// The batch is ignored as older than what is known, so it must not count as a
 		// confirmation that there is nothing newer. Otherwise an instance that is
 		// permanently behind would claim to be up to date, and go on trusting API keys
@@ -295,10 +295,10 @@
 		}
 	}
 	if len(newer) == len(b.Raw) {
-		return b, b.Changed() || len(b.Faults) > 0
+		return b, b.Changed() || len(b.RowErrors) > 0
 	}
 	b = d.Decoder.Decode(t, b.Version, newer)
-	return b, b.Changed() || len(b.Faults) > 0
+	return b, b.Changed() || len(b.RowErrors) > 0
 }
 
 // recordBatch updates the version, history and confirmation of a topic, and wakes the
@@ -319,7 +319,7 @@
 		s.confirmed = confirmed
 		d.wakeStoreWaiters(t)
 	}
-	if t == cwport.Desired || whole || b.Changed() {
+	if t == cwport.TopicDesired || whole || b.Changed() {
 		close(d.changesAvailable)
 		d.changesAvailable = make(chan struct{})
 	}
@@ -328,7 +328,7 @@
 // wakeStoreWaiters wakes the topics that wait for the store to become available, if t is
 // the desired state. The caller holds mu.
 func (d *Directory) wakeStoreWaiters(t cwport.Topic) {
-	if t == cwport.Desired && d.desiredConfirmed != nil {
+	if t == cwport.TopicDesired && d.desiredConfirmed != nil {
 		close(d.desiredConfirmed)
 		d.desiredConfirmed = nil
 	}
@@ -348,15 +348,15 @@
 func (d *Directory) notifySink(t cwport.Topic, b cwport.Batch, whole bool) {
 	d.logFaults(t, b)
 	switch t {
-	case cwport.Desired:
+	case cwport.TopicDesired:
 		if b.Catalogue != nil {
 			d.Sink.SetCatalogue(*b.Catalogue)
 		}
-	case cwport.Targets:
+	case cwport.TopicTargets:
 		d.applyTargets(b, whole)
 	default:
-		if whole || len(b.Rows) > 0 {
-			d.Sink.ApplyRows(b.Rows, whole)
+		if whole || len(b.OwnRows) > 0 {
+			d.Sink.ApplyRows(b.OwnRows, whole)
 		}
 	}
 }
@@ -366,10 +366,10 @@
 func (d *Directory) logFaults(t cwport.Topic, b cwport.Batch) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, l := range b.Listed {
+	for _, l := range b.Updated {
 		delete(d.loggedFaults, rowID{t, string(l.ID)})
 	}
-	for _, f := range b.Faults {
+	for _, f := range b.RowErrors {
 		id := rowID{t, f.Key}
 		if d.loggedFaults[id] {
 			continue
@@ -383,9 +383,9 @@
 // request. It is zero for the desired state, which is applied at once.
 func batchDelay(t cwport.Topic) time.Duration {
 	switch t {
-	case cwport.Targets:
+	case cwport.TopicTargets:
 		return targetsBatchDelay
-	case cwport.Own:
+	case cwport.TopicOwn:
 		return ownBatchDelay
 	}
 	return 0
--- a/internal/proxy/cwdirectory/directory_test.go
+++ b/internal/proxy/cwdirectory/directory_test.go
@@ -38,15 +38,15 @@
 }
 
 func (s *fakeSource) Snapshot(_ context.Context, t cwport.Topic) (cwport.Batch, error) {
-	if t == cwport.Targets {
-		return cwport.Batch{Version: 1, Listed: []cwport.Listing{{ID: "a"}, {ID: "b"}}}, nil
+	if t == cwport.TopicTargets {
+		return cwport.Batch{Version: 1, Updated: []cwport.ListedTarget{{ID: "a"}, {ID: "b"}}}, nil
 	}
 	return cwport.Batch{Version: 1}, nil
 }
 
 func (s *fakeSource) Changes(ctx context.Context, t cwport.Topic, after cwfeed.Version, wait time.Duration) (cwport.Batch, error) {
 	switch t {
-	case cwport.Desired:
+	case cwport.TopicDesired:
 		s.mu.Lock()
 		s.waits = append(s.waits, wait)
 		n := len(s.waits)
@@ -54,7 +54,7 @@
 		if s.changes != nil {
 			return s.changes(ctx, n, wait)
 		}
-	case cwport.Targets:
+	case cwport.TopicTargets:
 		s.targetRequests.Add(1)
 		if s.targetsFail.Load() {
 			return cwport.Batch{}, errUnavailable
@@ -87,16 +87,16 @@
 	s.revisions = append(s.revisions, c.Revision)
 }
 
-func (s *fakeSink) SetTargets(all []cwport.Listing) { s.UpdateTargets(all, nil) }
+func (s *fakeSink) SetTargets(all []cwport.ListedTarget) { s.UpdateTargets(all, nil) }
 
-func (s *fakeSink) UpdateTargets(listed []cwport.Listing, removed []cwgroup.MemberID) {
+func (s *fakeSink) UpdateTargets(listed []cwport.ListedTarget, removed []cwgroup.MemberID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.lapsed == nil {
 		s.lapsed = make(map[cwgroup.MemberID]bool)
 	}
 	for _, l := range listed {
-		s.present[l.ID], s.lapsed[l.ID] = true, l.Lapsed
+		s.present[l.ID], s.lapsed[l.ID] = true, l.EntryMissing
 	}
 	for _, id := range removed {
 		delete(s.present, id)
@@ -207,7 +207,7 @@
 	out := startDirectory(t, src)
 	eventually(t, "the list is known", func() bool { return out.has("a") })
 	src.targets <- cwport.Batch{Version: 2, Removed: []cwgroup.MemberID{"a", "b"}}
-	src.targets <- cwport.Batch{Version: 3, Listed: []cwport.Listing{{ID: "b"}}}
+	src.targets <- cwport.Batch{Version: 3, Updated: []cwport.ListedTarget{{ID: "b"}}}
 	qt.Assert(t, out.has("a"), qt.IsTrue)
 	eventually(t, "the target whose entry did not come back is removed", func() bool { return !out.has("a") })
 	qt.Assert(t, out.has("b"), qt.IsTrue)
@@ -222,7 +222,7 @@
 	src.targets <- cwport.Batch{Version: 2, Removed: []cwgroup.MemberID{"a"}}
 	eventually(t, "the lapse is reported", func() bool { return out.hasLapsed("a") })
 	qt.Assert(t, out.has("a"), qt.IsTrue)
-	src.targets <- cwport.Batch{Version: 3, Listed: []cwport.Listing{{ID: "a"}}}
+	src.targets <- cwport.Batch{Version: 3, Updated: []cwport.ListedTarget{{ID: "a"}}}
 	eventually(t, "it is back", func() bool { return !out.hasLapsed("a") })
 }
 
@@ -258,7 +258,7 @@
 	malformed := func(v cwfeed.Version) cwport.Batch {
 		return cwport.Batch{
 			Version: v, Removed: []cwgroup.MemberID{"a", "x"},
-			Faults: []cwport.RowFault{{Key: "a", Version: v, Cause: errMalformedRow}, {Key: "x", Version: v, Cause: errMalformedRow}},
+			RowErrors: []cwport.RowError{{Key: "a", Version: v, Cause: errMalformedRow}, {Key: "x", Version: v, Cause: errMalformedRow}},
 		}
 	}
 	for v := range cwfeed.Version(2) {
@@ -267,7 +267,7 @@
 	qt.Assert(t, out.has("a"), qt.IsTrue)
 	qt.Assert(t, out.has("b"), qt.IsTrue)
 	eventually(t, "the target without a valid entry is removed", func() bool { return !out.has("a") })
-	src.targets <- cwport.Batch{Version: 4, Listed: []cwport.Listing{{ID: "a"}}}
+	src.targets <- cwport.Batch{Version: 4, Updated: []cwport.ListedTarget{{ID: "a"}}}
 	eventually(t, "it is back", func() bool { return out.has("a") })
 	qt.Assert(t, lines.count("rowUnreadable"), qt.Equals, 2)
 	src.targets <- malformed(5)
@@ -300,7 +300,7 @@
 	src := &fakeSource{targets: make(chan cwport.Batch, 20)}
 	out := startDirectory(t, src)
 	for i := range 20 {
-		src.targets <- cwport.Batch{Version: cwfeed.Version(i + 2), Listed: []cwport.Listing{{ID: cwgroup.MemberID(rune('c' + i))}}}
+		src.targets <- cwport.Batch{Version: cwfeed.Version(i + 2), Updated: []cwport.ListedTarget{{ID: cwgroup.MemberID(rune('c' + i))}}}
 	}
 	eventually(t, "the first of them is listed", func() bool { return out.has("c") })
 	time.Sleep(targetsBatchDelay * 3 / 2)
@@ -333,7 +333,7 @@
 		for i := range n {
 			rows = append(rows, cwport.Row{Key: fmt.Sprint("i-", i), Version: 5})
 		}
-		d.applyTargets(decoder{}.Decode(cwport.Targets, 5, rows), true)
+		d.applyTargets(decoder{}.Decode(cwport.TopicTargets, 5, rows), true)
 		qt.Assert(t, bytes.Count(lines.Bytes(), []byte("\n")) <= maxSingleLogLines, qt.IsTrue, qt.Commentf("%d targets", n))
 	}
 }
--- a/internal/proxy/cwdirectory/feed_test.go
+++ b/internal/proxy/cwdirectory/feed_test.go
@@ -121,9 +121,9 @@
 // must remove them once the store has confirmed that the entries are missing.
 func TestFollowerKeepsTargetsWhileStoreUnavailable(t *testing.T) {
 	runFleet(t, fleetSize, func(c *qt.C, fl *fleet) {
-		fl.store.put(cwport.Targets, "a", false)
+		fl.store.put(cwport.TopicTargets, "a", false)
 		time.Sleep(5 * time.Second)
-		fl.store.put(cwport.Targets, "a", true)
+		fl.store.put(cwport.TopicTargets, "a", true)
 		time.Sleep(1200 * time.Millisecond)
 		fl.store.setUnavailable(func(string) bool { return true })
 		time.Sleep(time.Minute)
--- a/internal/proxy/cwdirectory/fleet_test.go
+++ b/internal/proxy/cwdirectory/fleet_test.go
@@ -137,7 +137,7 @@
 		return cwport.Batch{}, ctx.Err()
 	}
 	if !whole && s.version.Era() > after.Era() {
-		return cwport.Batch{}, &cwport.HistoryError{After: after}
+		return cwport.Batch{}, &cwport.ChangesLostError{After: after}
 	}
 	rows, _ := s.history[t].ChangesSince(after)
 	return decoder{}.Decode(t, s.version, rows), nil
@@ -150,12 +150,12 @@
 	b := cwport.Batch{Version: version, Raw: rows}
 	for _, r := range rows {
 		switch {
-		case t == cwport.Own:
-			b.Rows = append(b.Rows, r)
-		case t == cwport.Targets && r.Removed:
+		case t == cwport.TopicOwn:
+			b.OwnRows = append(b.OwnRows, r)
+		case t == cwport.TopicTargets && r.Removed:
 			b.Removed = append(b.Removed, cwgroup.MemberID(r.Key))
-		case t == cwport.Targets:
-			b.Listed = append(b.Listed, cwport.Listing{ID: cwgroup.MemberID(r.Key)})
+		case t == cwport.TopicTargets:
+			b.Updated = append(b.Updated, cwport.ListedTarget{ID: cwgroup.MemberID(r.Key)})
 		default:
 			b.Catalogue = &cwcatalogue.Catalogue{Revision: cwcatalogue.Revision(r.Version)}
 		}
@@ -204,18 +204,18 @@
 
 func (m fleetInstance) Name() string { return m.name }
 
-// TellNews handles a request of another instance. A frozen feeder does not answer before
+// ServeChanges handles a request of another instance. A frozen feeder does not answer before
 // the request times out.
-func (m fleetInstance) TellNews(ctx context.Context, q cwport.NewsQuestion) (cwport.News, error) {
+func (m fleetInstance) ServeChanges(ctx context.Context, q cwport.ChangesRequest) (cwport.ChangesResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, q.Wait+500*time.Millisecond)
 	defer cancel()
-	n, err := m.dirs[m.name].TellNews(ctx, q)
+	n, err := m.dirs[m.name].ServeChanges(ctx, q)
 	m.mu.Lock()
 	frozen := m.frozen[m.name]
 	m.mu.Unlock()
 	if frozen {
 		<-ctx.Done()
-		return cwport.News{}, ctx.Err()
+		return cwport.ChangesResponse{}, ctx.Err()
 	}
 	return n, err
 }
@@ -225,7 +225,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		fl := &fleet{store: newFakeStore(), dirs: map[string]*Directory{}, sinks: map[string]*fakeSink{}, frozen: map[string]bool{}}
-		fl.store.put(cwport.Desired, "config", false)
+		fl.store.put(cwport.TopicDesired, "config", false)
 		for i := range n {
 			name := fmt.Sprintf("front-%d", i)
 			fl.names = append(fl.names, name)
@@ -269,7 +269,7 @@
 // at all instances except those in excluded.
 func (fl *fleet) changeDesired(c *qt.C, excluded ...string) time.Duration {
 	c.Helper()
-	fl.store.put(cwport.Desired, "config", false)
+	fl.store.put(cwport.TopicDesired, "config", false)
 	want := cwcatalogue.Revision(fl.store.version)
 	began := time.Now()
 	for {
--- a/internal/proxy/cwdirectory/follow.go
+++ b/internal/proxy/cwdirectory/follow.go
@@ -43,7 +43,7 @@
 type StaleAfter struct{ Desired, Targets time.Duration }
 
 func (s StaleAfter) ages(t cwport.Topic) cwfeed.Staleness {
-	return cwfeed.Staleness{MaxAge: [cwport.TopicCount]time.Duration{cwport.Desired: s.Desired, cwport.Targets: s.Targets, cwport.Own: ownStaleAfter}[t]}
+	return cwfeed.Staleness{MaxAge: [cwport.TopicCount]time.Duration{cwport.TopicDesired: s.Desired, cwport.TopicTargets: s.Targets, cwport.TopicOwn: ownStaleAfter}[t]}
 }
 
 // changeSource is where an instance receives changes from.
@@ -102,7 +102,7 @@
 
 // lookupInterval returns the pause until the next lookup of a feeder.
 func (d *Directory) lookupInterval() time.Duration {
-	if d.isLoaded(cwport.Desired) {
+	if d.isLoaded(cwport.TopicDesired) {
 		return feederLookupInterval
 	}
 	return startupLookupInterval
@@ -121,7 +121,7 @@
 // pollFeeder sends one request to a feeder and applies the answer.
 func (d *Directory) pollFeeder(ctx context.Context, f cwport.Feeder) {
 	sent, q := d.Clock.Now(), d.changesRequest()
-	n, err := f.TellNews(ctx, q)
+	n, err := f.ServeChanges(ctx, q)
 	if err != nil {
 		if ctx.Err() == nil {
 			d.Log.Warn("feederLost", "feeder", f.Name(), "cause", err)
@@ -131,7 +131,7 @@
 	}
 	inc(d.Counts.FeederAnswers)
 	d.setSource(fromFeeder)
-	d.setUnavailable(cwport.Targets, n.TargetsAway)
+	d.setUnavailable(cwport.TopicTargets, n.TargetsUnavailable)
 	changed, missing := false, false
 	for _, t := range applyOrder {
 		changes := n.Topics[t]
@@ -140,7 +140,7 @@
 			missing = true
 			continue
 		}
-		d.applyBatch(t, d.Decoder.Decode(t, changes.Version, changes.Rows), changes.Whole, answer.Confirmed())
+		d.applyBatch(t, d.Decoder.Decode(t, changes.Version, changes.Rows), changes.Complete, answer.Confirmed())
 		changed = changed || len(changes.Rows) > 0
 	}
 	switch {
@@ -155,7 +155,7 @@
 // applyOrder is the order in which the topics of one answer are applied. Own rows come
 // before targets because they store the members of groups, which are added to the first
 // list of targets.
-var applyOrder = [...]cwport.Topic{cwport.Desired, cwport.Own, cwport.Targets}
+var applyOrder = [...]cwport.Topic{cwport.TopicDesired, cwport.TopicOwn, cwport.TopicTargets}
 
 // acceptsFirst reports whether the first rows of a topic can be accepted from a feeder.
 // They are as good as a snapshot that was read from the store when the feeder's data was
@@ -163,18 +163,18 @@
 //
 // This bounds the load on the store when hundreds of instances start at once, which would
 // otherwise each read the whole list of targets and all own rows from it, some megabytes.
-func (d *Directory) acceptsFirst(t cwport.Topic, n cwport.News, a cwfeed.FeederResponse) bool {
-	if t == cwport.Targets && !d.isLoaded(cwport.Own) {
+func (d *Directory) acceptsFirst(t cwport.Topic, n cwport.ChangesResponse, a cwfeed.FeederResponse) bool {
+	if t == cwport.TopicTargets && !d.isLoaded(cwport.TopicOwn) {
 		return false
 	}
-	if t == cwport.Targets && n.TargetsUnsettled {
+	if t == cwport.TopicTargets && n.TargetsIncomplete {
 		// The feeder uses members whose entries are missing, and its rows do not include
 		// them. An instance that has never seen them would take two of three members for
 		// the whole group.
 		d.recordUnsettled(t)
 		return false
 	}
-	return n.Topics[t].Whole && !d.StaleAfter.ages(t).IsStale(a.Confirmed(), d.Clock.Now())
+	return n.Topics[t].Complete && !d.StaleAfter.ages(t).IsStale(a.Confirmed(), d.Clock.Now())
 }
 
 // recordUnsettled makes this instance request the first rows of a topic from the store,
@@ -190,12 +190,12 @@
 // changesRequest returns a request for the changes since the known versions. The first
 // request to a feeder has no wait and is answered at once, because until then the feeder
 // is not this instance's source, and stale topics ask the store.
-func (d *Directory) changesRequest() cwport.NewsQuestion {
+func (d *Directory) changesRequest() cwport.ChangesRequest {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	q := cwport.NewsQuestion{}
+	q := cwport.ChangesRequest{}
 	if d.source == fromFeeder {
-		q.Wait = d.StaleAfter.ages(cwport.Desired).FeederWait()
+		q.Wait = d.StaleAfter.ages(cwport.TopicDesired).FeederWait()
 	}
 	for _, t := range cwport.Topics {
 		q.After[t] = d.topics[t].version
@@ -203,7 +203,7 @@
 			// The feeder would answer at once with all rows of the topic, which this
 			// instance cannot use. An instance whose requests the store rejects since its
 			// start would thus ask its feeder in a busy loop, so it excludes the topic.
-			q.After[t] = cwport.NotAsked
+			q.After[t] = cwport.SkipTopic
 		}
 	}
 	return q
@@ -241,7 +241,7 @@
 		return 0, d.pollDueChanged
 	case !s.loaded:
 		return d.startDeadline.Sub(d.Clock.Now()), d.pollDueChanged
-	case d.source == fromNone && t == cwport.Own:
+	case d.source == fromNone && t == cwport.TopicOwn:
 		stale = firstListMaxAge
 	}
 	return stale - d.Clock.Since(d.topics[t].confirmed), d.pollDueChanged
--- a/internal/proxy/cwdirectory/poll.go
+++ b/internal/proxy/cwdirectory/poll.go
@@ -54,7 +54,7 @@
 
 // handleFailure records a failed request, and waits before the next.
 func (d *Directory) handleFailure(ctx context.Context, p *poll, err error) {
-	var history *cwport.HistoryError
+	var history *cwport.ChangesLostError
 	if errors.As(err, &history) {
 		d.Log.Warn("historyLost", "topic", p.topic, "after", history.After)
 		p.needSnapshot, p.historyLost = true, true
@@ -66,7 +66,7 @@
 		d.Log.Warn("storeLost", "topic", p.topic, "cause", err)
 	}
 	d.setUnavailable(p.topic, true)
-	p.mayHaveLapsed = p.mayHaveLapsed || p.topic == cwport.Targets && !d.isLoaded(p.topic)
+	p.mayHaveLapsed = p.mayHaveLapsed || p.topic == cwport.TopicTargets && !d.isLoaded(p.topic)
 	d.awaitRetry(ctx, p)
 	p.unavailable = true
 	p.retryPause = min(p.retryPause*2, maxRetryPause)
@@ -88,12 +88,12 @@
 	d.setUnavailable(p.topic, false)
 	p.unavailable, p.retryPause = false, minRetryPause
 	if p.mayHaveLapsed {
-		d.Log.Info("targetsAwaited", "listed", len(b.Listed), "waitMs", MinRemovalDelay.Milliseconds())
+		d.Log.Info("targetsAwaited", "listed", len(b.Updated), "waitMs", MinRemovalDelay.Milliseconds())
 		d.sleep(ctx, MinRemovalDelay)
 		p.mayHaveLapsed = false
 		return false
 	}
-	if p.topic == cwport.Targets {
+	if p.topic == cwport.TopicTargets {
 		d.awaitOwnRows(ctx)
 	}
 	return true
@@ -122,11 +122,11 @@
 	defer cancel()
 	after := d.versionOf(t)
 	if !d.beginPoll(t, after, cancel) {
-		return cwport.Batch{}, time.Time{}, &cwport.HistoryError{After: after}
+		return cwport.Batch{}, time.Time{}, &cwport.ChangesLostError{After: after}
 	}
 	b, err := d.Source.Changes(ctx, t, after, wait)
 	if d.endPoll(t, after) && err != nil {
-		err = &cwport.HistoryError{After: after}
+		err = &cwport.ChangesLostError{After: after}
 	}
 	answer := cwfeed.StoreResponse{Sent: sent, Received: d.Clock.Now(), Wait: wait, HasChanges: b.Changed()}
 	return b, answer.Confirmed(), err
@@ -149,17 +149,17 @@
 func (d *Directory) pollWait(t cwport.Topic) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	configured := [cwport.TopicCount]time.Duration{cwport.Desired: d.PollWaits.Desired, cwport.Targets: d.PollWaits.Targets, cwport.Own: ownPollWait}[t]
+	configured := [cwport.TopicCount]time.Duration{cwport.TopicDesired: d.PollWaits.Desired, cwport.TopicTargets: d.PollWaits.Targets, cwport.TopicOwn: ownPollWait}[t]
 	switch {
 	case d.source != fromStore && !d.storeBehind:
 		// No long poll: a feeder is expected to answer again. While storeBehind is true no
 		// answer confirms the topic, so requests without a wait would follow one another
 		// at once.
 		return 0
-	case t == cwport.Targets && len(d.missingSince) > 0:
+	case t == cwport.TopicTargets && len(d.missingSince) > 0:
 		// An answer after MinRemovalDelay is needed to decide whether the entry is back.
 		return min(configured, MinRemovalDelay)
-	case d.Clock.Since(d.lastRequestAt) < 2*d.StaleAfter.ages(cwport.Desired).FeederWait():
+	case d.Clock.Since(d.lastRequestAt) < 2*d.StaleAfter.ages(cwport.TopicDesired).FeederWait():
 		// Other instances follow this one. The store's next confirmation must reach them
 		// before their data is stale.
 		return min(configured, d.StaleAfter.ages(t).StoreWait())
@@ -178,15 +178,15 @@
 	t, pause, firstFailure := p.topic, p.retryPause, !p.unavailable
 	follower := d.changeSource() != fromStore && !p.needSnapshot
 	switch {
-	case t == cwport.Desired && follower && !firstFailure:
+	case t == cwport.TopicDesired && follower && !firstFailure:
 		pause = followerRetryPause
-	case t != cwport.Desired && follower:
+	case t != cwport.TopicDesired && follower:
 		pause = ownStaleAfter
-	case t != cwport.Desired && !firstFailure:
+	case t != cwport.TopicDesired && !firstFailure:
 		pause = unavailablePause
 	}
 	var confirmed <-chan struct{}
-	if t != cwport.Desired && !firstFailure {
+	if t != cwport.TopicDesired && !firstFailure {
 		confirmed = d.nextConfirmation()
 	}
 	select {
--- a/internal/proxy/cwdirectory/removal.go
+++ b/internal/proxy/cwdirectory/removal.go
@@ -18,23 +18,23 @@
 	first := whole && len(d.knownTargets) == 0
 	removed := b.Removed
 	if whole {
-		removed = d.missingFrom(b.Listed)
+		removed = d.missingFrom(b.Updated)
 	}
-	if whole && !first && b.Version.Era() > d.topics[cwport.Targets].version.Era() {
-		d.keepLeaving(b.Listed)
+	if whole && !first && b.Version.Era() > d.topics[cwport.TopicTargets].version.Era() {
+		d.keepLeaving(b.Updated)
 	}
-	for _, l := range b.Listed {
+	for _, l := range b.Updated {
 		d.knownTargets[l.ID] = l
 		delete(d.missingSince, l.ID)
 		delete(d.rememberedOnly, l.ID)
 	}
-	d.logTargets(b.Listed)
+	d.logTargets(b.Updated)
 	lapsed := d.markMissing(removed, now)
 	if first {
-		d.Sink.SetTargets(append(b.Listed, d.addRemembered(now)...))
+		d.Sink.SetTargets(append(b.Updated, d.addRemembered(now)...))
 		return
 	}
-	if changed := slices.Concat(b.Listed, lapsed); len(changed) > 0 {
+	if changed := slices.Concat(b.Updated, lapsed); len(changed) > 0 {
 		d.Sink.UpdateTargets(changed, nil)
 	}
 }
@@ -44,20 +44,20 @@
 // a large deployment, are logged as a count.
 const maxSingleLogLines = 32
 
-func (d *Directory) logTargets(listed []cwport.Listing) {
+func (d *Directory) logTargets(listed []cwport.ListedTarget) {
 	if len(listed) > maxSingleLogLines {
 		d.Log.Info("targetsListed", "count", len(listed), "known", len(d.knownTargets))
 		return
 	}
 	for _, l := range listed {
-		d.Log.Info("targetListed", "target", l.ID, "service", l.Service, "address", l.Address, "dataCentre", l.DataCentre, "leaving", l.Leaving, "role", l.Role)
+		d.Log.Info("targetListed", "target", l.ID, "service", l.Service, "address", l.Address, "dataCentre", l.DataCentre, "leaving", l.Draining, "role", l.Role)
 	}
 }
 
 // markMissing records that the entries of targets have disappeared, and returns the
 // targets for which that is new, marked as lapsed. The caller holds mu.
-func (d *Directory) markMissing(removed []cwgroup.MemberID, now time.Time) []cwport.Listing {
-	var lapsed []cwport.Listing
+func (d *Directory) markMissing(removed []cwgroup.MemberID, now time.Time) []cwport.ListedTarget {
+	var lapsed []cwport.ListedTarget
 	for _, id := range removed {
 		l, ok := d.knownTargets[id]
 		if !ok || !d.missingSince[id].IsZero() {
@@ -65,7 +65,7 @@
 		}
 		d.missingSince[id] = now
 		d.Log.Info("targetVanished", "target", id)
-		l.Lapsed = true
+		l.EntryMissing = true
 		d.knownTargets[id] = l
 		lapsed = append(lapsed, l)
 	}
@@ -80,13 +80,13 @@
 // awaitOwnRows waits before the first list of targets until own rows are known, from
 // which RememberedTargets is derived, or ownRowsTimeout has passed.
 func (d *Directory) awaitOwnRows(ctx context.Context) {
-	if d.RememberedTargets == nil || d.isLoaded(cwport.Targets) {
+	if d.RememberedTargets == nil || d.isLoaded(cwport.TopicTargets) {
 		return
 	}
 	end := d.Clock.After(ownRowsTimeout)
 	for {
 		d.mu.Lock()
-		known, changesAvailable := d.topics[cwport.Own].loaded, d.changesAvailable
+		known, changesAvailable := d.topics[cwport.TopicOwn].loaded, d.changesAvailable
 		d.mu.Unlock()
 		if known {
 			return
@@ -110,17 +110,17 @@
 // down, and has never seen the entries that lapsed. If it took the listed members for
 // whole groups, two of three members could confirm and promote by themselves, and what
 // the third acknowledged with one of them would be lost.
-func (d *Directory) addRemembered(now time.Time) []cwport.Listing {
+func (d *Directory) addRemembered(now time.Time) []cwport.ListedTarget {
 	if d.RememberedTargets == nil {
 		return nil
 	}
-	var out []cwport.Listing
+	var out []cwport.ListedTarget
 	for _, l := range d.RememberedTargets() {
 		if _, ok := d.knownTargets[l.ID]; ok {
 			continue
 		}
 		d.Log.Info("targetRemembered", "target", l.ID, "service", l.Service, "address", l.Address)
-		l.Lapsed = true
+		l.EntryMissing = true
 		d.knownTargets[l.ID], d.missingSince[l.ID], d.rememberedOnly[l.ID] = l, now, true
 		out = append(out, l)
 	}
@@ -132,12 +132,12 @@
 func (d *Directory) TargetsAvailable() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return !d.unavailable && d.topics[cwport.Targets].loaded
+	return !d.unavailable && d.topics[cwport.TopicTargets].loaded
 }
 
 // missingFrom returns the known targets that a snapshot lacks, except those already
 // recorded as missing. The caller holds mu.
-func (d *Directory) missingFrom(listed []cwport.Listing) []cwgroup.MemberID {
+func (d *Directory) missingFrom(listed []cwport.ListedTarget) []cwgroup.MemberID {
 	present := make(map[cwgroup.MemberID]bool, len(listed))
 	for _, l := range listed {
 		present[l.ID] = true
@@ -160,7 +160,7 @@
 // everything until the store returns. So the time until removal counts from the store's
 // last return, and targets are removed only while the store is available.
 func (d *Directory) setUnavailable(t cwport.Topic, unavailable bool) {
-	if t != cwport.Targets {
+	if t != cwport.TopicTargets {
 		return
 	}
 	d.mu.Lock()
@@ -223,5 +223,5 @@
 	if d.unavailable || now.Sub(missingSince) < delay {
 		return false
 	}
-	return d.topics[cwport.Targets].confirmed.Sub(missingSince) >= MinRemovalDelay
+	return d.topics[cwport.TopicTargets].confirmed.Sub(missingSince) >= MinRemovalDelay
 }
--- a/internal/proxy/cwdirectory/restore.go
+++ b/internal/proxy/cwdirectory/restore.go
@@ -109,11 +109,11 @@
 // again, new work would be sent to it and be lost when it stops. So an entry from before
 // the restore does not revoke the announcement. An entry that the target writes later, or
 // after it has started again, is used as it is.
-func (d *Directory) keepLeaving(listed []cwport.Listing) {
+func (d *Directory) keepLeaving(listed []cwport.ListedTarget) {
 	for i, l := range listed {
 		known, ok := d.knownTargets[l.ID]
-		if ok && known.Leaving && !l.Leaving && known.Born.Equal(l.Born) {
-			listed[i].Leaving = true
+		if ok && known.Draining && !l.Draining && known.StartedAt.Equal(l.StartedAt) {
+			listed[i].Draining = true
 			d.Log.Info("targetStillLeaves", "target", l.ID)
 		}
 	}
--- a/internal/proxy/cwdirectory/restore_test.go
+++ b/internal/proxy/cwdirectory/restore_test.go
@@ -21,7 +21,7 @@
 func TestRestoreReachesEveryInstance(t *testing.T) {
 	runFleet(t, fleetSize, func(c *qt.C, fl *fleet) {
 		for range 50 {
-			fl.store.put(cwport.Targets, "a", false)
+			fl.store.put(cwport.TopicTargets, "a", false)
 		}
 		time.Sleep(10 * time.Second)
 		for range 2 {
@@ -74,19 +74,19 @@
 }
 
 func (s *restoredSource) Snapshot(_ context.Context, t cwport.Topic) (cwport.Batch, error) {
-	if t == cwport.Own {
+	if t == cwport.TopicOwn {
 		s.snapshots.Add(1)
 	}
 	return cwport.Batch{Version: s.version()}, nil
 }
 
 func (s *restoredSource) Changes(ctx context.Context, t cwport.Topic, after cwfeed.Version, wait time.Duration) (cwport.Batch, error) {
-	if t != cwport.Desired {
+	if t != cwport.TopicDesired {
 		<-ctx.Done()
 		return cwport.Batch{}, ctx.Err()
 	}
 	if after.Era() != s.version().Era() {
-		return cwport.Batch{}, &cwport.HistoryError{After: after}
+		return cwport.Batch{}, &cwport.ChangesLostError{After: after}
 	}
 	select {
 	case <-time.After(min(wait, 100*time.Millisecond)):
@@ -118,11 +118,11 @@
 	d.initState()
 	at := time.Unix(1000, 0)
 	newer := at.Add(time.Minute)
-	d.applyBatch(cwport.Desired, cwport.Batch{Version: 9}, true, at)
-	d.applyBatch(cwport.Desired, cwport.Batch{Version: 8}, true, newer)
+	d.applyBatch(cwport.TopicDesired, cwport.Batch{Version: 9}, true, at)
+	d.applyBatch(cwport.TopicDesired, cwport.Batch{Version: 8}, true, newer)
 	c.Assert(d.Confirmed(), qt.Equals, at)
-	d.applyBatch(cwport.Desired, cwport.Batch{Version: 8}, false, newer)
+	d.applyBatch(cwport.TopicDesired, cwport.Batch{Version: 8}, false, newer)
 	c.Assert(d.Confirmed(), qt.Equals, at)
-	d.applyBatch(cwport.Desired, cwport.Batch{Version: 9}, true, newer)
+	d.applyBatch(cwport.TopicDesired, cwport.Batch{Version: 9}, true, newer)
 	c.Assert(d.Confirmed(), qt.Equals, newer)
 }
--- a/internal/proxy/cwdirectory/serve.go
+++ b/internal/proxy/cwdirectory/serve.go
@@ -12,17 +12,17 @@
 // it asks for, because each occupies a goroutine.
 const maxResponseWait = 10 * time.Second
 
-// TellNews implements cwport.NewsTeller. It answers as soon as there are changes after
+// ServeChanges implements cwport.ChangesServer. It answers as soon as there are changes after
 // the versions in q or the desired state is confirmed anew, and otherwise when q.Wait, at
-// most maxResponseWait, has passed. The error is a *cwport.NoNewsError while a topic has
+// most maxResponseWait, has passed. The error is a *cwport.NotLoadedError while a topic has
 // no snapshot, or that of ctx.
-func (d *Directory) TellNews(ctx context.Context, q cwport.NewsQuestion) (cwport.News, error) {
+func (d *Directory) ServeChanges(ctx context.Context, q cwport.ChangesRequest) (cwport.ChangesResponse, error) {
 	d.initState()
 	received := d.Clock.Now()
 	end := d.Clock.After(min(q.Wait, maxResponseWait))
 	lastConfirmed, ok := d.recordRequest()
 	if !ok {
-		return cwport.News{}, &cwport.NoNewsError{}
+		return cwport.ChangesResponse{}, &cwport.NotLoadedError{}
 	}
 	for {
 		n, ready, changesAvailable := d.responseSince(q, lastConfirmed)
@@ -43,7 +43,7 @@
 			// learns that this one is alive. The ages in the answer say how old its data is.
 			lastConfirmed = time.Time{}
 		case <-ctx.Done():
-			return cwport.News{}, ctx.Err()
+			return cwport.ChangesResponse{}, ctx.Err()
 		}
 	}
 }
@@ -59,16 +59,16 @@
 			return time.Time{}, false
 		}
 	}
-	return d.topics[cwport.Desired].confirmed, true
+	return d.topics[cwport.TopicDesired].confirmed, true
 }
 
 // responseSince returns the answer to a request. ready is false if there are no changes
 // for it and the desired state was not confirmed after lastConfirmed. changesAvailable is
 // closed when to check again.
-func (d *Directory) responseSince(q cwport.NewsQuestion, lastConfirmed time.Time) (n cwport.News, ready bool, changesAvailable <-chan struct{}) {
+func (d *Directory) responseSince(q cwport.ChangesRequest, lastConfirmed time.Time) (n cwport.ChangesResponse, ready bool, changesAvailable <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	ready = d.topics[cwport.Desired].confirmed.After(lastConfirmed)
+	ready = d.topics[cwport.TopicDesired].confirmed.After(lastConfirmed)
 	for i := range d.topics {
 		ready = ready || d.topics[i].history.HasChangesSince(q.After[i])
 	}
@@ -76,12 +76,12 @@
 		return n, false, d.changesAvailable
 	}
 	now := d.Clock.Now()
-	n.TargetsAway, n.TargetsUnsettled = d.unavailable, !d.listComplete(now)
+	n.TargetsUnavailable, n.TargetsIncomplete = d.unavailable, !d.listComplete(now)
 	for i := range d.topics {
 		s := &d.topics[i]
 		rows, whole := s.history.ChangesSince(q.After[i])
 		version, _ := s.history.Version()
-		n.Topics[i] = cwport.TopicNews{Version: version, Whole: whole, Rows: rows, Age: now.Sub(s.confirmed)}
+		n.Topics[i] = cwport.TopicChanges{Version: version, Complete: whole, Rows: rows, Age: now.Sub(s.confirmed)}
 	}
 	return n, true, d.changesAvailable
 }
--- a/internal/proxy/cwdirectory/start_test.go
+++ b/internal/proxy/cwdirectory/start_test.go
@@ -28,18 +28,18 @@
 		return []cwport.Row{{Key: "a", Version: v, Removed: removed}}
 	}
 	now := time.Now()
-	d.applyBatch(cwport.Targets, decoder{}.Decode(cwport.Targets, 5, row(4, false)), true, now)
-	d.applyBatch(cwport.Targets, decoder{}.Decode(cwport.Targets, 9, row(8, true)), false, now)
-	d.applyBatch(cwport.Targets, decoder{}.Decode(cwport.Targets, 7, row(6, false)), false, now)
+	d.applyBatch(cwport.TopicTargets, decoder{}.Decode(cwport.TopicTargets, 5, row(4, false)), true, now)
+	d.applyBatch(cwport.TopicTargets, decoder{}.Decode(cwport.TopicTargets, 9, row(8, true)), false, now)
+	d.applyBatch(cwport.TopicTargets, decoder{}.Decode(cwport.TopicTargets, 7, row(6, false)), false, now)
 	d.mu.Lock()
 	c.Assert(d.missingSince["a"].IsZero(), qt.IsFalse, qt.Commentf("the entry is missing, and no newer answer has it"))
 	d.mu.Unlock()
 	older := append(row(6, false), cwport.Row{Key: "b", Version: 5})
-	d.applyBatch(cwport.Targets, decoder{}.Decode(cwport.Targets, 8, older), true, now)
+	d.applyBatch(cwport.TopicTargets, decoder{}.Decode(cwport.TopicTargets, 8, older), true, now)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	c.Assert(d.missingSince["a"].IsZero(), qt.IsFalse)
-	rows, _ := d.topics[cwport.Targets].history.ChangesSince(0)
+	rows, _ := d.topics[cwport.TopicTargets].history.ChangesSince(0)
 	c.Assert(rows, qt.HasLen, 0, qt.Commentf("b was removed by version 9, and is not passed on"))
 }
 
@@ -48,9 +48,9 @@
 func TestTargetsAppliedWithoutOwnRows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newFakeStore()
-		store.put(cwport.Targets, "a", false)
+		store.put(cwport.TopicTargets, "a", false)
 		out := &fakeSink{present: map[cwgroup.MemberID]bool{}}
-		d := &Directory{Source: failingOwnRows{storeClient{store, "front-1"}}, Sink: out, RememberedTargets: func() []cwport.Listing { return nil }}
+		d := &Directory{Source: failingOwnRows{storeClient{store, "front-1"}}, Sink: out, RememberedTargets: func() []cwport.ListedTarget { return nil }}
 		runOne(t, d, func(c *qt.C) {
 			time.Sleep(3 * time.Second)
 			c.Assert(out.has("a"), qt.IsTrue)
@@ -62,7 +62,7 @@
 type failingOwnRows struct{ storeClient }
 
 func (s failingOwnRows) Snapshot(ctx context.Context, t cwport.Topic) (cwport.Batch, error) {
-	if t == cwport.Own {
+	if t == cwport.TopicOwn {
 		return cwport.Batch{}, errUnavailable
 	}
 	return s.storeClient.Snapshot(ctx, t)
@@ -79,12 +79,12 @@
 		out := &fakeSink{present: map[cwgroup.MemberID]bool{}}
 		runOne(t, &Directory{Source: storeClient{store, "front-1"}, Sink: out}, func(c *qt.C) {
 			time.Sleep(5 * time.Second)
-			store.put(cwport.Targets, "a", false)
+			store.put(cwport.TopicTargets, "a", false)
 			store.setUnavailable(func(string) bool { return false })
 			returned := time.Now()
 			time.AfterFunc(1500*time.Millisecond, func() {
-				store.put(cwport.Targets, "b", false)
-				store.put(cwport.Targets, "c", false)
+				store.put(cwport.TopicTargets, "b", false)
+				store.put(cwport.TopicTargets, "c", false)
 			})
 			for !out.has("a") && !out.has("b") && !out.has("c") {
 				time.Sleep(10 * time.Millisecond)
@@ -102,23 +102,23 @@
 func TestMembersAreRememberedAcrossRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newFakeStore()
-		store.put(cwport.Targets, "a", false)
-		store.put(cwport.Own, "members/s", false)
+		store.put(cwport.TopicTargets, "a", false)
+		store.put(cwport.TopicOwn, "members/s", false)
 		out := &fakeSink{present: map[cwgroup.MemberID]bool{}}
 		ownRead := false
 		d := &Directory{
 			RemovalDelay: 8 * time.Second, Source: storeClient{store, "front-1"},
 			Sink: rowsSink{out, func() { ownRead = true }},
-			RememberedTargets: func() []cwport.Listing {
+			RememberedTargets: func() []cwport.ListedTarget {
 				qt.Check(t, ownRead, qt.IsTrue, qt.Commentf("called before the own rows are known"))
-				return []cwport.Listing{{ID: "a"}, {ID: "b"}, {ID: "c"}}
+				return []cwport.ListedTarget{{ID: "a"}, {ID: "b"}, {ID: "c"}}
 			},
 		}
 		runOne(t, d, func(c *qt.C) {
 			time.Sleep(100 * time.Millisecond)
 			c.Assert(out.has("a") && out.has("b") && out.has("c"), qt.IsTrue)
 			time.Sleep(1400 * time.Millisecond)
-			store.put(cwport.Targets, "b", false)
+			store.put(cwport.TopicTargets, "b", false)
 			time.Sleep(7 * time.Second)
 			c.Assert(out.has("b"), qt.IsTrue)
 			c.Assert(out.has("c"), qt.IsFalse, qt.Commentf("its entry did not come back"))
@@ -154,7 +154,7 @@
 func TestFirstListFromFeederIsComplete(t *testing.T) {
 	t.Run("nothing is missing", func(t *testing.T) {
 		runFleet(t, fleetSize, func(c *qt.C, fl *fleet) {
-			fl.store.put(cwport.Targets, "a", false)
+			fl.store.put(cwport.TopicTargets, "a", false)
 			time.Sleep(5 * time.Second)
 			d, out := startInFleet(fl)
 			runOne(t, d, func(c *qt.C) {
@@ -172,10 +172,10 @@
 				d.RemovalDelay = 20 * time.Second
 				d.mu.Unlock()
 			}
-			fl.store.put(cwport.Targets, "a", false)
-			fl.store.put(cwport.Targets, "b", false)
+			fl.store.put(cwport.TopicTargets, "a", false)
+			fl.store.put(cwport.TopicTargets, "b", false)
 			time.Sleep(5 * time.Second)
-			fl.store.put(cwport.Targets, "b", true)
+			fl.store.put(cwport.TopicTargets, "b", true)
 			time.Sleep(5 * time.Second)
 			d, out := startInFleet(fl)
 			answers := &metrics.Counter{}
@@ -192,7 +192,7 @@
 	})
 	t.Run("the store does not answer the feeders either", func(t *testing.T) {
 		runFleet(t, fleetSize, func(c *qt.C, fl *fleet) {
-			fl.store.put(cwport.Targets, "a", false)
+			fl.store.put(cwport.TopicTargets, "a", false)
 			time.Sleep(5 * time.Second)
 			fl.store.setUnavailable(func(string) bool { return true })
 			time.Sleep(15 * time.Second)
@@ -220,7 +220,7 @@
 type failingTargets struct{ storeClient }
 
 func (s failingTargets) Snapshot(ctx context.Context, t cwport.Topic) (cwport.Batch, error) {
-	if t == cwport.Targets {
+	if t == cwport.TopicTargets {
 		return cwport.Batch{}, errUnavailable
 	}
 	return s.storeClient.Snapshot(ctx, t)
@@ -253,31 +253,35 @@
 // Guards against accepting the first rows from a feeder when they are stale, or before the
 // rows on which they depend.
 func TestAcceptsFirst(t *testing.T) {
-	whole := func() cwport.News {
-		var n cwport.News
+	whole := func() cwport.ChangesResponse {
+		var n cwport.ChangesResponse
 		for i := range n.Topics {
-			n.Topics[i].Whole = true
+			n.Topics[i].Complete = true
 		}
 		return n
 	}
 	for _, tc := range []struct {
 		name   string
-		change func(d *Directory, n *cwport.News, a *cwfeed.FeederResponse)
+		change func(d *Directory, n *cwport.ChangesResponse, a *cwfeed.FeederResponse)
 		want   bool
 	}{
-		{"a recent and complete answer", func(*Directory, *cwport.News, *cwfeed.FeederResponse) {}, true},
-		{"the feeder uses targets without entries", func(_ *Directory, n *cwport.News, _ *cwfeed.FeederResponse) { n.TargetsUnsettled = true }, false},
-		{"own rows with the members of groups are not loaded", func(d *Directory, _ *cwport.News, _ *cwfeed.FeederResponse) { d.topics[cwport.Own].loaded = false }, false},
-		{"changes alone", func(_ *Directory, n *cwport.News, _ *cwfeed.FeederResponse) { n.Topics[cwport.Targets].Whole = false }, false},
-		{"a stale answer", func(_ *Directory, _ *cwport.News, a *cwfeed.FeederResponse) { a.Age = fleetStale.Targets }, false},
+		{"a recent and complete answer", func(*Directory, *cwport.ChangesResponse, *cwfeed.FeederResponse) {}, true},
+		{"the feeder uses targets without entries", func(_ *Directory, n *cwport.ChangesResponse, _ *cwfeed.FeederResponse) { n.TargetsIncomplete = true }, false},
+		{"own rows with the members of groups are not loaded", func(d *Directory, _ *cwport.ChangesResponse, _ *cwfeed.FeederResponse) {
+			d.topics[cwport.TopicOwn].loaded = false
+		}, false},
+		{"changes alone", func(_ *Directory, n *cwport.ChangesResponse, _ *cwfeed.FeederResponse) {
+			n.Topics[cwport.TopicTargets].Complete = false
+		}, false},
+		{"a stale answer", func(_ *Directory, _ *cwport.ChangesResponse, a *cwfeed.FeederResponse) { a.Age = fleetStale.Targets }, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			d := &Directory{Clock: clockwork.NewRealClock(), StaleAfter: fleetStale}
 			d.initState()
-			d.topics[cwport.Own].loaded = true
+			d.topics[cwport.TopicOwn].loaded = true
 			n, a := whole(), cwfeed.FeederResponse{Sent: time.Now()}
 			tc.change(d, &n, &a)
-			qt.Assert(t, d.acceptsFirst(cwport.Targets, n, a), qt.Equals, tc.want)
+			qt.Assert(t, d.acceptsFirst(cwport.TopicTargets, n, a), qt.Equals, tc.want)
 		})
 	}
 }
--- a/internal/proxy/cwengine/access_test.go
+++ b/internal/proxy/cwengine/access_test.go
@@ -90,10 +90,10 @@
 	t.Run("an unknown key opens no session", func(t *testing.T) {
 		env := newKeyedEnv(t)
 		for _, key := range []string{"", "x", "n1 "} {
-			a := env.engine.admit(cwport.Startup{Database: testDatabase, Key: cwcatalogue.DigestOf(key)})
+			a := env.engine.admit(cwport.Startup{Database: testDatabase, KeyDigest: cwcatalogue.DigestOf(key)})
 			assertUnauthorised(env.c, a)
 		}
-		a := env.engine.admit(cwport.Startup{Database: testDatabase, Key: cwcatalogue.DigestOf("n2")})
+		a := env.engine.admit(cwport.Startup{Database: testDatabase, KeyDigest: cwcatalogue.DigestOf("n2")})
 		assertOK(env.c, a)
 	})
 	t.Run("statements run for the workspace of the key", func(t *testing.T) {
@@ -156,7 +156,7 @@
 	t.Run("it may come back", func(t *testing.T) {
 		env := newKeyedEnv(t)
 		env.setKeys(map[string][]string{"north": {"n2"}})
-		assertUnauthorised(env.c, env.engine.admit(cwport.Startup{Database: testDatabase, Key: cwcatalogue.DigestOf("n1")}))
+		assertUnauthorised(env.c, env.engine.admit(cwport.Startup{Database: testDatabase, KeyDigest: cwcatalogue.DigestOf("n1")}))
 		env.setKeys(map[string][]string{"north": {"n1"}})
 		assertOK(env.c, env.caller("n1").ask(cwstatement.Write, "WRITE a 1"))
 	})
@@ -185,7 +185,7 @@
 	env.clock.Advance(keyBound)
 	assertNothingKept(env.c, s.ask(cwstatement.Commit, "COMMIT"))
 	assertNothingKept(env.c, s.ask(cwstatement.Write, "WRITE a 2"))
-	assertNothingKept(env.c, env.engine.admit(cwport.Startup{Database: testDatabase, Key: cwcatalogue.DigestOf("n1")}))
+	assertNothingKept(env.c, env.engine.admit(cwport.Startup{Database: testDatabase, KeyDigest: cwcatalogue.DigestOf("n1")}))
 	env.c.Assert(env.engine.Ready(), qt.IsFalse)
 	env.assertNeverRan("WRITE a 2")
 	env.c.Assert(env.group.Value("a"), qt.Equals, "")
@@ -197,11 +197,11 @@
 // testMeter allows a fixed number of operations.
 type testMeter struct{ remaining atomic.Int64 }
 
-func (m *testMeter) Take(string) cwport.Verdict {
+func (m *testMeter) Take(string) cwport.QuotaDecision {
 	if m.remaining.Add(-1) < 0 {
-		return cwport.Verdict{RetryAfter: time.Second}
+		return cwport.QuotaDecision{RetryAfter: time.Second}
 	}
-	return cwport.Verdict{Allowed: true}
+	return cwport.QuotaDecision{Allowed: true}
 }
 
 // Checks what counts as an operation. With a quota of three operations, a transaction of
--- a/internal/proxy/cwengine/engine.go
+++ b/internal/proxy/cwengine/engine.go
@@ -86,7 +86,7 @@
 	// remembered group sizes can exist.
 	FirstStart bool
 	// Meter enforces the quotas of workspaces; nil if there are none.
-	Meter cwport.Meter
+	Meter cwport.QuotaMeter
 }
 
 // Engine serves the sessions of callers and runs their statements on groups of
@@ -110,7 +110,7 @@
 	// memberships has the number of members of each service's group. absentListings
 	// has the last listing of each member that is no longer listed but still counts.
 	memberships    map[string]cwgroup.Membership
-	absentListings map[cwgroup.MemberID]cwport.Listing
+	absentListings map[cwgroup.MemberID]cwport.ListedTarget
 	// lastRecorded has the recorded sizes of each service's group as last read.
 	lastRecorded map[string]recordedSize
 	// rows has the newest stored failover row of each group, whether or not the
@@ -153,7 +153,7 @@
 	return &Engine{
 		cfg:                   cfg,
 		memberships:           make(map[string]cwgroup.Membership),
-		absentListings:        make(map[cwgroup.MemberID]cwport.Listing),
+		absentListings:        make(map[cwgroup.MemberID]cwport.ListedTarget),
 		rows:                  make(map[string]cwfailover.Row),
 		lastRecorded:          make(map[string]recordedSize),
 		groups:                make(map[string]*runningGroup),
@@ -210,7 +210,7 @@
 }
 
 // SetTargets replaces the whole list of targets.
-func (e *Engine) SetTargets(all []cwport.Listing) {
+func (e *Engine) SetTargets(all []cwport.ListedTarget) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.listings = targetList{}
@@ -226,7 +226,7 @@
 //
 // With a thousand groups, some target changes every few moments. Therefore only the
 // groups of the changed targets are updated.
-func (e *Engine) UpdateTargets(listed []cwport.Listing, removed []cwgroup.MemberID) {
+func (e *Engine) UpdateTargets(listed []cwport.ListedTarget, removed []cwgroup.MemberID) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	changed := make(map[string]bool)
@@ -265,7 +265,7 @@
 	if !ok {
 		return noDatabase(st.Database)
 	}
-	_, a := e.workspaceOf(entry, st.Key, e.cfg.Clock.Now())
+	_, a := e.workspaceOf(entry, st.KeyDigest, e.cfg.Clock.Now())
 	return a
 }
 
@@ -291,7 +291,7 @@
 // Serve accepts connections from a listener and runs a session on each. It returns
 // nil when accepting fails after the context of Start has ended; other failures are
 // logged and retried.
-func (e *Engine) Serve(ln net.Listener, codec func(net.Conn) cwport.Caller) error {
+func (e *Engine) Serve(ln net.Listener, codec func(net.Conn) cwport.CallerConn) error {
 	for {
 		conn, err := ln.Accept()
 		if err != nil {
--- a/internal/proxy/cwengine/fallback_test.go
+++ b/internal/proxy/cwengine/fallback_test.go
@@ -34,7 +34,7 @@
 
 func (h *fallbackHolders) Connect(string, cwholder.TargetCapacity) {}
 
-func (h *fallbackHolders) Holds(string, cwholder.TargetCapacity) (int, bool) { return 0, true }
+func (h *fallbackHolders) HolderRank(string, cwholder.TargetCapacity) (int, bool) { return 0, true }
 
 // newFallbackSession returns a caller's session at an instance x that holds the group.
 // Another holder, y, is available to x as a fallback.
--- a/internal/proxy/cwengine/forward_test.go
+++ b/internal/proxy/cwengine/forward_test.go
@@ -30,7 +30,7 @@
 
 func (h *forwardingHolders) Connect(string, cwholder.TargetCapacity) {}
 
-func (h *forwardingHolders) Holds(string, cwholder.TargetCapacity) (int, bool) { return -1, false }
+func (h *forwardingHolders) HolderRank(string, cwholder.TargetCapacity) (int, bool) { return -1, false }
 
 // testHolder is an engine behind a connection that can lose answers.
 type testHolder struct {
@@ -44,12 +44,12 @@
 
 func (h *testHolder) Name() string { return h.name }
 
-func (h *testHolder) Hand(_ context.Context, req cwport.Handover) (cwport.Handed, error) {
+func (h *testHolder) Forward(_ context.Context, req cwport.ForwardRequest) (cwport.ForwardResponse, error) {
 	r := h.engine.Hand(h, req)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.dropAnswers {
-		return cwport.Handed{}, &cwport.LostError{Holder: h.name, Cause: errUnavailable}
+		return cwport.ForwardResponse{}, &cwport.NoResponseError{Instance: h.name, Cause: errUnavailable}
 	}
 	return r, nil
 }
@@ -207,16 +207,16 @@
 	env.entry.Contract.IdleTransaction = time.Second
 	h := &testHolder{name: "holder", engine: env.engine("holder")}
 	env.waitForPrimary(h.engine)
-	req := cwport.Handover{
+	req := cwport.ForwardRequest{
 		Transaction: "front/1", Begin: cwstatement.Begin, Entry: env.entry,
 		Statement: cwstatement.Statement{ID: "w", Verb: cwstatement.Write, Text: "WRITE i 1"},
 	}
-	r, err := h.Hand(context.Background(), req)
+	r, err := h.Forward(context.Background(), req)
 	env.c.Assert(err, qt.IsNil)
 	assertOK(env.c, r.Answer)
 	env.eventually("the transaction is over", func() bool { return h.engine.SessionCount() == 0 })
 	req.Begin, req.Statement = cwstatement.UnknownVerb, cwstatement.Statement{ID: "c", Verb: cwstatement.Commit, Text: "COMMIT"}
-	r, err = h.Hand(context.Background(), req)
+	r, err = h.Forward(context.Background(), req)
 	env.c.Assert(err, qt.IsNil)
 	assertNothingKept(env.c, r.Answer)
 	env.c.Assert(env.group.Value("i"), qt.Equals, "")
--- a/internal/proxy/cwengine/forwarded.go
+++ b/internal/proxy/cwengine/forwarded.go
@@ -43,7 +43,7 @@
 // Hand runs a statement that another instance has forwarded, and returns its answer.
 // The answer has Elsewhere set if nothing ran and another holder may run the statement.
 // from identifies the connection on which it arrived; see Left.
-func (e *Engine) Hand(from any, h cwport.Handover) cwport.Handed {
+func (e *Engine) Hand(from any, h cwport.ForwardRequest) cwport.ForwardResponse {
 	e.forwardedInFlight.Add(1)
 	defer e.forwardedInFlight.Add(-1)
 	began := e.cfg.Clock.Now().Add(-h.Elapsed)
@@ -73,7 +73,7 @@
 }
 
 // continueForwarded runs a statement of a transaction after the first one.
-func (e *Engine) continueForwarded(h cwport.Handover, began time.Time) cwport.Handed {
+func (e *Engine) continueForwarded(h cwport.ForwardRequest, began time.Time) cwport.ForwardResponse {
 	e.mu.RLock()
 	t, ok := e.forwardedTransactions[h.Transaction]
 	e.mu.RUnlock()
@@ -91,17 +91,17 @@
 
 // rolledBackAnswer is the answer for a transaction that has been rolled back in the
 // meantime. A commit ends the transaction for the caller as well.
-func rolledBackAnswer(v cwstatement.Verb) cwport.Handed {
+func rolledBackAnswer(v cwstatement.Verb) cwport.ForwardResponse {
 	a := cwstatement.RetryLater(cwstatement.Aborted, "the transaction was rolled back", unreachableRetryAfter)
 	if v != cwstatement.Commit {
 		a = a.WithState(cwstatement.InFailedTransaction)
 	}
-	return cwport.Handed{Answer: a}
+	return cwport.ForwardResponse{Answer: a}
 }
 
 // runForwarded runs a statement of a transaction, and removes the transaction if it
 // is over then. The caller holds t.mu.
-func (e *Engine) runForwarded(t *forwardedTransaction, h cwport.Handover, began time.Time) cwport.Handed {
+func (e *Engine) runForwarded(t *forwardedTransaction, h cwport.ForwardRequest, began time.Time) cwport.ForwardResponse {
 	a := t.session.handle(h.Statement, began)
 	t.lastUsed.Store(e.cfg.Clock.Now().UnixNano())
 	if a.State != cwstatement.InTransaction || t.connClosed.Load() {
@@ -130,19 +130,19 @@
 
 // applyForwardRequest replaces the state of the session by that in the message from the
 // caller's instance.
-func (s *session) applyForwardRequest(h cwport.Handover) {
+func (s *session) applyForwardRequest(h cwport.ForwardRequest) {
 	group := h.Entry.Groups[0].Name
 	s.workspace, s.settings = h.Workspace, h.Values
 	s.prepared = nil
 	if h.Prepared != nil {
 		p := h.Prepared
 		s.prepared = map[string]preparedStatement{
-			h.Statement.Name: {name: preparedName(p.Writes, p.Shape), shape: p.Shape, writes: p.Writes},
+			h.Statement.Name: {name: preparedName(p.Writes, p.Text), shape: p.Text, writes: p.Writes},
 		}
 	}
 	s.lastWrites = nil
-	if h.Seen.Index > 0 {
-		s.recordWrite(group, h.Seen)
+	if h.LastWrite.Index > 0 {
+		s.recordWrite(group, h.LastWrite)
 	}
 }
 
@@ -152,22 +152,22 @@
 // reach them, and refusing the caller would be wrong. A statement that was refused
 // here with the guarantee that nothing of it is kept may run on another instance, as
 // may the first statement of a transaction.
-func (s *session) newForwardResponse(h cwport.Handover, group *cwlead.Group, a cwstatement.Response) cwport.Handed {
-	r := cwport.Handed{Answer: a}
+func (s *session) newForwardResponse(h cwport.ForwardRequest, group *cwlead.Group, a cwstatement.Response) cwport.ForwardResponse {
+	r := cwport.ForwardResponse{Answer: a}
 	first := h.Transaction == "" || h.Begin != cwstatement.UnknownVerb
 	if a.Code != cwstatement.OK {
-		r.Elsewhere = first && group.MajorityUnreachable() && a.Code.NoEffect()
+		r.TryOtherHolder = first && group.MajorityUnreachable() && a.Code.NoEffect()
 		return r
 	}
-	if m := s.lastWrites[h.Entry.Groups[0].Name]; m != h.Seen {
-		r.Wrote = m
+	if m := s.lastWrites[h.Entry.Groups[0].Name]; m != h.LastWrite {
+		r.CommitPosition = m
 	}
 	return r
 }
 
 // runElsewhere returns the answer that makes the caller's instance try another holder.
-func runElsewhere(detail string) cwport.Handed {
-	return cwport.Handed{Answer: cwstatement.RetryLater(cwstatement.Aborted, detail, unreachableRetryAfter), Elsewhere: true}
+func runElsewhere(detail string) cwport.ForwardResponse {
+	return cwport.ForwardResponse{Answer: cwstatement.RetryLater(cwstatement.Aborted, detail, unreachableRetryAfter), TryOtherHolder: true}
 }
 
 // Left rolls back the transactions that arrived on a connection that has ended.
--- a/internal/proxy/cwengine/groups.go
+++ b/internal/proxy/cwengine/groups.go
@@ -68,7 +68,7 @@
 
 // capacityOf returns the capacity of the members of a group, out of the given number
 // of groups.
-func capacityOf(c cwcatalogue.Contract, members []cwport.Listing, groups int) cwholder.TargetCapacity {
+func capacityOf(c cwcatalogue.Contract, members []cwport.ListedTarget, groups int) cwholder.TargetCapacity {
 	d := cwholder.TargetCapacity{Connections: c.Connections, ManyGroups: groups > cwholder.ManyGroupsThreshold}
 	for _, l := range members {
 		d.Slots = max(d.Slots, l.Slots)
@@ -107,7 +107,7 @@
 		// holders cannot be determined.
 		p.rank, p.held, p.placementKnown = -1, false, false
 	case !p.placementKnown:
-		p.rank, p.held = e.cfg.Holders.Holds(service, p.capacity)
+		p.rank, p.held = e.cfg.Holders.HolderRank(service, p.capacity)
 		p.placementKnown = true
 	}
 }
--- a/internal/proxy/cwengine/groups_test.go
+++ b/internal/proxy/cwengine/groups_test.go
@@ -93,7 +93,7 @@
 	front.SetCatalogue(c)
 	_, running := front.Group("other1")
 	env.c.Assert(running, qt.IsFalse)
-	front.SetTargets([]cwport.Listing{{ID: "t", Service: "other1", Address: "t", DataCentre: "dc-a", Slots: 3}})
+	front.SetTargets([]cwport.ListedTarget{{ID: "t", Service: "other1", Address: "t", DataCentre: "dc-a", Slots: 3}})
 	_, running = front.Group("other1")
 	env.c.Assert(running, qt.IsTrue)
 	_, running = front.Group("other2")
@@ -103,7 +103,7 @@
 // holdsAllGroups makes its instance hold every group.
 type holdsAllGroups struct{ forwardingHolders }
 
-func (*holdsAllGroups) Holds(string, cwholder.TargetCapacity) (int, bool) { return 0, true }
+func (*holdsAllGroups) HolderRank(string, cwholder.TargetCapacity) (int, bool) { return 0, true }
 
 // countingHolders counts the calls of Holds.
 type countingHolders struct {
@@ -111,7 +111,7 @@
 	calls int
 }
 
-func (h *countingHolders) Holds(string, cwholder.TargetCapacity) (int, bool) {
+func (h *countingHolders) HolderRank(string, cwholder.TargetCapacity) (int, bool) {
 	h.calls++
 	return -1, false
 }
@@ -124,10 +124,10 @@
 	h := &countingHolders{}
 	front := env.engineWithHolders("front", h)
 	c := cwcatalogue.Catalogue{Revision: 2}
-	var all []cwport.Listing
+	var all []cwport.ListedTarget
 	for i := range groups {
 		c.Entries = append(c.Entries, env.otherEntry(i))
-		all = append(all, cwport.Listing{ID: memberID(fmt.Sprintf("t%d", i)), Service: fmt.Sprintf("other%d", i), Address: "t", DataCentre: "dc-a", Slots: 3})
+		all = append(all, cwport.ListedTarget{ID: memberID(fmt.Sprintf("t%d", i)), Service: fmt.Sprintf("other%d", i), Address: "t", DataCentre: "dc-a", Slots: 3})
 	}
 	front.SetCatalogue(c)
 	front.SetTargets(all)
@@ -137,10 +137,10 @@
 		env.c.Assert(h.calls, qt.Equals, want, qt.Commentf("%s", what))
 	}
 	changed := all[7]
-	changed.Role = cwport.LeadershipPrimary
-	assertCalls("another role", func() { front.UpdateTargets([]cwport.Listing{changed}, nil) }, 0)
+	changed.Role = cwport.RolePrimary
+	assertCalls("another role", func() { front.UpdateTargets([]cwport.ListedTarget{changed}, nil) }, 0)
 	changed.Slots = 5
-	assertCalls("other slots", func() { front.UpdateTargets([]cwport.Listing{changed}, nil) }, 1)
+	assertCalls("other slots", func() { front.UpdateTargets([]cwport.ListedTarget{changed}, nil) }, 1)
 	assertCalls("a removed target", func() { front.UpdateTargets(nil, []cwgroup.MemberID{changed.ID}) }, 0)
 	assertCalls("another catalogue", func() {
 		c.Revision++
@@ -174,7 +174,7 @@
 func TestTargetList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var l targetList
-		want := make(map[cwgroup.MemberID]cwport.Listing)
+		want := make(map[cwgroup.MemberID]cwport.ListedTarget)
 		for range rapid.IntRange(1, 40).Draw(t, "changes") {
 			id := memberID(rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "target"))
 			if rapid.Bool().Draw(t, "removed") {
@@ -185,7 +185,7 @@
 				delete(want, id)
 				continue
 			}
-			want[id] = cwport.Listing{ID: id, Service: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "service"), Leaving: rapid.Bool().Draw(t, "leaving")}
+			want[id] = cwport.ListedTarget{ID: id, Service: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "service"), Draining: rapid.Bool().Draw(t, "leaving")}
 			l.set(want[id])
 		}
 		seen := 0
@@ -196,7 +196,7 @@
 					t.Fatalf("%+v is listed for %s", listed, service)
 				}
 				seen++
-				if !listed.Leaving {
+				if !listed.Draining {
 					wantActive++
 				}
 			}
--- a/internal/proxy/cwengine/harness_test.go
+++ b/internal/proxy/cwengine/harness_test.go
@@ -107,9 +107,9 @@
 		env.onStart(e)
 	}
 	e.SetCatalogue(cwcatalogue.Catalogue{Revision: 1, Entries: []cwcatalogue.Entry{env.entry}})
-	var all []cwport.Listing
+	var all []cwport.ListedTarget
 	for _, id := range env.listed {
-		all = append(all, cwport.Listing{ID: memberID(id), Service: testService, Address: id, DataCentre: "dc-" + id, Slots: 3})
+		all = append(all, cwport.ListedTarget{ID: memberID(id), Service: testService, Address: id, DataCentre: "dc-" + id, Slots: 3})
 	}
 	e.SetTargets(all)
 	env.c.Cleanup(func() {
@@ -156,7 +156,7 @@
 	})
 }
 
-// testCaller is the caller's side of a session. It implements cwport.Caller.
+// testCaller is the caller's side of a session. It implements cwport.CallerConn.
 type testCaller struct {
 	c    *qt.C
 	in   chan cwstatement.Statement
@@ -172,7 +172,7 @@
 }
 
 func (tc *testCaller) Startup() (cwport.Startup, error) {
-	return cwport.Startup{Database: testDatabase, Key: tc.key}, nil
+	return cwport.Startup{Database: testDatabase, KeyDigest: tc.key}, nil
 }
 func (tc *testCaller) Accept() error                     { return nil }
 func (tc *testCaller) Refuse(cwstatement.Response) error { return nil }
--- a/internal/proxy/cwengine/listings.go
+++ b/internal/proxy/cwengine/listings.go
@@ -11,16 +11,16 @@
 // targetList is the list of targets that the platform publishes. The zero value is an
 // empty list.
 type targetList struct {
-	byID map[cwgroup.MemberID]cwport.Listing
+	byID map[cwgroup.MemberID]cwport.ListedTarget
 	// byService has the ids of each service's targets in ascending order. Each target
 	// is in exactly one of the lists, and no list is empty.
 	byService map[string][]cwgroup.MemberID
 }
 
 // set adds a target or replaces its listing.
-func (l *targetList) set(t cwport.Listing) {
+func (l *targetList) set(t cwport.ListedTarget) {
 	if l.byID == nil {
-		l.byID = make(map[cwgroup.MemberID]cwport.Listing)
+		l.byID = make(map[cwgroup.MemberID]cwport.ListedTarget)
 		l.byService = make(map[string][]cwgroup.MemberID)
 	}
 	if before, ok := l.byID[t.ID]; !ok || before.Service != t.Service {
@@ -33,10 +33,10 @@
 }
 
 // remove removes a target. It returns the listing, and false if there was none.
-func (l *targetList) remove(id cwgroup.MemberID) (cwport.Listing, bool) {
+func (l *targetList) remove(id cwgroup.MemberID) (cwport.ListedTarget, bool) {
 	t, ok := l.byID[id]
 	if !ok {
-		return cwport.Listing{}, false
+		return cwport.ListedTarget{}, false
 	}
 	delete(l.byID, id)
 	ids := slices.DeleteFunc(slices.Clone(l.byService[t.Service]), func(o cwgroup.MemberID) bool { return o == id })
@@ -48,8 +48,8 @@
 }
 
 // forService returns the targets of a service, ordered by id.
-func (l *targetList) forService(service string) []cwport.Listing {
-	out := make([]cwport.Listing, 0, len(l.byService[service]))
+func (l *targetList) forService(service string) []cwport.ListedTarget {
+	out := make([]cwport.ListedTarget, 0, len(l.byService[service]))
 	for _, id := range l.byService[service] {
 		out = append(out, l.byID[id])
 	}
@@ -74,7 +74,7 @@
 }
 
 // isActive reports whether a target is neither leaving nor lapsed.
-func isActive(t cwport.Listing) bool { return !t.Leaving && !t.Lapsed }
+func isActive(t cwport.ListedTarget) bool { return !t.Draining && !t.EntryMissing }
 
 // services returns the services that have targets, in no particular order.
 func (l *targetList) services() []string { return slices.Collect(maps.Keys(l.byService)) }
--- a/internal/proxy/cwengine/members_test.go
+++ b/internal/proxy/cwengine/members_test.go
@@ -151,11 +151,11 @@
 func TestNewMemberReplacesLapsedMember(t *testing.T) {
 	env := newTestEnv(t, cwcatalogue.ReadLatest)
 	e := env.engine("x")
-	listing := func(id string, lapsed bool) cwport.Listing {
-		return cwport.Listing{ID: memberID(id), Service: testService, Address: id, DataCentre: "dc-" + id, Slots: 3, Lapsed: lapsed}
+	listing := func(id string, lapsed bool) cwport.ListedTarget {
+		return cwport.ListedTarget{ID: memberID(id), Service: testService, Address: id, DataCentre: "dc-" + id, Slots: 3, EntryMissing: lapsed}
 	}
-	e.UpdateTargets([]cwport.Listing{listing("c", true)}, nil)
-	e.UpdateTargets([]cwport.Listing{listing("d", false)}, nil)
+	e.UpdateTargets([]cwport.ListedTarget{listing("c", true)}, nil)
+	e.UpdateTargets([]cwport.ListedTarget{listing("d", false)}, nil)
 	env.c.Assert(e.Members()[testService].StableSize, qt.Equals, 3)
 	e.UpdateTargets(nil, []cwgroup.MemberID{"c"})
 	env.c.Assert(e.Members()[testService].StableSize, qt.Equals, 3)
--- a/internal/proxy/cwengine/membership.go
+++ b/internal/proxy/cwengine/membership.go
@@ -18,7 +18,7 @@
 		return
 	}
 	e.absentListings[id] = l
-	e.memberships[l.Service] = e.memberships[l.Service].WithRemoved(id, l.Leaving)
+	e.memberships[l.Service] = e.memberships[l.Service].WithRemoved(id, l.Draining)
 }
 
 // updateMemberships brings all memberships up to date with the list of targets. The
@@ -150,7 +150,7 @@
 func (e *Engine) Members() map[string]cwmembers.CountedMembers {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
-	absent := make(map[string][]cwport.Listing)
+	absent := make(map[string][]cwport.ListedTarget)
 	for _, l := range e.absentListings {
 		absent[l.Service] = append(absent[l.Service], l)
 	}
--- a/internal/proxy/cwengine/remote.go
+++ b/internal/proxy/cwengine/remote.go
@@ -51,45 +51,45 @@
 }
 
 // newForwardRequest builds the message that forwards a statement to a holder.
-func (s *session) newForwardRequest(entry cwcatalogue.Entry, st cwstatement.Statement, began time.Time) cwport.Handover {
-	h := cwport.Handover{
-		Entry: entry, Workspace: s.workspace, Statement: st, Values: s.settings, Seen: s.lastWrites[entry.Groups[0].Name],
+func (s *session) newForwardRequest(entry cwcatalogue.Entry, st cwstatement.Statement, began time.Time) cwport.ForwardRequest {
+	h := cwport.ForwardRequest{
+		Entry: entry, Workspace: s.workspace, Statement: st, Values: s.settings, LastWrite: s.lastWrites[entry.Groups[0].Name],
 		Elapsed: s.engine.cfg.Clock.Since(began),
 	}
 	if p, ok := s.prepared[st.Name]; ok && st.Verb == cwstatement.Execute {
-		h.Prepared = &cwport.Prepared{Shape: p.shape, Writes: p.writes}
+		h.Prepared = &cwport.Prepared{Text: p.shape, Writes: p.writes}
 	}
 	return h
 }
 
 // forward sends a statement to a holder, and records a write that the answer reports.
-// The error is a *cwport.LostError if no answer came.
-func (s *session) forward(to cwport.Holder, h cwport.Handover, began time.Time) (cwport.Handed, error) {
+// The error is a *cwport.NoResponseError if no answer came.
+func (s *session) forward(to cwport.Holder, h cwport.ForwardRequest, began time.Time) (cwport.ForwardResponse, error) {
 	e := s.engine
 	end := newLimits(h.Entry.Contract, began).deadline.Add(forwardTimeoutSlack)
 	ctx, cancel := context.WithTimeout(context.Background(), end.Sub(e.cfg.Clock.Now()))
 	defer cancel()
 	e.cfg.Metrics.Forwarded.Inc()
-	r, err := to.Hand(ctx, h)
+	r, err := to.Forward(ctx, h)
 	if err != nil {
 		e.cfg.Log.Info("answerLost", "id", h.Statement.ID, "group", h.Entry.Groups[0].Name, "holder", to.Name(),
 			"waitedMs", e.cfg.Clock.Since(began).Milliseconds(), "cause", err)
 		return r, err
 	}
-	if r.Elsewhere {
+	if r.TryOtherHolder {
 		e.cfg.Log.Info("statementRetried", "id", h.Statement.ID, "group", h.Entry.Groups[0].Name, "holder", to.Name(),
 			"code", r.Answer.Code, "why", r.Answer.Detail)
 		return r, nil
 	}
-	if r.Wrote.Index > 0 {
-		s.recordWrite(h.Entry.Groups[0].Name, r.Wrote)
+	if r.CommitPosition.Index > 0 {
+		s.recordWrite(h.Entry.Groups[0].Name, r.CommitPosition)
 	}
 	return r, nil
 }
 
 // isNotSent reports whether a forwarded statement certainly did not reach its holder.
 func isNotSent(err error) bool {
-	var lost *cwport.LostError
+	var lost *cwport.NoResponseError
 	return errors.As(err, &lost) && lost.NotSent
 }
 
@@ -130,7 +130,7 @@
 		tried = append(tried, to.Name())
 		r, err := s.forward(to, s.newForwardRequest(entry, st, began), began)
 		switch {
-		case err == nil && !r.Elsewhere:
+		case err == nil && !r.TryOtherHolder:
 			return forwardResult{answer: r.Answer.WithState(cwstatement.Idle), final: true}
 		case err == nil:
 			out.holderUnavailable = true
@@ -203,7 +203,7 @@
 		h.Elapsed = s.engine.cfg.Clock.Since(began)
 		r, err := s.forward(to, h, began)
 		switch {
-		case err == nil && !r.Elsewhere:
+		case err == nil && !r.TryOtherHolder:
 			t.holder = to
 			return s.applyRemoteState(r.Answer)
 		case err == nil, isNotSent(err):
@@ -270,14 +270,14 @@
 	if t.holder == nil {
 		return
 	}
-	h := cwport.Handover{Transaction: t.name, Entry: t.entry, Workspace: s.workspace, Statement: cwstatement.Statement{Verb: cwstatement.Rollback}}
+	h := cwport.ForwardRequest{Transaction: t.name, Entry: t.entry, Workspace: s.workspace, Statement: cwstatement.Statement{Verb: cwstatement.Rollback}}
 	go s.sendRemoteRollback(t.holder, h)
 }
 
-func (s *session) sendRemoteRollback(to cwport.Holder, h cwport.Handover) {
+func (s *session) sendRemoteRollback(to cwport.Holder, h cwport.ForwardRequest) {
 	ctx, cancel := context.WithTimeout(context.Background(), rollbackTimeout)
 	defer cancel()
-	if _, err := to.Hand(ctx, h); err != nil {
+	if _, err := to.Forward(ctx, h); err != nil {
 		s.engine.cfg.Log.Debug("rollbackLost", "holder", to.Name(), "transaction", h.Transaction, "cause", err)
 	}
 }
--- a/internal/proxy/cwengine/session.go
+++ b/internal/proxy/cwengine/session.go
@@ -46,7 +46,7 @@
 // instance has forwarded.
 type session struct {
 	engine *Engine
-	caller cwport.Caller
+	caller cwport.CallerConn
 
 	// database and key are what the caller sent at startup; workspace is the
 	// workspace of the key at the latest statement.
@@ -114,7 +114,7 @@
 		return false
 	}
 	s.mu.Lock()
-	s.database, s.key = st.Database, st.Key
+	s.database, s.key = st.Database, st.KeyDigest
 	s.mu.Unlock()
 	if a := s.engine.admit(st); a.Code != cwstatement.OK {
 		s.engine.cfg.Log.Info("sessionRefused", "database", s.database, "code", a.Code, "why", a.Detail)
--- a/internal/proxy/cwinstance/fleet_test.go
+++ b/internal/proxy/cwinstance/fleet_test.go
@@ -47,19 +47,19 @@
 func newFakeStore(instances, groups int) *fakeStore {
 	f := &fakeStore{instances: instances, groups: groups}
 	for i := range instances {
-		f.add(cwport.Own, cwpeers.InstanceKey(cwholder.Instance{ID: instanceName(i), DataCentre: dataCentreName(i)}), jsonObject{"address": fmt.Sprintf("10.1.0.%d:7440", i), "dataCentre": dataCentreName(i)})
+		f.add(cwport.TopicOwn, cwpeers.InstanceKey(cwholder.Instance{ID: instanceName(i), DataCentre: dataCentreName(i)}), jsonObject{"address": fmt.Sprintf("10.1.0.%d:7440", i), "dataCentre": dataCentreName(i)})
 	}
 	for g := range groups {
 		var members []jsonObject
 		for m := range 3 {
 			members = append(members, jsonObject{"id": memberName(g, m), "address": "10.2.0.1:8080", "dataCentre": dataCentreName(m), "slots": 3, "of": 3})
-			f.add(cwport.Targets, memberName(g, m), jsonObject{
+			f.add(cwport.TopicTargets, memberName(g, m), jsonObject{
 				"group": groupName(g), "address": "10.2.0.1:8080", "dataCentre": dataCentreName(m), "slots": 3, "state": "ready", "count": 7, "version": "16.2",
 			})
 		}
-		f.add(cwport.Own, cwmembers.KeyPrefix+groupName(g), members)
+		f.add(cwport.TopicOwn, cwmembers.KeyPrefix+groupName(g), members)
 	}
-	f.add(cwport.Desired, "config", jsonObject{"groups": groups})
+	f.add(cwport.TopicDesired, "config", jsonObject{"groups": groups})
 	return f
 }
 
@@ -80,22 +80,22 @@
 func (f *fakeStore) Decode(t cwport.Topic, version cwfeed.Version, rows []cwport.Row) cwport.Batch {
 	b := cwport.Batch{Version: version, Raw: rows}
 	switch t {
-	case cwport.Desired:
+	case cwport.TopicDesired:
 		b.Catalogue = f.catalogue()
-	case cwport.Own:
-		b.Rows = rows
-	case cwport.Targets:
+	case cwport.TopicOwn:
+		b.OwnRows = rows
+	case cwport.TopicTargets:
 		for _, r := range rows {
 			var l struct {
 				Group, Address, DataCentre string
 				Slots                      int
 			}
 			if err := json.Unmarshal(r.Value, &l); err != nil {
-				b.Faults = append(b.Faults, cwport.RowFault{Key: r.Key, Version: r.Version, Cause: err})
+				b.RowErrors = append(b.RowErrors, cwport.RowError{Key: r.Key, Version: r.Version, Cause: err})
 				continue
 			}
-			b.Listed = append(b.Listed, cwport.Listing{
-				ID: cwgroup.MemberID(r.Key), Service: l.Group, Address: l.Address, DataCentre: l.DataCentre, Slots: l.Slots, Role: cwport.LeadershipReplica,
+			b.Updated = append(b.Updated, cwport.ListedTarget{
+				ID: cwgroup.MemberID(r.Key), Service: l.Group, Address: l.Address, DataCentre: l.DataCentre, Slots: l.Slots, Role: cwport.RoleReplica,
 			})
 		}
 	}
@@ -139,7 +139,7 @@
 
 var errUnreachable = &net.OpError{Op: "dial", Err: net.UnknownNetworkError("none")}
 
-func (unreachable) Dial(context.Context, cwport.Endpoint, string) (cwport.Target, error) {
+func (unreachable) Dial(context.Context, cwport.Endpoint, string) (cwport.TargetConn, error) {
 	return nil, errUnreachable
 }
 
--- a/internal/proxy/cwinstance/instance.go
+++ b/internal/proxy/cwinstance/instance.go
@@ -58,7 +58,7 @@
 	// of a claim.
 	Turn time.Duration
 	// Codec returns the adapter for the protocol of a caller's connection.
-	Codec   func(net.Conn) cwport.Caller
+	Codec   func(net.Conn) cwport.CallerConn
 	Dialer  cwport.Dialer
 	Source  cwport.Source
 	Decoder cwport.Decoder
@@ -156,7 +156,7 @@
 
 // quotaTeller returns the issuer of quota at this instance; nil if quotas are not
 // enforced.
-func (in *Instance) quotaTeller() cwport.QuotaTeller {
+func (in *Instance) quotaTeller() cwport.QuotaServer {
 	if in.meter == nil {
 		return nil
 	}
@@ -187,7 +187,7 @@
 }
 
 // Dial implements cwport.Dialer.
-func (d countingDialer) Dial(ctx context.Context, to cwport.Endpoint, workspace string) (cwport.Target, error) {
+func (d countingDialer) Dial(ctx context.Context, to cwport.Endpoint, workspace string) (cwport.TargetConn, error) {
 	d.metrics.TargetConnections.Inc()
 	return d.Dialer.Dial(ctx, to, workspace)
 }
@@ -276,10 +276,10 @@
 func (in *Instance) SetCatalogue(c cwcatalogue.Catalogue) { in.engine.SetCatalogue(c) }
 
 // SetTargets implements cwdirectory.Sink.
-func (in *Instance) SetTargets(all []cwport.Listing) { in.engine.SetTargets(all) }
+func (in *Instance) SetTargets(all []cwport.ListedTarget) { in.engine.SetTargets(all) }
 
 // UpdateTargets implements cwdirectory.Sink.
-func (in *Instance) UpdateTargets(listed []cwport.Listing, removed []cwgroup.MemberID) {
+func (in *Instance) UpdateTargets(listed []cwport.ListedTarget, removed []cwgroup.MemberID) {
 	in.engine.UpdateTargets(listed, removed)
 }
 
--- a/internal/proxy/cwlead/command.go
+++ b/internal/proxy/cwlead/command.go
@@ -101,7 +101,7 @@
 
 // sendWithRetry sends a command, given by f, to a member on the next free connection of
 // its pool and repeats it until commandTimeout while the member is busy.
-func (g *Group) sendWithRetry(id cwgroup.MemberID, f func(cwport.Target) (cwstatement.Health, error)) (cwstatement.Health, error) {
+func (g *Group) sendWithRetry(id cwgroup.MemberID, f func(cwport.TargetConn) (cwstatement.Health, error)) (cwstatement.Health, error) {
 	m, ok := g.Member(id)
 	if !ok {
 		return cwstatement.Health{}, &cwport.RefusedError{Code: cwstatement.WrongTarget, Detail: "no longer listed"}
@@ -118,9 +118,9 @@
 	}
 }
 
-func (g *Group) sendOnce(m Member, f func(cwport.Target) (cwstatement.Health, error)) (cwstatement.Health, error) {
+func (g *Group) sendOnce(m Member, f func(cwport.TargetConn) (cwstatement.Health, error)) (cwstatement.Health, error) {
 	var h cwstatement.Health
-	err := g.withConn(m, commandTimeout, func(t cwport.Target, sentAt time.Time) error {
+	err := g.withConn(m, commandTimeout, func(t cwport.TargetConn, sentAt time.Time) error {
 		var err error
 		if h, err = f(t); err == nil {
 			g.observeHealth(m.ID, h, sentAt)
@@ -154,7 +154,7 @@
 // replica is fenced, a primary is demoted to a replica.
 func (g *Group) adopt(cmd cwfailover.Command) (cwgroup.Status, error) {
 	var before cwgroup.Term
-	h, err := g.sendWithRetry(cmd.Member, func(t cwport.Target) (cwstatement.Health, error) {
+	h, err := g.sendWithRetry(cmd.Member, func(t cwport.TargetConn) (cwstatement.Health, error) {
 		h, err := t.Health()
 		if err != nil {
 			return h, err
@@ -183,7 +183,7 @@
 	fence := g.fencingToken
 	g.mu.Unlock()
 	err := g.cfg.Promoter.Promote(ctx, cwport.Promotion{
-		Service: g.cfg.Service, ID: cmd.Member, Holder: string(g.cfg.Self), Fence: fence,
+		Service: g.cfg.Service, ID: cmd.Member, Holder: string(g.cfg.Self), FencingToken: fence,
 	})
 	var unknown *cwplatform.UnknownError
 	if errors.As(err, &unknown) {
@@ -198,7 +198,7 @@
 // follow makes a member that doesn't follow the primary rejoin the group: a replaced
 // primary is demoted to a replica.
 func (g *Group) follow(cmd cwfailover.Command) error {
-	_, err := g.sendWithRetry(cmd.Member, func(t cwport.Target) (cwstatement.Health, error) {
+	_, err := g.sendWithRetry(cmd.Member, func(t cwport.TargetConn) (cwstatement.Health, error) {
 		h, err := t.Health()
 		if err != nil {
 			return h, err
--- a/internal/proxy/cwlead/confirm.go
+++ b/internal/proxy/cwlead/confirm.go
@@ -39,7 +39,7 @@
 	for id, m := range g.members {
 		switch {
 		case id == except:
-		case g.unreachable[id] || m.Leaving:
+		case g.unreachable[id] || m.Draining:
 			unreachable = append(unreachable, *m)
 		case m.DataCentre == g.cfg.DataCentre:
 			near = append(near, *m)
--- a/internal/proxy/cwlead/health.go
+++ b/internal/proxy/cwlead/health.go
@@ -121,7 +121,7 @@
 
 func (g *Group) runHealthCheck(m Member) {
 	startedAt := g.cfg.Clock.Now()
-	err := g.withConn(m, healthTimeout, func(t cwport.Target, requestedAt time.Time) error {
+	err := g.withConn(m, healthTimeout, func(t cwport.TargetConn, requestedAt time.Time) error {
 		h, err := t.Health()
 		if err == nil {
 			g.observeHealth(m.ID, h, requestedAt)
@@ -149,7 +149,7 @@
 // withConn runs f, with the time at which it starts, on a pooled connection with timeout
 // d. If f fails for any reason other than a refusal by the target, the connection is
 // closed and the member is probed.
-func (g *Group) withConn(m Member, d time.Duration, f func(t cwport.Target, sentAt time.Time) error) error {
+func (g *Group) withConn(m Member, d time.Duration, f func(t cwport.TargetConn, sentAt time.Time) error) error {
 	c, err := m.Pool.AcquireFirst(context.Background(), g.cfg.Clock.Now().Add(d))
 	if err != nil {
 		return err
@@ -158,7 +158,7 @@
 		m.Pool.Discard(c)
 		return err
 	}
-	err = f(c.Target, g.cfg.Clock.Now())
+	err = f(c.TargetConn, g.cfg.Clock.Now())
 	var refused *cwport.RefusedError
 	if err != nil && !errors.As(err, &refused) {
 		m.Pool.Discard(c)
--- a/internal/proxy/cwlead/member.go
+++ b/internal/proxy/cwlead/member.go
@@ -11,7 +11,7 @@
 
 // Member is one target of a group with its connection pool.
 type Member struct {
-	cwport.Listing
+	cwport.ListedTarget
 	Pool *cwtargets.Pool
 	// leavingSince is when this proxy learnt that the member is leaving; zero if it
 	// stays.
@@ -22,7 +22,7 @@
 // len(list) if that is more. Each target accepts ceiling connections from all proxies
 // together. synchronous is true if the primary itself waits for a replica before it
 // answers a commit.
-func (g *Group) SetMembers(list []cwport.Listing, size, ceiling int, synchronous bool) {
+func (g *Group) SetMembers(list []cwport.ListedTarget, size, ceiling int, synchronous bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.synchronous, g.size = synchronous, size
@@ -65,10 +65,10 @@
 	p, _ := g.sup.View().Primary()
 	var ids, stopping []cwgroup.MemberID
 	for id, m := range g.members {
-		if m.Leaving {
+		if m.Draining {
 			stopping = append(stopping, id)
 		}
-		if !m.Leaving || id == p.Member || now.Sub(m.leavingSince) < LeavingGrace {
+		if !m.Draining || id == p.Member || now.Sub(m.leavingSince) < LeavingGrace {
 			ids = append(ids, id)
 		}
 	}
@@ -80,9 +80,9 @@
 	g.sup.SetStopping(stopping, now)
 }
 
-func (g *Group) setMember(l cwport.Listing, ceiling int) {
+func (g *Group) setMember(l cwport.ListedTarget, ceiling int) {
 	m, ok := g.members[l.ID]
-	restarted := ok && isRestart(m.Born, l.Born)
+	restarted := ok && isRestart(m.StartedAt, l.StartedAt)
 	if ok && m.Address != l.Address {
 		m.Pool.Close()
 		ok = false
@@ -93,10 +93,10 @@
 		g.members[l.ID] = m
 		g.logProgress[l.ID] = &logProgress{}
 	}
-	if l.Leaving && !m.Leaving {
+	if l.Draining && !m.Draining {
 		m.leavingSince = g.cfg.Clock.Now()
 	}
-	m.Listing = l
+	m.ListedTarget = l
 	m.Pool.SetCeiling(ceiling)
 	m.Pool.SetSlots(l.Slots)
 	if restarted {
--- a/internal/proxy/cwlead/place.go
+++ b/internal/proxy/cwlead/place.go
@@ -259,7 +259,7 @@
 	var options []cwroute.ReadTarget
 	for id, m := range g.members {
 		rep, known := v.Report(id)
-		if m.Leaving && id != primary.Member || known && !rep.Reachable || slices.Contains(rd.RefusedBy, id) {
+		if m.Draining && id != primary.Member || known && !rep.Reachable || slices.Contains(rd.RefusedBy, id) {
 			continue
 		}
 		load := m.Pool.Load()
--- a/internal/proxy/cwlead/replaced_test.go
+++ b/internal/proxy/cwlead/replaced_test.go
@@ -56,7 +56,7 @@
 	t.Run("the entry of the newest primary has lapsed", func(t *testing.T) {
 		b := newTestGroup(t)
 		b.changeToB()
-		b.SetMembers([]cwport.Listing{
+		b.SetMembers([]cwport.ListedTarget{
 			{ID: "a", Service: "ledger", Address: "10.0.0.1:1", DataCentre: "dc", Slots: 3},
 			{ID: "c", Service: "ledger", Address: "10.0.0.3:1", DataCentre: "dc", Slots: 3},
 		}, 3, 8, false)
--- a/internal/proxy/cwlead/restart_test.go
+++ b/internal/proxy/cwlead/restart_test.go
@@ -41,10 +41,10 @@
 
 // listMembers sets members a, b and c; c has the given start time.
 func (b *testGroup) listMembers(startedAt time.Time) {
-	b.SetMembers([]cwport.Listing{
-		{ID: "a", Service: "ledger", Address: "10.0.0.1:1", DataCentre: "dc", Slots: 3, Born: time.UnixMilli(400)},
-		{ID: "b", Service: "ledger", Address: "10.0.0.2:1", DataCentre: "dc", Slots: 3, Born: time.UnixMilli(400)},
-		{ID: "c", Service: "ledger", Address: "10.0.0.3:1", DataCentre: "dc", Slots: 3, Born: startedAt},
+	b.SetMembers([]cwport.ListedTarget{
+		{ID: "a", Service: "ledger", Address: "10.0.0.1:1", DataCentre: "dc", Slots: 3, StartedAt: time.UnixMilli(400)},
+		{ID: "b", Service: "ledger", Address: "10.0.0.2:1", DataCentre: "dc", Slots: 3, StartedAt: time.UnixMilli(400)},
+		{ID: "c", Service: "ledger", Address: "10.0.0.3:1", DataCentre: "dc", Slots: 3, StartedAt: startedAt},
 	}, 3, 8, false)
 }
 
@@ -115,7 +115,7 @@
 
 func (r *rowTable) List(context.Context, string) ([]cwplatform.Row, error) { return nil, nil }
 func (r *rowTable) Commit(context.Context, cwplatform.Change) error        { return errUnavailable }
-func (failingDialer) Dial(context.Context, cwport.Endpoint, string) (cwport.Target, error) {
+func (failingDialer) Dial(context.Context, cwport.Endpoint, string) (cwport.TargetConn, error) {
 	return nil, errUnavailable
 }
 
--- a/internal/proxy/cwmembers/members.go
+++ b/internal/proxy/cwmembers/members.go
@@ -80,14 +80,14 @@
 
 // CountedMembers is the members of a group as an instance counts them.
 type CountedMembers struct {
-	Members []cwport.Listing
+	Members []cwport.ListedTarget
 	// StableSize is the number of members without those that are about to be exchanged.
 	StableSize int
 }
 
 // groupRow is a group's row as last read.
 type groupRow struct {
-	members []cwport.Listing
+	members []cwport.ListedTarget
 	// stableSize is the number of members without those that are about to be
 	// exchanged.
 	stableSize int
@@ -114,10 +114,10 @@
 		if err != nil {
 			// Keep the known members; Run rewrites the row.
 			r.Log.Error("membersUnreadable", "key", w.Key, "cause", err)
-			r.rows[service] = groupRow{members: r.rows[service].members, stableSize: r.rows[service].stableSize, etag: w.Tag(), unreadable: true}
+			r.rows[service] = groupRow{members: r.rows[service].members, stableSize: r.rows[service].stableSize, etag: w.ETag(), unreadable: true}
 			continue
 		}
-		r.rows[service] = groupRow{members: members, stableSize: stableSize, etag: w.Tag()}
+		r.rows[service] = groupRow{members: members, stableSize: stableSize, etag: w.ETag()}
 		if r.hadRow == nil {
 			r.hadRow = make(map[string]bool)
 		}
@@ -126,10 +126,10 @@
 }
 
 // RecordedMembers returns the members of all groups according to their rows.
-func (r *Recorder) RecordedMembers() []cwport.Listing {
+func (r *Recorder) RecordedMembers() []cwport.ListedTarget {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var out []cwport.Listing
+	var out []cwport.ListedTarget
 	for _, w := range r.rows {
 		out = append(out, w.members...)
 	}
@@ -267,13 +267,13 @@
 	r.Log.Info("membersWritten", "group", service, "members", len(c.Members), "of", c.StableSize)
 }
 
-func sortedByID(members []cwport.Listing) []cwport.Listing {
-	return slices.SortedFunc(slices.Values(members), func(a, b cwport.Listing) int { return cmp.Compare(a.ID, b.ID) })
+func sortedByID(members []cwport.ListedTarget) []cwport.ListedTarget {
+	return slices.SortedFunc(slices.Values(members), func(a, b cwport.ListedTarget) int { return cmp.Compare(a.ID, b.ID) })
 }
 
 // sameRecorded reports whether two entries agree in the properties whose change
 // requires a new row.
-func sameRecorded(a, b cwport.Listing) bool { return a.ID == b.ID && a.Address == b.Address }
+func sameRecorded(a, b cwport.ListedTarget) bool { return a.ID == b.ID && a.Address == b.Address }
 
 // memberJSON is one member in the value of a row, which is a JSON array.
 type memberJSON struct {
@@ -297,7 +297,7 @@
 
 // decode reads a group's row. Each member is listed as a replica that stays; whether it
 // leads or leaves is learnt from the member itself.
-func decode(service string, w cwport.Row) (members []cwport.Listing, stableSize int, err error) {
+func decode(service string, w cwport.Row) (members []cwport.ListedTarget, stableSize int, err error) {
 	if w.Removed {
 		return nil, 0, nil
 	}
@@ -307,9 +307,9 @@
 	}
 	for _, b := range bodies {
 		stableSize = b.StableSize
-		members = append(members, cwport.Listing{
+		members = append(members, cwport.ListedTarget{
 			ID: cwgroup.MemberID(b.ID), Service: service, Address: b.Address, DataCentre: b.DataCentre, Slots: b.Slots,
-			Role: cwport.LeadershipReplica,
+			Role: cwport.RoleReplica,
 		})
 	}
 	if stableSize == 0 {
--- a/internal/proxy/cwmembers/members_test.go
+++ b/internal/proxy/cwmembers/members_test.go
@@ -39,7 +39,7 @@
 	switch {
 	case s.unavailable:
 		return &cwplatform.UnavailableError{Cause: io.EOF}
-	case c.Expect[0].ETag != "" && c.Expect[0].ETag != s.row.Tag(),
+	case c.Expect[0].ETag != "" && c.Expect[0].ETag != s.row.ETag(),
 		c.Expect[0].ETag == "" && s.row.Version > 0:
 		return &cwplatform.ConflictError{Key: c.Expect[0].Key}
 	}
@@ -60,7 +60,7 @@
 // countedMembers is the members that an instance counts.
 type countedMembers struct {
 	mu      sync.Mutex
-	members []cwport.Listing
+	members []cwport.ListedTarget
 }
 
 // set sets the members that the instance counts; none stands for a store that reports
@@ -70,7 +70,7 @@
 	defer c.mu.Unlock()
 	c.members = nil
 	for _, id := range ids {
-		c.members = append(c.members, cwport.Listing{ID: cwgroup.MemberID(id), Service: "s", Address: "10.0.0.1:1", DataCentre: "z", Slots: 3, Role: cwport.LeadershipReplica})
+		c.members = append(c.members, cwport.ListedTarget{ID: cwgroup.MemberID(id), Service: "s", Address: "10.0.0.1:1", DataCentre: "z", Slots: 3, Role: cwport.RoleReplica})
 	}
 }
 
@@ -210,7 +210,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		r.writeDue("s", CountedMembers{Members: []cwport.Listing{{ID: "a"}}, StableSize: 1})
+		r.writeDue("s", CountedMembers{Members: []cwport.ListedTarget{{ID: "a"}}, StableSize: 1})
 	}()
 	select {
 	case <-done:
@@ -228,7 +228,7 @@
 				HolderRank: func(string) (int, bool) { return rank, true },
 			}
 			r.ObserveRows(nil, true)
-			c := CountedMembers{Members: []cwport.Listing{{ID: "a"}}, StableSize: 1}
+			c := CountedMembers{Members: []cwport.ListedTarget{{ID: "a"}}, StableSize: 1}
 			r.writeDue("s", c)
 			time.Sleep(wait + firstRowDelay("s", 1000) - time.Millisecond)
 			_, due := r.writeDue("s", c)
@@ -243,7 +243,7 @@
 // Guards against delaying a lost row as if it were the group's first one.
 func TestLostRowIsRewrittenAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := CountedMembers{Members: []cwport.Listing{{ID: "a"}}, StableSize: 1}
+		c := CountedMembers{Members: []cwport.ListedTarget{{ID: "a"}}, StableSize: 1}
 		r := &Recorder{
 			Clock: clockwork.NewRealClock(), Log: log.New(io.Discard), GroupCount: func() int { return 100_000 },
 			HolderRank: func(string) (int, bool) { return 0, true },
--- a/internal/proxy/cwmeter/meter.go
+++ b/internal/proxy/cwmeter/meter.go
@@ -41,7 +41,7 @@
 	unknownRetryAfter = 300 * time.Millisecond
 )
 
-// Meter implements cwport.Meter and cwport.QuotaTeller. Set the exported fields
+// Meter implements cwport.QuotaMeter and cwport.QuotaServer. Set the exported fields
 // before use. Its methods are safe for concurrent use.
 type Meter struct {
 	// Rule is the tolerance within which quotas are kept.
@@ -84,9 +84,9 @@
 // call has an effect.
 func (m *Meter) Start() { m.startOnce.Do(func() { m.started = m.Clock.Now() }) }
 
-// Take implements cwport.Meter. It asks the issuers of this data centre, then
+// Take implements cwport.QuotaMeter. It asks the issuers of this data centre, then
 // those of the others, and waits up to connectWait while none can be asked.
-func (m *Meter) Take(workspace string) cwport.Verdict {
+func (m *Meter) Take(workspace string) cwport.QuotaDecision {
 	m.Start()
 	end := m.Clock.Now().Add(connectWait)
 	for {
@@ -103,11 +103,11 @@
 
 // askIssuers asks the issuers of this data centre, or those of the others if remote
 // is true, until one allows the operation. It returns the best verdict.
-func (m *Meter) askIssuers(workspace string, remote bool) cwport.Verdict {
-	out := cwport.Verdict{Unknown: true, RetryAfter: unknownRetryAfter}
+func (m *Meter) askIssuers(workspace string, remote bool) cwport.QuotaDecision {
+	out := cwport.QuotaDecision{Unknown: true, RetryAfter: unknownRetryAfter}
 	for _, issuer := range m.Peers.QuotaIssuers(workspace, remote) {
 		pause, ok := m.pauseOf(issuerKey{workspace, issuer.Name})
-		v := cwport.Verdict{Unknown: pause.unresponsive, RetryAfter: pause.until.Sub(m.Clock.Now())}
+		v := cwport.QuotaDecision{Unknown: pause.unresponsive, RetryAfter: pause.until.Sub(m.Clock.Now())}
 		if !ok {
 			v = m.ask(workspace, issuer)
 		}
@@ -120,7 +120,7 @@
 
 // betterVerdict returns the verdict that is better for the caller: an allowed one
 // first, then the one with the shorter RetryAfter, and an unknown one last.
-func betterVerdict(a, b cwport.Verdict) cwport.Verdict {
+func betterVerdict(a, b cwport.QuotaDecision) cwport.QuotaDecision {
 	switch {
 	case a.Allowed || b.Unknown:
 		return a
@@ -157,7 +157,7 @@
 }
 
 // ask asks one issuer, and pauses it if it does not allow the operation.
-func (m *Meter) ask(workspace string, issuer cwport.QuotaIssuer) cwport.Verdict {
+func (m *Meter) ask(workspace string, issuer cwport.QuotaIssuer) cwport.QuotaDecision {
 	if issuer.Ask == nil {
 		return m.IssueQuota(workspace)
 	}
@@ -169,19 +169,19 @@
 	case err != nil:
 		m.Log.Debug("quotaNotAsked", "workspace", workspace, "issuer", issuer.Name, "cause", err)
 		m.setPause(key, unresponsivePause, true)
-		return cwport.Verdict{Unknown: true}
+		return cwport.QuotaDecision{Unknown: true}
 	case !v.Allowed:
 		m.setPause(key, v.RetryAfter, v.Unknown)
 	}
 	return v
 }
 
-// IssueQuota implements cwport.QuotaTeller.
-func (m *Meter) IssueQuota(workspace string) cwport.Verdict {
+// IssueQuota implements cwport.QuotaServer.
+func (m *Meter) IssueQuota(workspace string) cwport.QuotaDecision {
 	m.Start()
 	quota, ok := m.Quota(workspace)
 	if !ok {
-		return cwport.Verdict{Unknown: true, RetryAfter: unknownRetryAfter}
+		return cwport.QuotaDecision{Unknown: true, RetryAfter: unknownRetryAfter}
 	}
 	shape := cwquota.BucketParamsFor(quota, m.Rule, max(1, m.DataCentres)*cwholder.MinPerDataCentre)
 	m.mu.Lock()
@@ -197,5 +197,5 @@
 	}
 	shard.SetParams(shape, now)
 	allowed, wait := shard.Take(now)
-	return cwport.Verdict{Allowed: allowed, RetryAfter: wait}
+	return cwport.QuotaDecision{Allowed: allowed, RetryAfter: wait}
 }
--- a/internal/proxy/cwmeter/meter_test.go
+++ b/internal/proxy/cwmeter/meter_test.go
@@ -32,8 +32,8 @@
 }
 
 // issuer returns an issuer that always gives the same answer.
-func (f *fakeIssuers) issuer(name string, v cwport.Verdict, err error) cwport.QuotaIssuer {
-	return cwport.QuotaIssuer{Name: name, Ask: func(context.Context, string) (cwport.Verdict, error) {
+func (f *fakeIssuers) issuer(name string, v cwport.QuotaDecision, err error) cwport.QuotaIssuer {
+	return cwport.QuotaIssuer{Name: name, Ask: func(context.Context, string) (cwport.QuotaDecision, error) {
 		f.asked[name]++
 		return v, err
 	}}
@@ -56,8 +56,8 @@
 }
 
 var (
-	allowed = cwport.Verdict{Allowed: true}
-	spent   = cwport.Verdict{RetryAfter: 300 * time.Millisecond}
+	allowed = cwport.QuotaDecision{Allowed: true}
+	spent   = cwport.QuotaDecision{RetryAfter: 300 * time.Millisecond}
 )
 
 func TestTake(t *testing.T) {
@@ -107,7 +107,7 @@
 func TestUnresponsiveIssuerIsNotAskedAgainAtOnce(t *testing.T) {
 	f := &fakeIssuers{}
 	m, clock := newMeter(f)
-	f.local = []cwport.QuotaIssuer{f.issuer("a", cwport.Verdict{}, errUnresponsive), f.issuer("b", allowed, nil)}
+	f.local = []cwport.QuotaIssuer{f.issuer("a", cwport.QuotaDecision{}, errUnresponsive), f.issuer("b", allowed, nil)}
 	for range 10 {
 		qt.Assert(t, m.Take(workspace).Allowed, qt.IsTrue)
 	}
@@ -122,12 +122,12 @@
 func TestUnknownQuotaIsRefused(t *testing.T) {
 	f := &fakeIssuers{}
 	m, clock := newMeter(f)
-	verdict := make(chan cwport.Verdict, 1)
+	verdict := make(chan cwport.QuotaDecision, 1)
 	go func() { verdict <- m.Take(workspace) }()
 	for {
 		select {
 		case v := <-verdict:
-			qt.Assert(t, v, qt.Equals, cwport.Verdict{Unknown: true, RetryAfter: unknownRetryAfter})
+			qt.Assert(t, v, qt.Equals, cwport.QuotaDecision{Unknown: true, RetryAfter: unknownRetryAfter})
 			return
 		default:
 			clock.Advance(connectPollInterval)
--- a/internal/proxy/cwpeers/feeder.go
+++ b/internal/proxy/cwpeers/feeder.go
@@ -64,7 +64,7 @@
 // With the margin of half a second for first requests too, when a whole data centre
 // starts at once, each instance would time out with the answer on its way, close the
 // connection and do the same with the next feeder, until all of them read the store.
-func marginOf(q cwport.NewsQuestion) time.Duration {
+func marginOf(q cwport.ChangesRequest) time.Duration {
 	for _, after := range q.After {
 		if after == 0 {
 			return firstAnswerMargin
@@ -76,27 +76,27 @@
 // feederLink is the link to the instance from which this one requests changes.
 type feederLink struct{ *link }
 
-// TellNews implements cwport.NewsTeller.
+// ServeChanges implements cwport.ChangesServer.
 //
 // A feeder may freeze, or the network may drop the connection without notice. If the
 // answer is overdue the connection is closed, and the feeder is left out until it can
 // be connected again.
-func (f feederLink) TellNews(ctx context.Context, q cwport.NewsQuestion) (cwport.News, error) {
+func (f feederLink) ServeChanges(ctx context.Context, q cwport.ChangesRequest) (cwport.ChangesResponse, error) {
 	l := f.link
 	conn := l.acquire()
 	defer l.release()
 	if conn == nil {
-		return cwport.News{}, &cwport.LostError{Holder: l.remote.ID, NotSent: true, Cause: errNoAnswer}
+		return cwport.ChangesResponse{}, &cwport.NoResponseError{Instance: l.remote.ID, NotSent: true, Cause: errNoAnswer}
 	}
 	ctx, cancel := context.WithTimeout(ctx, q.Wait+marginOf(q))
 	defer cancel()
-	n, err := conn.TellNews(ctx, q)
-	if errors.As(err, new(*cwport.NoNewsError)) {
+	n, err := conn.ServeChanges(ctx, q)
+	if errors.As(err, new(*cwport.NotLoadedError)) {
 		return n, err
 	}
 	if err != nil {
 		l.dropConn(conn, err)
-		return n, &cwport.LostError{Holder: l.remote.ID, Cause: err}
+		return n, &cwport.NoResponseError{Instance: l.remote.ID, Cause: err}
 	}
 	l.recordAnswer()
 	return n, nil
--- a/internal/proxy/cwpeers/feeder_test.go
+++ b/internal/proxy/cwpeers/feeder_test.go
@@ -75,9 +75,9 @@
 	t.Run("a feeder without a snapshot keeps its connection", func(t *testing.T) {
 		c, p, n, clock := startFollower(t)
 		first := awaitFeeder(c, p, clock)
-		n.withLock(func() { n.changesErr = &cwport.NoNewsError{} })
-		_, err := first.TellNews(context.Background(), cwport.NewsQuestion{})
-		c.Assert(err, qt.ErrorAs, new(*cwport.NoNewsError))
+		n.withLock(func() { n.changesErr = &cwport.NotLoadedError{} })
+		_, err := first.ServeChanges(context.Background(), cwport.ChangesRequest{})
+		c.Assert(err, qt.ErrorAs, new(*cwport.NotLoadedError))
 		f, _ := p.Feeder()
 		c.Assert(f.Name(), qt.Equals, first.Name())
 	})
@@ -93,8 +93,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	// The timeout of the request runs on real time.
 	time.AfterFunc(50*time.Millisecond, cancel)
-	_, err := first.TellNews(ctx, cwport.NewsQuestion{Wait: time.Hour})
-	c.Assert(err, qt.ErrorAs, new(*cwport.LostError))
+	_, err := first.ServeChanges(ctx, cwport.ChangesRequest{Wait: time.Hour})
+	c.Assert(err, qt.ErrorAs, new(*cwport.NoResponseError))
 	next, _ := p.Feeder()
 	c.Assert(next == nil || next.Name() != first.Name(), qt.IsTrue, qt.Commentf("the frozen feeder is asked again"))
 	eventually(c, clock, func() bool {
@@ -111,11 +111,11 @@
 // Guards against a start at which each instance gives up its feeder while the answer is
 // on its way.
 func TestFirstAnswerHasLongerMargin(t *testing.T) {
-	known := cwport.NewsQuestion{After: [cwport.TopicCount]cwfeed.Version{5, 5, 5}}
+	known := cwport.ChangesRequest{After: [cwport.TopicCount]cwfeed.Version{5, 5, 5}}
 	qt.Assert(t, marginOf(known), qt.Equals, answerMargin)
-	qt.Assert(t, marginOf(cwport.NewsQuestion{}), qt.Equals, firstAnswerMargin)
-	known.After[cwport.Targets] = cwport.NotAsked
+	qt.Assert(t, marginOf(cwport.ChangesRequest{}), qt.Equals, firstAnswerMargin)
+	known.After[cwport.TopicTargets] = cwport.SkipTopic
 	qt.Assert(t, marginOf(known), qt.Equals, answerMargin)
-	known.After[cwport.Own] = 0
+	known.After[cwport.TopicOwn] = 0
 	qt.Assert(t, marginOf(known), qt.Equals, firstAnswerMargin)
 }
--- a/internal/proxy/cwpeers/link.go
+++ b/internal/proxy/cwpeers/link.go
@@ -35,7 +35,7 @@
 )
 
 // link manages the connection to another instance: it dials with backoff, probes and
-// closes the connection. It implements cwport.Holder.
+// closes the connection. It implements cwport.Instance.
 type link struct {
 	remote cwholder.Instance
 	dial   Dial
@@ -76,7 +76,7 @@
 	lastAnswerAt time.Time
 }
 
-// Name implements cwport.Holder.
+// Name implements cwport.Instance.
 func (l *link) Name() string { return l.remote.ID }
 
 // ensureUsable reports whether statements can be forwarded now. It starts to connect
@@ -333,17 +333,17 @@
 	}
 }
 
-// Hand implements cwport.Holder.
+// Forward implements cwport.Instance.
 //
 // If the holder freezes or loses power, callers of other instances would wait for
 // its answers until their statements time out. So the holder is probed when a
 // statement has had no answer for answerTimeout; a statement that is merely slow
 // goes on.
-func (l *link) Hand(ctx context.Context, h cwport.Handover) (cwport.Handed, error) {
+func (l *link) Forward(ctx context.Context, h cwport.ForwardRequest) (cwport.ForwardResponse, error) {
 	conn := l.acquire()
 	defer l.release()
 	if conn == nil {
-		return cwport.Handed{}, &cwport.LostError{Holder: l.remote.ID, NotSent: true, Cause: errNoAnswer}
+		return cwport.ForwardResponse{}, &cwport.NoResponseError{Instance: l.remote.ID, NotSent: true, Cause: errNoAnswer}
 	}
 	sent := l.clock.Now()
 	overdue := l.clock.AfterFunc(answerTimeout, func() {
@@ -356,7 +356,7 @@
 		return resp, err
 	}
 	l.recordAnswer()
-	if resp.Elsewhere {
+	if resp.TryOtherHolder {
 		l.avoid()
 	}
 	return resp, nil
--- a/internal/proxy/cwpeers/ondemand_test.go
+++ b/internal/proxy/cwpeers/ondemand_test.go
@@ -196,7 +196,7 @@
 		w.net.withLock(func() { w.net.unresponsive[remote.ID] = true })
 		began := time.Now()
 		_, err = forwardTo(h, "s")
-		w.Assert(err, qt.ErrorAs, new(*cwport.LostError))
+		w.Assert(err, qt.ErrorAs, new(*cwport.NoResponseError))
 		w.Assert(w.path.cut(), qt.IsTrue)
 		w.Assert(time.Since(began) <= 2*answerTimeout, qt.IsTrue)
 	})
--- a/internal/proxy/cwpeers/peers.go
+++ b/internal/proxy/cwpeers/peers.go
@@ -36,12 +36,12 @@
 
 // Conn is a connection to another instance, used by several goroutines at a time.
 type Conn interface {
-	// Hand runs a statement on the other instance. The error is a *cwport.LostError
+	// Hand runs a statement on the other instance. The error is a *cwport.NoResponseError
 	// if no answer arrives.
-	Hand(ctx context.Context, h cwport.Handover) (cwport.Handed, error)
-	cwport.NewsTeller
+	Hand(ctx context.Context, h cwport.ForwardRequest) (cwport.ForwardResponse, error)
+	cwport.ChangesServer
 	// AskQuota asks the other instance to admit one operation of a workspace.
-	AskQuota(ctx context.Context, workspace string) (cwport.Verdict, error)
+	AskQuota(ctx context.Context, workspace string) (cwport.QuotaDecision, error)
 	// Ping returns an error if the other end does not answer before ctx ends.
 	Ping(ctx context.Context) error
 	// Done returns a channel that is closed once the connection has ended.
@@ -158,10 +158,10 @@
 	}
 }
 
-// Holds implements cwport.Holders. Until all rows were read the instance counts as a
+// HolderRank implements cwport.Holders. Until all rows were read the instance counts as a
 // holder of each group if there are few groups, and of none if there are many; its
 // rank is then -1.
-func (p *Peers) Holds(group string, d cwholder.TargetCapacity) (int, bool) {
+func (p *Peers) HolderRank(group string, d cwholder.TargetCapacity) (int, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.allRowsRead {
--- a/internal/proxy/cwpeers/peers_test.go
+++ b/internal/proxy/cwpeers/peers_test.go
@@ -102,24 +102,24 @@
 	}
 }
 
-func (c *fakeConn) Hand(ctx context.Context, h cwport.Handover) (cwport.Handed, error) {
+func (c *fakeConn) Hand(ctx context.Context, h cwport.ForwardRequest) (cwport.ForwardResponse, error) {
 	if err := c.awaitAnswer(ctx); err != nil {
-		return cwport.Handed{}, &cwport.LostError{Holder: c.name, Cause: err}
+		return cwport.ForwardResponse{}, &cwport.NoResponseError{Instance: c.name, Cause: err}
 	}
-	return cwport.Handed{Elsewhere: h.Statement.ID == "elsewhere"}, nil
+	return cwport.ForwardResponse{TryOtherHolder: h.Statement.ID == "elsewhere"}, nil
 }
 
-func (c *fakeConn) TellNews(ctx context.Context, _ cwport.NewsQuestion) (cwport.News, error) {
+func (c *fakeConn) ServeChanges(ctx context.Context, _ cwport.ChangesRequest) (cwport.ChangesResponse, error) {
 	if err := c.awaitAnswer(ctx); err != nil {
-		return cwport.News{}, err
+		return cwport.ChangesResponse{}, err
 	}
 	c.net.mu.Lock()
 	defer c.net.mu.Unlock()
-	return cwport.News{}, c.net.changesErr
+	return cwport.ChangesResponse{}, c.net.changesErr
 }
 
-func (c *fakeConn) AskQuota(ctx context.Context, _ string) (cwport.Verdict, error) {
-	return cwport.Verdict{Allowed: true}, c.awaitAnswer(ctx)
+func (c *fakeConn) AskQuota(ctx context.Context, _ string) (cwport.QuotaDecision, error) {
+	return cwport.QuotaDecision{Allowed: true}, c.awaitAnswer(ctx)
 }
 
 func (c *fakeConn) Ping(ctx context.Context) error { return c.awaitAnswer(ctx) }
@@ -212,8 +212,8 @@
 }
 
 // forwardTo has a holder run a statement with the given id.
-func forwardTo(h cwport.Holder, id string) (cwport.Handed, error) {
-	return h.Hand(context.Background(), cwport.Handover{Statement: cwstatement.Statement{ID: id}})
+func forwardTo(h cwport.Holder, id string) (cwport.ForwardResponse, error) {
+	return h.Forward(context.Background(), cwport.ForwardRequest{Statement: cwstatement.Statement{ID: id}})
 }
 
 func TestHolder(t *testing.T) {
@@ -232,7 +232,7 @@
 		first := awaitHolder(c, p, clock)
 		r, err := forwardTo(first, "elsewhere")
 		c.Assert(err, qt.IsNil)
-		c.Assert(r.Elsewhere, qt.IsTrue)
+		c.Assert(r.TryOtherHolder, qt.IsTrue)
 		eventually(c, clock, func() bool {
 			h, ok := p.Holder("g", scarceCapacity, nil)
 			return ok && h.Name() != first.Name()
@@ -260,7 +260,7 @@
 	n.withLock(func() { n.unresponsive[first.Name()] = true })
 	began := clock.Now()
 	_, err := forwardTo(first, "s")
-	c.Assert(err, qt.ErrorAs, new(*cwport.LostError))
+	c.Assert(err, qt.ErrorAs, new(*cwport.NoResponseError))
 	c.Assert(clock.Since(began) < 10*time.Second, qt.IsTrue, qt.Commentf("%v", clock.Since(began)))
 	c.Assert(awaitHolder(c, p, clock).Name(), qt.Not(qt.Equals), first.Name())
 }
--- a/internal/proxy/cwpeers/quota.go
+++ b/internal/proxy/cwpeers/quota.go
@@ -63,12 +63,12 @@
 
 // askQuota asks the remote instance to admit one operation of a workspace, after a
 // connection attempt in progress has ended.
-func (l *link) askQuota(ctx context.Context, workspace string) (cwport.Verdict, error) {
+func (l *link) askQuota(ctx context.Context, workspace string) (cwport.QuotaDecision, error) {
 	l.awaitDial(ctx)
 	conn := l.acquire()
 	defer l.release()
 	if conn == nil {
-		return cwport.Verdict{}, &cwport.LostError{Holder: l.remote.ID, NotSent: true, Cause: errNoAnswer}
+		return cwport.QuotaDecision{}, &cwport.NoResponseError{Instance: l.remote.ID, NotSent: true, Cause: errNoAnswer}
 	}
 	v, err := conn.AskQuota(ctx, workspace)
 	if err == nil {
--- a/internal/proxy/cwpeers/rows.go
+++ b/internal/proxy/cwpeers/rows.go
@@ -190,7 +190,7 @@
 // new or has another address or data centre. The caller holds mu.
 func (p *Peers) applyRow(name string, r cwport.Row) (i cwholder.Instance, changed bool) {
 	if name == p.Self.ID {
-		p.ownRowETag = r.Tag()
+		p.ownRowETag = r.ETag()
 	}
 	delete(p.missingSince, name)
 	if r.Removed {
--- a/internal/proxy/cwport/handover.go
+++ b/internal/proxy/cwport/handover.go
@@ -10,9 +10,9 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwstatement"
 )
 
-// Handover is one statement that an instance forwards to a holder of its group,
+// ForwardRequest is one statement that an instance forwards to a holder of its group,
 // with the state of the caller's session that the holder needs to run it.
-type Handover struct {
+type ForwardRequest struct {
 	// Transaction identifies the caller's transaction, uniquely among all
 	// instances; empty for a statement outside a transaction.
 	Transaction string
@@ -31,39 +31,39 @@
 	Prepared *Prepared
 	// Values are the session's settings.
 	Values map[string]string
-	// Seen is the log position of the session's last write to the group; zero if
+	// LastWrite is the log position of the session's last write to the group; zero if
 	// it has written nothing there.
-	Seen cwgroup.LogPosition
+	LastWrite cwgroup.LogPosition
 	// Elapsed is the time since the caller's instance received the statement.
 	Elapsed time.Duration
 }
 
 // Prepared is a prepared statement of a session.
 type Prepared struct {
-	// Shape is the text that was prepared.
-	Shape string
+	// Text is the text that was prepared.
+	Text string
 	// Writes is true if the statement is a write.
 	Writes bool
 }
 
-// Handed is a holder's answer to a Handover.
-type Handed struct {
+// ForwardResponse is a holder's answer to a Handover.
+type ForwardResponse struct {
 	Answer cwstatement.Response
-	// Wrote is the log position of the commit that this statement made; zero if it
+	// CommitPosition is the log position of the commit that this statement made; zero if it
 	// committed nothing.
-	Wrote cwgroup.LogPosition
-	// Elsewhere is true if nothing ran because of the holder's own state, so that
+	CommitPosition cwgroup.LogPosition
+	// TryOtherHolder is true if nothing ran because of the holder's own state, so that
 	// another holder may be able to run the statement.
-	Elsewhere bool
+	TryOtherHolder bool
 }
 
 // Holder is another instance that runs statements of a group.
 type Holder interface {
 	// Name returns the instance's name.
 	Name() string
-	// Hand forwards a statement and waits for the answer. The error is a
-	// *LostError if no answer came.
-	Hand(ctx context.Context, h Handover) (Handed, error)
+	// Forward forwards a statement and waits for the answer. The error is a
+	// *NoResponseError if no answer came.
+	Forward(ctx context.Context, h ForwardRequest) (ForwardResponse, error)
 }
 
 // Holders selects the instances that run the statements of a group.
@@ -74,24 +74,24 @@
 	// Connect opens connections to the group's holders before a statement is to be
 	// forwarded.
 	Connect(group string, d cwholder.TargetCapacity)
-	// Holds returns this instance's rank among the group's holders; false if it
+	// HolderRank returns this instance's rank among the group's holders; false if it
 	// doesn't hold the group.
-	Holds(group string, d cwholder.TargetCapacity) (place int, ok bool)
+	HolderRank(group string, d cwholder.TargetCapacity) (place int, ok bool)
 }
 
-// LostError reports a forwarded statement without an answer. The statement may
+// NoResponseError reports a forwarded statement without an answer. The statement may
 // have run unless NotSent is true.
-type LostError struct {
-	// Holder is the name of the instance that it was forwarded to.
-	Holder string
+type NoResponseError struct {
+	// Instance is the name of the instance that it was forwarded to.
+	Instance string
 	// NotSent is true if the statement certainly didn't run.
 	NotSent bool
 	Cause   error
 }
 
-func (e *LostError) Error() string {
-	return "no answer from holder " + e.Holder + ": " + e.Cause.Error()
+func (e *NoResponseError) Error() string {
+	return "no answer from holder " + e.Instance + ": " + e.Cause.Error()
 }
 
 // Unwrap returns Cause.
-func (e *LostError) Unwrap() error { return e.Cause }
+func (e *NoResponseError) Unwrap() error { return e.Cause }
--- a/internal/proxy/cwport/port.go
+++ b/internal/proxy/cwport/port.go
@@ -18,8 +18,8 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwstatement"
 )
 
-// Caller is the connection of one caller's session.
-type Caller interface {
+// CallerConn is the connection of one caller's session.
+type CallerConn interface {
 	// Startup reads the caller's startup message.
 	Startup() (Startup, error)
 	// Accept answers the startup message with success.
@@ -41,8 +41,8 @@
 type Startup struct {
 	// Database is the service name of the catalogue entry to use.
 	Database string
-	// Key is the digest of the caller's API key, which identifies its workspace.
-	Key cwcatalogue.KeyDigest
+	// KeyDigest is the digest of the caller's API key, which identifies its workspace.
+	KeyDigest cwcatalogue.KeyDigest
 }
 
 // Endpoint is the address of a target and the identity expected there.
@@ -55,8 +55,8 @@
 	Address string
 }
 
-// Target is a connection to a target. It is not safe for concurrent use.
-type Target interface {
+// TargetConn is a connection to a target. It is not safe for concurrent use.
+type TargetConn interface {
 	// Send buffers a command. An error is reported by Flush.
 	Send(cwstatement.Command)
 	// Flush sends the buffered commands.
@@ -75,9 +75,9 @@
 	// SetTimeout bounds the total time of all following operations; zero removes
 	// the bound.
 	SetTimeout(time.Duration) error
-	// Silent reports whether nothing has arrived since the last answer. It returns
+	// NoUnreadInput reports whether nothing has arrived since the last answer. It returns
 	// false if the target has closed the connection or sent an unsolicited message.
-	Silent() bool
+	NoUnreadInput() bool
 	Close() error
 }
 
@@ -87,7 +87,7 @@
 	// is empty, for the proxy's own statements and those of callers without a
 	// workspace. A target can't change the workspace of an open connection. The
 	// error is a *RefusedError if the target refused the connection.
-	Dial(ctx context.Context, to Endpoint, workspace string) (Target, error)
+	Dial(ctx context.Context, to Endpoint, workspace string) (TargetConn, error)
 }
 
 // RefusedError reports that a target refused a connection or a command.
@@ -107,9 +107,9 @@
 	ID cwgroup.MemberID
 	// Holder is the instance that makes the request and holds the claim for it.
 	Holder string
-	// Fence is the fencing token, which increases with each change of the claim's
+	// FencingToken is the fencing token, which increases with each change of the claim's
 	// holder.
-	Fence uint64
+	FencingToken uint64
 }
 
 // Promoter carries out promotions.
@@ -118,35 +118,35 @@
 	Promote(ctx context.Context, p Promotion) error
 }
 
-// Leadership is the role that a target reports in its entry in the list of
+// ReportedRole is the role that a target reports in its entry in the list of
 // targets.
-type Leadership uint8
+type ReportedRole uint8
 
 // The values of Leadership.
 const (
-	LeadershipUnknown Leadership = iota
-	LeadershipReplica
-	LeadershipPrimary
+	RoleUnknown ReportedRole = iota
+	RoleReplica
+	RolePrimary
 )
 
-// Listing is the entry of one target in the platform's list.
-type Listing struct {
+// ListedTarget is the entry of one target in the platform's list.
+type ListedTarget struct {
 	ID         cwgroup.MemberID
 	Service    string
 	Address    string
 	DataCentre string
 	// Slots is the number of statements that the target runs concurrently.
 	Slots int
-	// Leaving is true once the target has announced that it is shutting down.
-	Leaving bool
-	// Lapsed is true while the entry is missing from the list. The target is still used
+	// Draining is true once the target has announced that it is shutting down.
+	Draining bool
+	// EntryMissing is true while the entry is missing from the list. The target is still used
 	// until it is certain that the entry will not return.
-	Lapsed bool
-	Role   Leadership
-	// Born is the target's start time by its own clock; zero if it reports none. After a
+	EntryMissing bool
+	Role         ReportedRole
+	// StartedAt is the target's start time by its own clock; zero if it reports none. After a
 	// restart under the same id the time differs, and may be earlier if the clock was set
 	// back.
-	Born time.Time
+	StartedAt time.Time
 }
 
 // Topic is a part of the platform's store that can be followed by itself.
@@ -154,12 +154,12 @@
 
 // The topics.
 const (
-	// Desired is the desired state as set by operators: the catalogue without targets.
-	Desired Topic = iota
-	// Targets is the platform's list of targets.
-	Targets
-	// Own is the rows that the proxy's instances write themselves.
-	Own
+	// TopicDesired is the desired state as set by operators: the catalogue without targets.
+	TopicDesired Topic = iota
+	// TopicTargets is the platform's list of targets.
+	TopicTargets
+	// TopicOwn is the rows that the proxy's instances write themselves.
+	TopicOwn
 )
 
 // String returns the topic's name for logs.
@@ -173,37 +173,37 @@
 	Version cwfeed.Version
 	// Catalogue is the newest desired state; nil if the batch has none.
 	Catalogue *cwcatalogue.Catalogue
-	// Listed are targets that are new or changed.
-	Listed []Listing
+	// Updated are targets that are new or changed.
+	Updated []ListedTarget
 	// Removed are targets that are no longer in the list.
 	Removed []cwgroup.MemberID
-	// Rows are own rows (topic Own) that are new, changed or removed.
-	Rows []Row
+	// OwnRows are own rows (topic Own) that are new, changed or removed.
+	OwnRows []Row
 	// Raw are all rows of the batch in the store's format, to be passed on to
 	// other instances.
 	Raw []Row
-	// Faults are the rows that could not be decoded. They are left out of the batch, and
+	// RowErrors are the rows that could not be decoded. They are left out of the batch, and
 	// what was known of them before stays in force.
-	Faults []RowFault
+	RowErrors []RowError
 }
 
-// RowFault reports a row that could not be decoded.
-type RowFault struct {
+// RowError reports a row that could not be decoded.
+type RowError struct {
 	Key     string
 	Version cwfeed.Version
 	Cause   error
 }
 
-func (f RowFault) Error() string {
+func (f RowError) Error() string {
 	return "row " + f.Key + " version " + f.Version.String() + ": " + f.Cause.Error()
 }
 
 // Unwrap returns Cause.
-func (f RowFault) Unwrap() error { return f.Cause }
+func (f RowError) Unwrap() error { return f.Cause }
 
 // Changed reports whether the batch has a catalogue, target or own row.
 func (b Batch) Changed() bool {
-	return b.Catalogue != nil || len(b.Listed)+len(b.Removed)+len(b.Rows) > 0
+	return b.Catalogue != nil || len(b.Updated)+len(b.Removed)+len(b.OwnRows) > 0
 }
 
 // Row is a row of the store.
@@ -221,9 +221,9 @@
 	Packed []byte
 }
 
-// Tag returns the row's entity tag (ETag), by which a conditional write requires
+// ETag returns the row's entity tag (ETag), by which a conditional write requires
 // that the row has not changed; empty if the row does not exist.
-func (r Row) Tag() string {
+func (r Row) ETag() string {
 	if r.Removed {
 		return ""
 	}
@@ -235,16 +235,16 @@
 	// Snapshot returns all rows of a topic.
 	Snapshot(ctx context.Context, t Topic) (Batch, error)
 	// Changes returns the changes of a topic after a version as soon as there are
-	// any, or an empty batch after wait. The error is a *HistoryError if a new
+	// any, or an empty batch after wait. The error is a *ChangesLostError if a new
 	// snapshot is needed because the changes are no longer kept, or the store is in
 	// a later era than the version (it was restored from an older copy).
 	Changes(ctx context.Context, t Topic, after cwfeed.Version, wait time.Duration) (Batch, error)
 }
 
-// HistoryError reports that the store no longer keeps the changes after a
+// ChangesLostError reports that the store no longer keeps the changes after a
 // version.
-type HistoryError struct{ After cwfeed.Version }
+type ChangesLostError struct{ After cwfeed.Version }
 
-func (e *HistoryError) Error() string {
+func (e *ChangesLostError) Error() string {
 	return "the changes after version " + e.After.String() + " are no longer kept"
 }
--- a/internal/proxy/cwport/quota.go
+++ b/internal/proxy/cwport/quota.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Meter enforces the quotas of workspaces across all instances.
-type Meter interface {
+// QuotaMeter enforces the quotas of workspaces across all instances.
+type QuotaMeter interface {
 	// Take requests quota for one operation of a workspace.
-	Take(workspace string) Verdict
+	Take(workspace string) QuotaDecision
 }
 
-// Verdict is the answer to a request for quota.
-type Verdict struct {
+// QuotaDecision is the answer to a request for quota.
+type QuotaDecision struct {
 	// Allowed is true if the operation is within the workspace's quota.
 	Allowed bool
 	// RetryAfter is the time until quota is available again, if Allowed is false.
@@ -29,7 +29,7 @@
 	// Ask requests quota for one operation; nil if the issuer is this instance. An
 	// error means that no answer came; the issuer may still have counted the
 	// operation.
-	Ask func(ctx context.Context, workspace string) (Verdict, error)
+	Ask func(ctx context.Context, workspace string) (QuotaDecision, error)
 }
 
 // QuotaIssuers selects the issuers of a workspace's quota.
@@ -40,9 +40,9 @@
 	QuotaIssuers(workspace string, remote bool) []QuotaIssuer
 }
 
-// QuotaTeller answers requests for the part of a workspace's quota that this
+// QuotaServer answers requests for the part of a workspace's quota that this
 // instance issues.
-type QuotaTeller interface {
+type QuotaServer interface {
 	// IssueQuota requests quota for one operation from this instance's part.
-	IssueQuota(workspace string) Verdict
+	IssueQuota(workspace string) QuotaDecision
 }
--- a/internal/proxy/cwtargets/conn.go
+++ b/internal/proxy/cwtargets/conn.go
@@ -12,7 +12,7 @@
 
 // Conn is a connection to a target and the state of its session there.
 type Conn struct {
-	cwport.Target
+	cwport.TargetConn
 	// Workspace is the workspace whose statements may run on the connection; empty
 	// for the proxy's own statements and those of callers without a workspace. It
 	// never changes.
--- a/internal/proxy/cwtargets/dial.go
+++ b/internal/proxy/cwtargets/dial.go
@@ -85,7 +85,7 @@
 		return
 	}
 	p.redialPause = 0
-	c := &Conn{Target: t, Workspace: workspace, Values: map[string]string{}, Prepared: map[string]bool{}, openedAt: now, lastUsed: now}
+	c := &Conn{TargetConn: t, Workspace: workspace, Values: map[string]string{}, Prepared: map[string]bool{}, openedAt: now, lastUsed: now}
 	p.lendOrKeepIdle(c, now)
 	p.mu.Unlock()
 }
--- a/internal/proxy/cwtargets/pool.go
+++ b/internal/proxy/cwtargets/pool.go
@@ -299,7 +299,7 @@
 		// the outcome of the write would be unknown. After a restart of a target
 		// this would happen on each of its connections. Unread input shows the
 		// closed connection before anything is sent.
-		if c.Silent() {
+		if c.NoUnreadInput() {
 			return c
 		}
 		p.open--
--- a/internal/proxy/cwtargets/pool_test.go
+++ b/internal/proxy/cwtargets/pool_test.go
@@ -20,7 +20,7 @@
 	dials atomic.Int64
 }
 
-func (d *countingDialer) Dial(ctx context.Context, to cwport.Endpoint, workspace string) (cwport.Target, error) {
+func (d *countingDialer) Dial(ctx context.Context, to cwport.Endpoint, workspace string) (cwport.TargetConn, error) {
 	d.dials.Add(1)
 	return d.Dialer.Dial(ctx, to, workspace)
 }
@@ -146,7 +146,7 @@
 	p, _, d, clock := newPool(t)
 	c, err := acquire(p, clock)
 	qt.Assert(t, err, qt.IsNil)
-	c.Target = unexpectedInputTarget{c.Target}
+	c.TargetConn = unexpectedInputTarget{c.TargetConn}
 	p.Release(c)
 	again, err := acquire(p, clock)
 	qt.Assert(t, err, qt.IsNil)
@@ -155,6 +155,6 @@
 }
 
 // unexpectedInputTarget is a connection that the target has closed.
-type unexpectedInputTarget struct{ cwport.Target }
+type unexpectedInputTarget struct{ cwport.TargetConn }
 
-func (unexpectedInputTarget) Silent() bool { return false }
+func (unexpectedInputTarget) NoUnreadInput() bool { return false }
--- a/internal/standin/cwreplica/conn.go
+++ b/internal/standin/cwreplica/conn.go
@@ -10,7 +10,7 @@
 	"cicadawalk.example/cicadawalk/internal/proxy/cwport"
 )
 
-// conn is a connection from an instance to a member. It implements cwport.Target.
+// conn is a connection from an instance to a member. It implements cwport.TargetConn.
 // Except for queue and timeout, its fields are guarded by the group's lock.
 type conn struct {
 	group  *Group
@@ -42,13 +42,13 @@
 	timeout time.Duration
 }
 
-// Send implements cwport.Target.
+// Send implements cwport.TargetConn.
 func (c *conn) Send(cmd cwstatement.Command) { c.queue = append(c.queue, cmd) }
 
-// Flush implements cwport.Target.
+// Flush implements cwport.TargetConn.
 func (c *conn) Flush() error { return nil }
 
-// Receive implements cwport.Target.
+// Receive implements cwport.TargetConn.
 func (c *conn) Receive() (cwstatement.Response, error) {
 	g := c.group
 	g.mu.Lock()
@@ -247,12 +247,12 @@
 	return c.member.health(), nil
 }
 
-// Health implements cwport.Target.
+// Health implements cwport.TargetConn.
 func (c *conn) Health() (cwstatement.Health, error) {
 	return c.withMember(func(*Member) { c.group.healthChecks++ })
 }
 
-// Fence implements cwport.Target.
+// Fence implements cwport.TargetConn.
 func (c *conn) Fence(t cwgroup.Term) (cwstatement.Health, error) {
 	if err := c.fenceFault(); err != nil {
 		return cwstatement.Health{}, err
@@ -276,13 +276,13 @@
 	return nil
 }
 
-// Unfence implements cwport.Target.
+// Unfence implements cwport.TargetConn.
 func (c *conn) Unfence() error {
 	_, err := c.withMember(func(m *Member) { m.fenceTerm = 0 })
 	return err
 }
 
-// Demote implements cwport.Target.
+// Demote implements cwport.TargetConn.
 func (c *conn) Demote(t cwgroup.Term) (cwstatement.Health, error) {
 	return c.withMember(func(m *Member) {
 		if m.role == cwgroup.RolePrimary && m.term < t {
@@ -291,16 +291,16 @@
 	})
 }
 
-// SetTimeout implements cwport.Target.
+// SetTimeout implements cwport.TargetConn.
 func (c *conn) SetTimeout(d time.Duration) error {
 	c.timeout = d
 	return nil
 }
 
-// Silent implements cwport.Target.
-func (c *conn) Silent() bool { return true }
+// NoUnreadInput implements cwport.TargetConn.
+func (c *conn) NoUnreadInput() bool { return true }
 
-// Close implements cwport.Target.
+// Close implements cwport.TargetConn.
 func (c *conn) Close() error {
 	c.group.mu.Lock()
 	defer c.group.mu.Unlock()
@@ -311,4 +311,4 @@
 	return nil
 }
 
-var _ cwport.Target = (*conn)(nil)
+var _ cwport.TargetConn = (*conn)(nil)
--- a/internal/standin/cwreplica/group.go
+++ b/internal/standin/cwreplica/group.go
@@ -1,5 +1,5 @@
 // Package cwreplica emulates a group of replicated databases, for tests. It runs
-// in memory and without a wire protocol: connections implement cwport.Target
+// in memory and without a wire protocol: connections implement cwport.TargetConn
 // directly. The emulated databases push no notifications and accept orders from
 // any instance.
 //
@@ -308,7 +308,7 @@
 }
 
 // Dial implements cwport.Dialer.
-func (d dialer) Dial(ctx context.Context, to cwport.Endpoint, workspace string) (cwport.Target, error) {
+func (d dialer) Dial(ctx context.Context, to cwport.Endpoint, workspace string) (cwport.TargetConn, error) {
 	g := d.group
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/tool/cwcommand/serve.go
+++ b/internal/tool/cwcommand/serve.go
@@ -90,7 +90,7 @@
 		PollWaits:  pollWaits(s),
 		GoneAfter:  s.DrainBound - removalMargin,
 		Turn:       s.HolderTurn,
-		Codec:      func(c net.Conn) cwport.Caller { return platform.NewCaller(c) },
+		Codec:      func(c net.Conn) cwport.CallerConn { return platform.NewCaller(c) },
 		Dialer:     platform.Dialer{InstanceName: s.Instance},
 		Source:     store,
 		Decoder:    platform.Decoder{},
--- a/internal/tool/cwsoak/caller.go
+++ b/internal/tool/cwsoak/caller.go
@@ -82,7 +82,7 @@
 // session is a caller's connection to one instance.
 type session struct {
 	caller  *caller
-	target  cwport.Target
+	target  cwport.TargetConn
 	process *process
 	rule    cwcatalogue.ReadConsistency
 	key     string
--- a/internal/tool/cwsoak/entries.go
+++ b/internal/tool/cwsoak/entries.go
@@ -13,7 +13,7 @@
 
 // entry is a target's entry in the store. It is guarded by environment.mu.
 type entry struct {
-	listing cwport.Listing
+	listing cwport.ListedTarget
 	// lapsed is true while the entry is missing from the store although the target
 	// may be running.
 	lapsed bool
@@ -22,9 +22,9 @@
 // reportRole writes a target's entry if its role has changed and the target is up.
 func (env *environment) reportRole(g *group, id cwgroup.MemberID) error {
 	role, up := g.Role(id)
-	now := cwport.LeadershipReplica
+	now := cwport.RoleReplica
 	if role == cwgroup.RolePrimary {
-		now = cwport.LeadershipPrimary
+		now = cwport.RolePrimary
 	}
 	env.mu.Lock()
 	e := g.entries[id]
@@ -67,5 +67,5 @@
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	e := g.entries[id]
-	e.lapsed, e.listing.Role = lapsed, cwport.LeadershipUnknown
+	e.lapsed, e.listing.Role = lapsed, cwport.RoleUnknown
 }
--- a/internal/tool/cwsoak/environment.go
+++ b/internal/tool/cwsoak/environment.go
@@ -175,7 +175,7 @@
 		}
 		env.cleanups = append(env.cleanups, func() { _ = ln.Close() }, l.Stop)
 		g.links[id] = l
-		g.entries[id] = &entry{listing: cwport.Listing{ID: id, Service: name, Address: l.Addr(), DataCentre: dataCentreName(i), Slots: slotsPerTarget}}
+		g.entries[id] = &entry{listing: cwport.ListedTarget{ID: id, Service: name, Address: l.Addr(), DataCentre: dataCentreName(i), Slots: slotsPerTarget}}
 		if err := env.reportRole(g, id); err != nil {
 			return err
 		}
@@ -394,7 +394,7 @@
 }
 
 // roundTrip sends one command and reads its answer.
-func roundTrip(t cwport.Target, c cwstatement.Command) (cwstatement.Response, error) {
+func roundTrip(t cwport.TargetConn, c cwstatement.Command) (cwstatement.Response, error) {
 	t.Send(c)
 	if err := t.Flush(); err != nil {
 		return cwstatement.Response{}, err
--- a/internal/tool/cwsoak/ledger.go
+++ b/internal/tool/cwsoak/ledger.go
@@ -213,13 +213,13 @@
 	holders := make(map[uint64]string)
 	highest := uint64(0)
 	for _, p := range g.Promotions() {
-		if holder, ok := holders[p.Fence]; ok && holder != p.Holder {
-			l.addViolation(ConflictingHolders, "%s: %s and %s promoted with fence %d", g.Service, holder, p.Holder, p.Fence)
+		if holder, ok := holders[p.FencingToken]; ok && holder != p.Holder {
+			l.addViolation(ConflictingHolders, "%s: %s and %s promoted with fence %d", g.Service, holder, p.Holder, p.FencingToken)
 		}
-		if p.Fence < highest {
-			l.addViolation(ConflictingHolders, "%s: promotion with fence %d after fence %d", g.Service, p.Fence, highest)
+		if p.FencingToken < highest {
+			l.addViolation(ConflictingHolders, "%s: promotion with fence %d after fence %d", g.Service, p.FencingToken, highest)
 		}
-		holders[p.Fence], highest = p.Holder, max(highest, p.Fence)
+		holders[p.FencingToken], highest = p.Holder, max(highest, p.FencingToken)
 	}
 }
 
--- a/internal/tool/cwsoak/soak.go
+++ b/internal/tool/cwsoak/soak.go
@@ -42,7 +42,7 @@
 type Store interface {
 	http.Handler
 	// PutEntry writes a target's entry.
-	PutEntry(l cwport.Listing) error
+	PutEntry(l cwport.ListedTarget) error
 	// RemoveEntry removes a target's entry, as if it had lapsed.
 	RemoveEntry(id string)
 	// SetDesiredState writes a desired state, with the keys of each workspace by its name.
--- a/internal/wire/cwhandover/conn.go
+++ b/internal/wire/cwhandover/conn.go
@@ -29,7 +29,7 @@
 type Handler interface {
 	// Hand runs a forwarded statement. The value of from identifies the connection
 	// that the statement came from.
-	Hand(from any, h cwport.Handover) cwport.Handed
+	Hand(from any, h cwport.ForwardRequest) cwport.ForwardResponse
 	// Left is called when a connection has ended. The transactions that were
 	// forwarded on it end with it.
 	Left(from any)
@@ -40,9 +40,9 @@
 type Server struct {
 	Handler Handler
 	// News answers requests for store changes. If it is nil, they are refused.
-	News cwport.NewsTeller
+	News cwport.ChangesServer
 	// Quotas answers quota requests. If it is nil, they are refused.
-	Quotas cwport.QuotaTeller
+	Quotas cwport.QuotaServer
 
 	encoder newsEncoder
 }
@@ -100,7 +100,7 @@
 	if err != nil {
 		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeInvalidParams, Message: err.Error()}
 	}
-	n, err := s.News.TellNews(ctx, q)
+	n, err := s.News.ServeChanges(ctx, q)
 	if err != nil {
 		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeInternalError, Message: err.Error()}
 	}
@@ -144,35 +144,35 @@
 }
 
 // Hand forwards a statement to the holder and returns its answer. Errors are of type
-// *cwport.LostError.
-func (c *Conn) Hand(ctx context.Context, h cwport.Handover) (cwport.Handed, error) {
+// *cwport.NoResponseError.
+func (c *Conn) Hand(ctx context.Context, h cwport.ForwardRequest) (cwport.ForwardResponse, error) {
 	var b resultBody
 	err := c.rpc.Call(ctx, methodForward, encodeStatement(h), &b)
 	var refused *jsonrpc2.Error
 	switch {
 	case errors.As(err, &refused):
-		return cwport.Handed{}, &cwport.LostError{Holder: c.name, NotSent: refused.Code == jsonrpc2.CodeInvalidParams, Cause: err}
+		return cwport.ForwardResponse{}, &cwport.NoResponseError{Instance: c.name, NotSent: refused.Code == jsonrpc2.CodeInvalidParams, Cause: err}
 	case err != nil:
-		return cwport.Handed{}, &cwport.LostError{Holder: c.name, Cause: err}
+		return cwport.ForwardResponse{}, &cwport.NoResponseError{Instance: c.name, Cause: err}
 	}
 	r, err := b.decode()
 	if err != nil {
-		return cwport.Handed{}, &cwport.LostError{Holder: c.name, Cause: err}
+		return cwport.ForwardResponse{}, &cwport.NoResponseError{Instance: c.name, Cause: err}
 	}
 	return r, nil
 }
 
-// TellNews implements cwport.NewsTeller. After any error other than a
-// *cwport.NoNewsError, the connection must be closed.
-func (c *Conn) TellNews(ctx context.Context, q cwport.NewsQuestion) (cwport.News, error) {
+// ServeChanges implements cwport.ChangesServer. After any error other than a
+// *cwport.NotLoadedError, the connection must be closed.
+func (c *Conn) ServeChanges(ctx context.Context, q cwport.ChangesRequest) (cwport.ChangesResponse, error) {
 	var b newsBody
 	err := c.rpc.Call(ctx, methodNews, encodeNewsRequest(q), &b)
 	var refused *jsonrpc2.Error
 	switch {
 	case errors.As(err, &refused):
-		return cwport.News{}, &cwport.NoNewsError{Cause: err}
+		return cwport.ChangesResponse{}, &cwport.NotLoadedError{Cause: err}
 	case err != nil:
-		return cwport.News{}, err
+		return cwport.ChangesResponse{}, err
 	}
 	return b.decode()
 }
--- a/internal/wire/cwhandover/handover.go
+++ b/internal/wire/cwhandover/handover.go
@@ -95,7 +95,7 @@
 	return positionBody{Term: uint64(m.Term), Position: uint64(m.Index)}
 }
 
-func encodeStatement(h cwport.Handover) statementBody {
+func encodeStatement(h cwport.ForwardRequest) statementBody {
 	c := h.Entry.Contract
 	b := statementBody{
 		Transaction: h.Transaction, Begin: h.Begin.String(),
@@ -105,38 +105,38 @@
 			Synchronous: c.Synchronous, IdleUS: c.IdleTransaction.Microseconds(),
 		},
 		Workspace: h.Workspace, ID: h.Statement.ID, Verb: h.Statement.Verb.String(), Text: h.Statement.Text, Name: h.Statement.Name, Rest: h.Statement.Args,
-		Values: h.Values, Seen: encodePosition(h.Seen), ElapsedUS: h.Elapsed.Microseconds(),
+		Values: h.Values, Seen: encodePosition(h.LastWrite), ElapsedUS: h.Elapsed.Microseconds(),
 	}
 	if h.Prepared != nil {
-		b.Prepared = &preparedBody{Shape: h.Prepared.Shape, Writes: h.Prepared.Writes}
+		b.Prepared = &preparedBody{Shape: h.Prepared.Text, Writes: h.Prepared.Writes}
 	}
 	return b
 }
 
 // decodeStatement decodes and validates a forwarded statement.
-func decodeStatement(params []byte) (cwport.Handover, error) {
+func decodeStatement(params []byte) (cwport.ForwardRequest, error) {
 	var b statementBody
 	if err := json.Unmarshal(params, &b); err != nil {
-		return cwport.Handover{}, &UnreadableError{What: err.Error()}
+		return cwport.ForwardRequest{}, &UnreadableError{What: err.Error()}
 	}
 	verb, begin := cwstatement.ParseVerb(b.Verb), cwstatement.ParseVerb(b.Begin)
 	switch {
 	case !holderRuns(verb):
-		return cwport.Handover{}, &UnreadableError{What: "verb " + b.Verb}
+		return cwport.ForwardRequest{}, &UnreadableError{What: "verb " + b.Verb}
 	case begin != cwstatement.UnknownVerb && begin != cwstatement.Begin && begin != cwstatement.BeginRead:
-		return cwport.Handover{}, &UnreadableError{What: "begin " + b.Begin}
+		return cwport.ForwardRequest{}, &UnreadableError{What: "begin " + b.Begin}
 	case b.Entry.Group == "":
-		return cwport.Handover{}, &UnreadableError{What: "no group"}
+		return cwport.ForwardRequest{}, &UnreadableError{What: "no group"}
 	case verb == cwstatement.Execute && b.Prepared == nil:
-		return cwport.Handover{}, &UnreadableError{What: "no prepared statement"}
+		return cwport.ForwardRequest{}, &UnreadableError{What: "no prepared statement"}
 	}
-	h := cwport.Handover{
+	h := cwport.ForwardRequest{
 		Transaction: b.Transaction, Begin: begin, Entry: decodeEntry(b.Entry), Workspace: b.Workspace,
 		Statement: cwstatement.Statement{ID: b.ID, Verb: verb, Text: b.Text, Name: b.Name, Args: b.Rest},
-		Values:    b.Values, Seen: decodePosition(b.Seen), Elapsed: microseconds(b.ElapsedUS),
+		Values:    b.Values, LastWrite: decodePosition(b.Seen), Elapsed: microseconds(b.ElapsedUS),
 	}
 	if b.Prepared != nil {
-		h.Prepared = &cwport.Prepared{Shape: b.Prepared.Shape, Writes: b.Prepared.Writes}
+		h.Prepared = &cwport.Prepared{Text: b.Prepared.Shape, Writes: b.Prepared.Writes}
 	}
 	return h, nil
 }
@@ -161,21 +161,21 @@
 	}
 }
 
-func encodeResult(r cwport.Handed) resultBody {
+func encodeResult(r cwport.ForwardResponse) resultBody {
 	a := r.Answer
 	return resultBody{
 		Rows: a.Rows, Proof: a.Proof, Code: a.Code.String(), Detail: a.Detail, State: a.State.String(),
-		Wrote: encodePosition(r.Wrote), Elsewhere: r.Elsewhere,
+		Wrote: encodePosition(r.CommitPosition), Elsewhere: r.TryOtherHolder,
 	}
 }
 
-func (b resultBody) decode() (cwport.Handed, error) {
+func (b resultBody) decode() (cwport.ForwardResponse, error) {
 	state, ok := cwstatement.ParseState(b.State)
 	if !ok {
-		return cwport.Handed{}, &UnreadableError{What: "state " + b.State}
+		return cwport.ForwardResponse{}, &UnreadableError{What: "state " + b.State}
 	}
-	return cwport.Handed{
-		Answer: cwstatement.Response{Rows: b.Rows, Proof: b.Proof, Code: cwstatement.ParseCode(b.Code), Detail: b.Detail, State: state},
-		Wrote:  decodePosition(b.Wrote), Elsewhere: b.Elsewhere,
+	return cwport.ForwardResponse{
+		Answer:         cwstatement.Response{Rows: b.Rows, Proof: b.Proof, Code: cwstatement.ParseCode(b.Code), Detail: b.Detail, State: state},
+		CommitPosition: decodePosition(b.Wrote), TryOtherHolder: b.Elsewhere,
 	}, nil
 }
--- a/internal/wire/cwhandover/handover_test.go
+++ b/internal/wire/cwhandover/handover_test.go
@@ -20,8 +20,8 @@
 	"cicadawalk.example/cicadawalk/internal/wire/cwpack"
 )
 
-func exampleStatement() cwport.Handover {
-	return cwport.Handover{
+func exampleStatement() cwport.ForwardRequest {
+	return cwport.ForwardRequest{
 		Transaction: "front-1/7", Begin: cwstatement.BeginRead,
 		Entry: cwcatalogue.Entry{
 			Service: "bookings", Groups: []cwcatalogue.Group{{Name: "ledger"}},
@@ -31,9 +31,9 @@
 			},
 		},
 		Statement: cwstatement.Statement{ID: "5c0e", Verb: cwstatement.Execute, Name: "s1", Args: "1a4 \u00e9\"x"},
-		Prepared:  &cwport.Prepared{Shape: "q2c", Writes: true},
+		Prepared:  &cwport.Prepared{Text: "q2c", Writes: true},
 		Values:    map[string]string{"lang": "es"},
-		Seen:      cwgroup.LogPosition{Term: 3, Index: 1207},
+		LastWrite: cwgroup.LogPosition{Term: 3, Index: 1207},
 		Elapsed:   3 * time.Millisecond,
 	}
 }
@@ -47,9 +47,9 @@
 		qt.Assert(t, got, qt.DeepEquals, exampleStatement())
 	})
 	t.Run("an answer", func(t *testing.T) {
-		want := cwport.Handed{
-			Answer: cwstatement.Response{Rows: []string{"a", "b c"}, Proof: "7.1f3", Code: cwstatement.Busy, Detail: "why", State: cwstatement.InFailedTransaction},
-			Wrote:  cwgroup.LogPosition{Term: 3, Index: 9}, Elsewhere: true,
+		want := cwport.ForwardResponse{
+			Answer:         cwstatement.Response{Rows: []string{"a", "b c"}, Proof: "7.1f3", Code: cwstatement.Busy, Detail: "why", State: cwstatement.InFailedTransaction},
+			CommitPosition: cwgroup.LogPosition{Term: 3, Index: 9}, TryOtherHolder: true,
 		}
 		got, err := encodeResult(want).decode()
 		qt.Assert(t, err, qt.IsNil)
@@ -63,20 +63,20 @@
 	})
 }
 
-func exampleNews() cwport.News {
-	return cwport.News{
-		Topics: [cwport.TopicCount]cwport.TopicNews{
-			cwport.Desired: {Version: 9, Whole: true, Rows: []cwport.Row{{Key: "config", Value: []byte("{}"), Version: 7}}, Age: time.Second},
-			cwport.Targets: {Version: 9, Rows: []cwport.Row{{Key: "i-1", Version: 8, Removed: true}, {Key: "x", Version: 9, Garbled: true}}},
-			cwport.Own:     {Version: 4, Age: 250 * time.Microsecond},
+func exampleNews() cwport.ChangesResponse {
+	return cwport.ChangesResponse{
+		Topics: [cwport.TopicCount]cwport.TopicChanges{
+			cwport.TopicDesired: {Version: 9, Complete: true, Rows: []cwport.Row{{Key: "config", Value: []byte("{}"), Version: 7}}, Age: time.Second},
+			cwport.TopicTargets: {Version: 9, Rows: []cwport.Row{{Key: "i-1", Version: 8, Removed: true}, {Key: "x", Version: 9, Garbled: true}}},
+			cwport.TopicOwn:     {Version: 4, Age: 250 * time.Microsecond},
 		},
-		Held: 20 * time.Millisecond, TargetsAway: true,
+		Held: 20 * time.Millisecond, TargetsUnavailable: true,
 	}
 }
 
 func TestNewsRoundTrip(t *testing.T) {
 	t.Run("a request", func(t *testing.T) {
-		want := cwport.NewsQuestion{After: [cwport.TopicCount]cwfeed.Version{1, 2, 3}, Wait: 1500 * time.Millisecond}
+		want := cwport.ChangesRequest{After: [cwport.TopicCount]cwfeed.Version{1, 2, 3}, Wait: 1500 * time.Millisecond}
 		b, err := json.Marshal(encodeNewsRequest(want))
 		qt.Assert(t, err, qt.IsNil)
 		got, err := decodeNewsRequest(b)
@@ -97,10 +97,10 @@
 		packed, err := cwpack.Pack(value)
 		qt.Assert(t, err, qt.IsNil)
 		n := exampleNews()
-		n.Topics[cwport.Desired].Rows = []cwport.Row{{Key: "config", Version: 7, Packed: packed}}
+		n.Topics[cwport.TopicDesired].Rows = []cwport.Row{{Key: "config", Version: 7, Packed: packed}}
 		got, err := encodeNews(t, n).decode()
 		qt.Assert(t, err, qt.IsNil)
-		qt.Assert(t, got.Topics[cwport.Desired].Rows, qt.DeepEquals, []cwport.Row{{Key: "config", Version: 7, Value: value, Packed: packed}})
+		qt.Assert(t, got.Topics[cwport.TopicDesired].Rows, qt.DeepEquals, []cwport.Row{{Key: "config", Version: 7, Value: value, Packed: packed}})
 	})
 	for _, tc := range []struct{ name, text string }{
 		{"a packed row that is not compressed data", `{"topics":[{"version":1,"rows":[{"key":"k","version":1,"packed":"AAAA"}]},{"version":1},{"version":1}]}`},
@@ -158,17 +158,19 @@
 
 // fakeHandler answers statements with a function and reports closed connections.
 type fakeHandler struct {
-	answer func(h cwport.Handover) cwport.Handed
+	answer func(h cwport.ForwardRequest) cwport.ForwardResponse
 	left   chan any
 }
 
-func (h *fakeHandler) Hand(_ any, ho cwport.Handover) cwport.Handed { return h.answer(ho) }
+func (h *fakeHandler) Hand(_ any, ho cwport.ForwardRequest) cwport.ForwardResponse {
+	return h.answer(ho)
+}
 
 func (h *fakeHandler) Left(from any) { h.left <- from }
 
 func serve(c *qt.C, h *fakeHandler) string { return serveNews(c, h, nil) }
 
-func serveNews(c *qt.C, h *fakeHandler, news cwport.NewsTeller) string {
+func serveNews(c *qt.C, h *fakeHandler, news cwport.ChangesServer) string {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -184,11 +186,11 @@
 func TestConcurrentStatementsOnOneConnection(t *testing.T) {
 	c := qt.New(t)
 	release := make(chan struct{})
-	h := &fakeHandler{left: make(chan any, 1), answer: func(h cwport.Handover) cwport.Handed {
+	h := &fakeHandler{left: make(chan any, 1), answer: func(h cwport.ForwardRequest) cwport.ForwardResponse {
 		if h.Statement.ID == "slow" {
 			<-release
 		}
-		return cwport.Handed{Answer: cwstatement.Response{Rows: []string{h.Statement.ID}}}
+		return cwport.ForwardResponse{Answer: cwstatement.Response{Rows: []string{h.Statement.ID}}}
 	}}
 	conn, err := Dial(context.Background(), "holder", serve(c, h))
 	c.Assert(err, qt.IsNil)
@@ -209,31 +211,31 @@
 	c.Assert(conn.Close(), qt.IsNil)
 	<-h.left
 	_, err = conn.Hand(context.Background(), exampleStatement())
-	var lost *cwport.LostError
+	var lost *cwport.NoResponseError
 	c.Assert(errors.As(err, &lost), qt.IsTrue)
 }
 
 // newsFunc answers requests for store changes with a function.
-type newsFunc func(context.Context, cwport.NewsQuestion) (cwport.News, error)
+type newsFunc func(context.Context, cwport.ChangesRequest) (cwport.ChangesResponse, error)
 
-func (f newsFunc) TellNews(ctx context.Context, q cwport.NewsQuestion) (cwport.News, error) {
+func (f newsFunc) ServeChanges(ctx context.Context, q cwport.ChangesRequest) (cwport.ChangesResponse, error) {
 	return f(ctx, q)
 }
 
 func TestNewsOverAConnection(t *testing.T) {
-	h := &fakeHandler{left: make(chan any, 16), answer: func(cwport.Handover) cwport.Handed { return cwport.Handed{} }}
-	question := cwport.NewsQuestion{After: [cwport.TopicCount]cwfeed.Version{4, 5, 6}, Wait: time.Second}
-	ask := func(c *qt.C, f cwport.NewsTeller) (*Conn, cwport.News, error) {
+	h := &fakeHandler{left: make(chan any, 16), answer: func(cwport.ForwardRequest) cwport.ForwardResponse { return cwport.ForwardResponse{} }}
+	question := cwport.ChangesRequest{After: [cwport.TopicCount]cwfeed.Version{4, 5, 6}, Wait: time.Second}
+	ask := func(c *qt.C, f cwport.ChangesServer) (*Conn, cwport.ChangesResponse, error) {
 		conn, err := Dial(context.Background(), "feeder", serveNews(c, h, f))
 		c.Assert(err, qt.IsNil)
 		c.Cleanup(func() { _ = conn.Close() })
-		n, err := conn.TellNews(context.Background(), question)
+		n, err := conn.ServeChanges(context.Background(), question)
 		return conn, n, err
 	}
 	t.Run("an answer", func(t *testing.T) {
 		c := qt.New(t)
-		var got cwport.NewsQuestion
-		_, n, err := ask(c, newsFunc(func(_ context.Context, q cwport.NewsQuestion) (cwport.News, error) {
+		var got cwport.ChangesRequest
+		_, n, err := ask(c, newsFunc(func(_ context.Context, q cwport.ChangesRequest) (cwport.ChangesResponse, error) {
 			got = q
 			return exampleNews(), nil
 		}))
@@ -243,31 +245,31 @@
 	})
 	t.Run("refusal keeps the connection open", func(t *testing.T) {
 		c := qt.New(t)
-		conn, _, err := ask(c, newsFunc(func(context.Context, cwport.NewsQuestion) (cwport.News, error) {
-			return cwport.News{}, &cwport.NoNewsError{}
+		conn, _, err := ask(c, newsFunc(func(context.Context, cwport.ChangesRequest) (cwport.ChangesResponse, error) {
+			return cwport.ChangesResponse{}, &cwport.NotLoadedError{}
 		}))
-		c.Assert(err, qt.ErrorAs, new(*cwport.NoNewsError))
+		c.Assert(err, qt.ErrorAs, new(*cwport.NotLoadedError))
 		c.Assert(conn.Ping(context.Background()), qt.IsNil)
 	})
 	t.Run("an instance without a source", func(t *testing.T) {
 		_, _, err := ask(qt.New(t), nil)
-		qt.Assert(t, err, qt.ErrorAs, new(*cwport.NoNewsError))
+		qt.Assert(t, err, qt.ErrorAs, new(*cwport.NotLoadedError))
 	})
 	// Guards against a goroutine leak: when a follower disconnected while its request
 	// was waiting for changes, the goroutine ran until the wait time of the request.
 	t.Run("a request ends with its connection", func(t *testing.T) {
 		c := qt.New(t)
 		held, ended := make(chan struct{}), make(chan struct{})
-		conn, err := Dial(context.Background(), "feeder", serveNews(c, h, newsFunc(func(ctx context.Context, _ cwport.NewsQuestion) (cwport.News, error) {
+		conn, err := Dial(context.Background(), "feeder", serveNews(c, h, newsFunc(func(ctx context.Context, _ cwport.ChangesRequest) (cwport.ChangesResponse, error) {
 			close(held)
 			<-ctx.Done()
 			close(ended)
-			return cwport.News{}, ctx.Err()
+			return cwport.ChangesResponse{}, ctx.Err()
 		})))
 		c.Assert(err, qt.IsNil)
 		lost := make(chan error, 1)
 		go func() {
-			_, err := conn.TellNews(context.Background(), question)
+			_, err := conn.ServeChanges(context.Background(), question)
 			lost <- err
 		}()
 		<-held
@@ -288,7 +290,7 @@
 	c.Assert(err, qt.ErrorIs, context.DeadlineExceeded)
 }
 
-func encodeNews(t testing.TB, n cwport.News) newsBody {
+func encodeNews(t testing.TB, n cwport.ChangesResponse) newsBody {
 	t.Helper()
 	var p newsEncoder
 	b, err := p.encode(n)
@@ -300,20 +302,20 @@
 // of its followers when all instances start at once.
 func TestManyRowsAreCompressedOnce(t *testing.T) {
 	var p newsEncoder
-	var n cwport.News
+	var n cwport.ChangesResponse
 	for i := range 900 {
-		n.Topics[cwport.Targets].Rows = append(n.Topics[cwport.Targets].Rows, cwport.Row{
+		n.Topics[cwport.TopicTargets].Rows = append(n.Topics[cwport.TopicTargets].Rows, cwport.Row{
 			Key: fmt.Sprintf("i-%08x", i), Version: cwfeed.Version(i + 1),
 			Value: fmt.Appendf(nil, `{"service":"ledger%d","address":"10.2.0.%d:8080","zone":"a","slots":3,"state":"ready"}`, i/3, i%250),
 		})
 	}
-	targets := &n.Topics[cwport.Targets]
-	targets.Version, targets.Whole = 900, true
+	targets := &n.Topics[cwport.TopicTargets]
+	targets.Version, targets.Complete = 900, true
 	first, err := p.encode(n)
 	qt.Assert(t, err, qt.IsNil)
 	plain, err := json.Marshal(encodeRows(targets.Rows))
 	qt.Assert(t, err, qt.IsNil)
-	size := len(first.Topics[cwport.Targets].Packed)
+	size := len(first.Topics[cwport.TopicTargets].Packed)
 	t.Logf("%d bytes compressed, %d uncompressed", size, len(plain))
 	qt.Assert(t, size < len(plain)/5, qt.IsTrue, qt.Commentf("%d of %d bytes", size, len(plain)))
 	got, err := first.decode()
@@ -322,7 +324,7 @@
 
 	second, err := p.encode(n)
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, &second.Topics[cwport.Targets].Packed[0], qt.Equals, &first.Topics[cwport.Targets].Packed[0])
+	qt.Assert(t, &second.Topics[cwport.TopicTargets].Packed[0], qt.Equals, &first.Topics[cwport.TopicTargets].Packed[0])
 
 	targets.Version, targets.Rows = 901, targets.Rows[1:]
 	third, err := p.encode(n)
--- a/internal/wire/cwhandover/news.go
+++ b/internal/wire/cwhandover/news.go
@@ -43,20 +43,20 @@
 	Packed  []byte         `json:"packed,omitempty"`
 }
 
-func encodeNewsRequest(q cwport.NewsQuestion) newsRequestBody {
+func encodeNewsRequest(q cwport.ChangesRequest) newsRequestBody {
 	return newsRequestBody{After: q.After[:], WaitMS: q.Wait.Milliseconds()}
 }
 
 // decodeNewsRequest decodes and validates a request for store changes.
-func decodeNewsRequest(params []byte) (cwport.NewsQuestion, error) {
+func decodeNewsRequest(params []byte) (cwport.ChangesRequest, error) {
 	var b newsRequestBody
 	if err := json.Unmarshal(params, &b); err != nil {
-		return cwport.NewsQuestion{}, &UnreadableError{What: err.Error()}
+		return cwport.ChangesRequest{}, &UnreadableError{What: err.Error()}
 	}
 	if len(b.After) != cwport.TopicCount || b.WaitMS < 0 {
-		return cwport.NewsQuestion{}, &UnreadableError{What: "question for news"}
+		return cwport.ChangesRequest{}, &UnreadableError{What: "question for news"}
 	}
-	return cwport.NewsQuestion{After: [cwport.TopicCount]cwfeed.Version(b.After), Wait: time.Duration(b.WaitMS) * time.Millisecond}, nil
+	return cwport.ChangesRequest{After: [cwport.TopicCount]cwfeed.Version(b.After), Wait: time.Duration(b.WaitMS) * time.Millisecond}, nil
 }
 
 // newsEncoder encodes answers to requests for store changes. It compresses long lists
@@ -81,10 +81,10 @@
 const maxPlainRows = 64
 
 // encode returns the message for n.
-func (p *newsEncoder) encode(n cwport.News) (newsBody, error) {
-	b := newsBody{HeldUS: n.Held.Microseconds(), TargetsAway: n.TargetsAway, TargetsUnsettled: n.TargetsUnsettled}
+func (p *newsEncoder) encode(n cwport.ChangesResponse) (newsBody, error) {
+	b := newsBody{HeldUS: n.Held.Microseconds(), TargetsAway: n.TargetsUnavailable, TargetsUnsettled: n.TargetsIncomplete}
 	for i, t := range n.Topics {
-		tb := topicBody{Version: t.Version, Whole: t.Whole, AgeUS: t.Age.Microseconds()}
+		tb := topicBody{Version: t.Version, Whole: t.Complete, AgeUS: t.Age.Microseconds()}
 		if len(t.Rows) > maxPlainRows {
 			packed, err := p.compressRows(cwport.Topic(i), t)
 			if err != nil {
@@ -109,11 +109,11 @@
 
 // compressRows returns the compressed rows of a topic. The rows of a complete topic are
 // compressed once for each version, for all instances that request them.
-func (p *newsEncoder) compressRows(topic cwport.Topic, t cwport.TopicNews) ([]byte, error) {
+func (p *newsEncoder) compressRows(topic cwport.Topic, t cwport.TopicChanges) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	kept := &p.completeTopics[topic]
-	if t.Whole && kept.bytes != nil && kept.version == t.Version {
+	if t.Complete && kept.bytes != nil && kept.version == t.Version {
 		return kept.bytes, nil
 	}
 	text, err := json.Marshal(encodeRows(t.Rows))
@@ -121,7 +121,7 @@
 		return nil, err
 	}
 	packed, err := cwpack.Pack(text)
-	if err == nil && t.Whole {
+	if err == nil && t.Complete {
 		*kept = compressedTopic{version: t.Version, bytes: packed}
 	}
 	return packed, err
@@ -129,24 +129,24 @@
 
 // decode validates and converts an answer. A negative age or hold time would make data
 // look newer than it is, so the whole answer is rejected.
-func (b newsBody) decode() (cwport.News, error) {
+func (b newsBody) decode() (cwport.ChangesResponse, error) {
 	if len(b.Topics) != cwport.TopicCount || b.HeldUS < 0 {
-		return cwport.News{}, &UnreadableError{What: "news: wrong number of topics or negative hold time"}
+		return cwport.ChangesResponse{}, &UnreadableError{What: "news: wrong number of topics or negative hold time"}
 	}
-	n := cwport.News{Held: microseconds(b.HeldUS), TargetsAway: b.TargetsAway, TargetsUnsettled: b.TargetsUnsettled}
+	n := cwport.ChangesResponse{Held: microseconds(b.HeldUS), TargetsUnavailable: b.TargetsAway, TargetsIncomplete: b.TargetsUnsettled}
 	for i, tb := range b.Topics {
 		if tb.AgeUS < 0 {
-			return cwport.News{}, &UnreadableError{What: "news: negative age of a topic"}
+			return cwport.ChangesResponse{}, &UnreadableError{What: "news: negative age of a topic"}
 		}
-		t := cwport.TopicNews{Version: tb.Version, Whole: tb.Whole, Age: microseconds(tb.AgeUS)}
+		t := cwport.TopicChanges{Version: tb.Version, Complete: tb.Whole, Age: microseconds(tb.AgeUS)}
 		rows, err := tb.decodeRows()
 		if err != nil {
-			return cwport.News{}, err
+			return cwport.ChangesResponse{}, err
 		}
 		for _, r := range rows {
 			row, err := r.decode()
 			if err != nil {
-				return cwport.News{}, err
+				return cwport.ChangesResponse{}, err
 			}
 			t.Rows = append(t.Rows, row)
 		}
--- a/internal/wire/cwhandover/quota.go
+++ b/internal/wire/cwhandover/quota.go
@@ -35,13 +35,13 @@
 // AskQuota takes one operation from the part of the workspace's quota that the other
 // instance keeps. It returns an *UnreadableError if the answer is malformed, and the
 // error of the RPC call if that failed.
-func (c *Conn) AskQuota(ctx context.Context, workspace string) (cwport.Verdict, error) {
+func (c *Conn) AskQuota(ctx context.Context, workspace string) (cwport.QuotaDecision, error) {
 	var b quotaResultBody
 	if err := c.rpc.Call(ctx, methodQuota, quotaRequestBody{Workspace: workspace}, &b); err != nil {
-		return cwport.Verdict{}, err
+		return cwport.QuotaDecision{}, err
 	}
 	if b.RetryAfterUS < 0 {
-		return cwport.Verdict{}, &UnreadableError{What: "quota: negative retry time"}
+		return cwport.QuotaDecision{}, &UnreadableError{What: "quota: negative retry time"}
 	}
-	return cwport.Verdict{Allowed: b.Allowed, Unknown: b.Unknown, RetryAfter: microseconds(b.RetryAfterUS)}, nil
+	return cwport.QuotaDecision{Allowed: b.Allowed, Unknown: b.Unknown, RetryAfter: microseconds(b.RetryAfterUS)}, nil
 }
