--- a/internal/proxy/cwfront/request.go
+++ b/internal/proxy/cwfront/request.go
@@ -164,7 +164,7 @@
 
 // applySettings makes the settings of a connection equal to the session's.
 func (s *session) applySettings(c *cwpool.Conn) error {
-	diff := s.settings.diff(c.Applied)
+	diff := s.settings.diff(c.Settings)
 	if diff == "" {
 		return nil
 	}
--- a/internal/proxy/cwfront/responses.go
+++ b/internal/proxy/cwfront/responses.go
@@ -78,7 +78,7 @@
 	if st.conn.HasPrepared(p.targetName) {
 		return false
 	}
-	if evicted := st.conn.Remember(p.targetName); evicted != "" {
+	if evicted := st.conn.AddPrepared(p.targetName); evicted != "" {
 		st.conn.Front.SendClose(&pgproto3.Close{ObjectType: 'S', Name: evicted})
 		st.expected = append(st.expected, expectedResponse{requestType: 'C', hidden: true})
 	}
@@ -131,7 +131,7 @@
 func (st *responseQueue) abort() {
 	for _, s := range st.expected {
 		if s.statement != "" {
-			st.conn.Forget(s.statement)
+			st.conn.RemovePrepared(s.statement)
 		}
 		if s.requestType == 'C' && s.hidden {
 			st.conn.Broken = true
--- a/internal/proxy/cwfront/simple.go
+++ b/internal/proxy/cwfront/simple.go
@@ -95,10 +95,10 @@
 		}
 		if st.Kind == cwsql.Reset || st.Default {
 			set = set.without(st.Name)
-			delete(c.Applied, st.Name)
+			delete(c.Settings, st.Name)
 		} else {
 			set = set.with(st.Name, st.Value)
-			c.Applied[st.Name] = st.Value
+			c.Settings[st.Name] = st.Value
 		}
 		if s.tx != nil {
 			s.tx.pendingSettings = set
--- a/internal/proxy/cwnode/catalogue.go
+++ b/internal/proxy/cwnode/catalogue.go
@@ -341,7 +341,7 @@
 			p.drained = stopping && p.drained
 			continue
 		}
-		if !leads[id] && p.Stats().Busy == 0 {
+		if !leads[id] && p.Stats().InFlight == 0 {
 			p.drained = true
 			n.audit.Record("targetDrained", string(id), "in use", "left in peace")
 		}
--- a/internal/proxy/cwnode/node.go
+++ b/internal/proxy/cwnode/node.go
@@ -283,7 +283,7 @@
 // Cull implements cwwatch.Pools.
 func (n *Node) Cull(id cwgroup.MemberID) {
 	if p, ok := n.Pool(id); ok {
-		p.CullIdle()
+		p.RetireConnections()
 	}
 }
 
--- a/internal/proxy/cwnode/status.go
+++ b/internal/proxy/cwnode/status.go
@@ -126,7 +126,7 @@
 	}
 	if p, ok := n.pools[id]; ok {
 		s := p.Stats()
-		b.Share, b.Open, b.Busy, b.Queued = s.Share, s.Open, s.Busy, s.Queued
+		b.Share, b.Open, b.Busy, b.Queued = s.Share, s.Open, s.InFlight, s.Queued
 	}
 	return b
 }
--- a/internal/proxy/cwpool/pool.go
+++ b/internal/proxy/cwpool/pool.go
@@ -40,8 +40,8 @@
 // Conn is a connection to a target and the state of its session.
 type Conn struct {
 	*cwtarget.Conn
-	// Applied holds the session's settings that differ from the target's defaults.
-	Applied map[string]string
+	// Settings holds the session's settings that differ from the target's defaults.
+	Settings map[string]string
 	// Prepared holds the names of the prepared statements, oldest first.
 	Prepared []string
 	// Broken is true if the connection must be closed instead of lent again.
@@ -61,10 +61,10 @@
 	return false
 }
 
-// Remember records that a statement was prepared on the connection. If there are
+// AddPrepared records that a statement was prepared on the connection. If there are
 // now more than maxPrepared, it forgets the oldest and returns its name, for the
 // caller to close it at the target; otherwise it returns "".
-func (c *Conn) Remember(name string) (evicted string) {
+func (c *Conn) AddPrepared(name string) (evicted string) {
 	c.Prepared = append(c.Prepared, name)
 	if len(c.Prepared) <= maxPrepared {
 		return ""
@@ -74,8 +74,8 @@
 	return evicted
 }
 
-// Forget removes a prepared statement that does not exist at the target.
-func (c *Conn) Forget(name string) {
+// RemovePrepared removes a prepared statement that does not exist at the target.
+func (c *Conn) RemovePrepared(name string) {
 	for i, p := range c.Prepared {
 		if p == name {
 			c.Prepared = append(c.Prepared[:i], c.Prepared[i+1:]...)
@@ -102,7 +102,7 @@
 	// idle is used as a stack, so that connections that aren't needed stay idle.
 	idle []*Conn
 	open int
-	// closeOpenedBefore is set by CullIdle: connections opened before it are closed
+	// closeOpenedBefore is set by RetireConnections: connections opened before it are closed
 	// when they are released.
 	closeOpenedBefore time.Time
 	closed            bool
@@ -144,16 +144,16 @@
 // Stats are the current numbers of a pool.
 type Stats struct {
 	// Share is this proxy's share of the target's connections, Open the number of open
-	// connections, Busy the number of statements and transactions in progress, and Queued
+	// connections, InFlight the number of statements and transactions in progress, and Queued
 	// the number of those that wait.
-	Share, Open, Busy, Queued int
+	Share, Open, InFlight, Queued int
 }
 
 // Stats returns the current numbers.
 func (p *Pool) Stats() Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return Stats{Share: p.share, Open: p.open, Busy: p.admission.InFlight(), Queued: p.admission.Queued()}
+	return Stats{Share: p.share, Open: p.open, InFlight: p.admission.InFlight(), Queued: p.admission.Queued()}
 }
 
 // Load returns the number of statements in progress and waiting, divided by the
@@ -164,9 +164,9 @@
 	return float64(p.admission.InFlight()+p.admission.Queued()) / float64(max(1, p.admission.Limit))
 }
 
-// CullIdle closes all connections that are open now: idle ones at once, lent ones
+// RetireConnections closes all connections that are open now: idle ones at once, lent ones
 // when they are released.
-func (p *Pool) CullIdle() {
+func (p *Pool) RetireConnections() {
 	p.mu.Lock()
 	p.closeOpenedBefore = p.Clock.Now()
 	closing := p.idle
@@ -182,7 +182,7 @@
 	p.mu.Lock()
 	p.closed = true
 	p.mu.Unlock()
-	p.CullIdle()
+	p.RetireConnections()
 }
 
 // Lease is a connection that is lent to one statement or transaction. It must be
@@ -310,7 +310,7 @@
 		p.mu.Unlock()
 		return nil, err
 	}
-	return &Conn{Conn: tc, Applied: make(map[string]string), openedAt: openedAt}, nil
+	return &Conn{Conn: tc, Settings: make(map[string]string), openedAt: openedAt}, nil
 }
 
 // ping sends a Sync message and reports whether the target answered within
