--- a/internal/proxy/cwinstance/instance.go
+++ b/internal/proxy/cwinstance/instance.go
@@ -127,7 +127,7 @@
 	}
 	if cfg.Quota.Window > 0 {
 		in.meter = &cwmeter.Meter{
-			Rule: cfg.Quota, Peers: in.peers, Clock: cfg.Clock, Log: cfg.Log, Quota: in.quota,
+			Tolerance: cfg.Quota, Issuers: in.peers, Clock: cfg.Clock, Log: cfg.Log, QuotaOf: in.quota,
 			DataCentres: cfg.DataCentres, FirstStart: cfg.FirstStart,
 		}
 		engine.Meter = in.meter
--- a/internal/proxy/cwmeter/meter.go
+++ b/internal/proxy/cwmeter/meter.go
@@ -44,15 +44,15 @@
 // Meter implements cwport.QuotaMeter and cwport.QuotaServer. Set the exported fields
 // before use. Its methods are safe for concurrent use.
 type Meter struct {
-	// Rule is the tolerance within which quotas are kept.
-	Rule cwcatalogue.QuotaTolerance
-	// Peers selects the issuers to ask.
-	Peers cwport.QuotaIssuers
-	Clock clockwork.Clock
-	Log   *log.Logger
-	// Quota returns a workspace's quota according to the catalogue in force; false if
+	// Tolerance is the tolerance within which quotas are kept.
+	Tolerance cwcatalogue.QuotaTolerance
+	// Issuers selects the issuers to ask.
+	Issuers cwport.QuotaIssuers
+	Clock   clockwork.Clock
+	Log     *log.Logger
+	// QuotaOf returns a workspace's quota according to the catalogue in force; false if
 	// it is not known.
-	Quota func(workspace string) (cwcatalogue.Quota, bool)
+	QuotaOf func(workspace string) (cwcatalogue.Quota, bool)
 	// DataCentres is the number of data centres.
 	DataCentres int
 	// FirstStart is true if no instance ran before, so that the shards have had no
@@ -105,7 +105,7 @@
 // is true, until one allows the operation. It returns the best verdict.
 func (m *Meter) askIssuers(workspace string, remote bool) cwport.QuotaDecision {
 	out := cwport.QuotaDecision{Unknown: true, RetryAfter: unknownRetryAfter}
-	for _, issuer := range m.Peers.QuotaIssuers(workspace, remote) {
+	for _, issuer := range m.Issuers.QuotaIssuers(workspace, remote) {
 		pause, ok := m.pauseOf(issuerKey{workspace, issuer.Name})
 		v := cwport.QuotaDecision{Unknown: pause.unresponsive, RetryAfter: pause.until.Sub(m.Clock.Now())}
 		if !ok {
@@ -179,11 +179,11 @@
 // IssueQuota implements cwport.QuotaServer.
 func (m *Meter) IssueQuota(workspace string) cwport.QuotaDecision {
 	m.Start()
-	quota, ok := m.Quota(workspace)
+	quota, ok := m.QuotaOf(workspace)
 	if !ok {
 		return cwport.QuotaDecision{Unknown: true, RetryAfter: unknownRetryAfter}
 	}
-	shape := cwquota.BucketParamsFor(quota, m.Rule, max(1, m.DataCentres)*cwholder.MinPerDataCentre)
+	shape := cwquota.BucketParamsFor(quota, m.Tolerance, max(1, m.DataCentres)*cwholder.MinPerDataCentre)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.Clock.Now()
--- a/internal/proxy/cwmeter/meter_test.go
+++ b/internal/proxy/cwmeter/meter_test.go
@@ -45,9 +45,9 @@
 	f.asked = make(map[string]int)
 	clock := clockwork.NewFakeClock()
 	m := &Meter{
-		Rule:  cwcatalogue.QuotaTolerance{Window: 5 * time.Second, Overage: 0.1, Slack: 20},
-		Peers: f, Clock: clock, Log: log.New(io.Discard), DataCentres: 1,
-		Quota: func(w string) (cwcatalogue.Quota, bool) {
+		Tolerance: cwcatalogue.QuotaTolerance{Window: 5 * time.Second, Overage: 0.1, Slack: 20},
+		Issuers:   f, Clock: clock, Log: log.New(io.Discard), DataCentres: 1,
+		QuotaOf: func(w string) (cwcatalogue.Quota, bool) {
 			return cwcatalogue.Quota{Rate: 100, Burst: 100}, w == workspace
 		},
 	}
@@ -87,7 +87,7 @@
 // Guards against asking issuers again that have no quota left. When a workspace
 // sent ten times its quota, each refused operation asked every issuer of every data
 // centre in vain, and callers of other workspaces waited for the busy instances.
-func TestSpentQuotaIsNotAskedForAgain(t *testing.T) {
+func TestExhaustedQuotaIsNotRequestedAgain(t *testing.T) {
 	f := &fakeIssuers{}
 	m, clock := newMeter(f)
 	f.local, f.remote = []cwport.QuotaIssuer{f.issuer("a", spent, nil)}, []cwport.QuotaIssuer{f.issuer("c", spent, nil)}
@@ -135,7 +135,7 @@
 	}
 }
 
-func TestTellQuota(t *testing.T) {
+func TestIssueQuota(t *testing.T) {
 	f := &fakeIssuers{}
 	m, clock := newMeter(f)
 	qt.Assert(t, m.IssueQuota("nobody").Unknown, qt.IsTrue)
