--- a/internal/proxy/cwclock/clock.go
+++ b/internal/proxy/cwclock/clock.go
@@ -12,17 +12,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// Boot is a clock whose Now is the time since the machine was booted, including
+// BootClock is a clock whose Now is the time since the machine was booted, including
 // suspension. Its timers are those of the runtime, which don't include it. Times of
-// a Boot may be compared only with each other.
-type Boot struct{ clockwork.Clock }
+// a BootClock may be compared only with each other.
+type BootClock struct{ clockwork.Clock }
 
-// NewBoot returns a Boot clock.
-func NewBoot() Boot { return Boot{Clock: clockwork.NewRealClock()} }
+// NewBootClock returns a Boot clock.
+func NewBootClock() BootClock { return BootClock{Clock: clockwork.NewRealClock()} }
 
 // Now returns the time since boot as a time.Time, counted from the Unix epoch. It
 // panics if the system has no CLOCK_BOOTTIME.
-func (Boot) Now() time.Time {
+func (BootClock) Now() time.Time {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
 		// The clock exists since Linux 2.6.39. Without it leases would not be safe.
@@ -32,7 +32,7 @@
 }
 
 // Since returns the time that has passed since t.
-func (b Boot) Since(t time.Time) time.Duration { return b.Now().Sub(t) }
+func (b BootClock) Since(t time.Time) time.Duration { return b.Now().Sub(t) }
 
 // Until returns the time until t.
-func (b Boot) Until(t time.Time) time.Duration { return t.Sub(b.Now()) }
+func (b BootClock) Until(t time.Time) time.Duration { return t.Sub(b.Now()) }
--- a/internal/tool/cwcommand/serve.go
+++ b/internal/tool/cwcommand/serve.go
@@ -64,7 +64,7 @@
 	if err != nil {
 		return &ExitError{Code: ExitUsage, Err: err}
 	}
-	clock := cwclock.NewBoot()
+	clock := cwclock.NewBootClock()
 	logWriter := cwlog.NewWriter(cmd.OutOrStdout(), clock)
 	stopLog, logDone := make(chan struct{}), make(chan struct{})
 	go func() {
