--- a/internal/proxy/cwinstance/fleet_test.go
+++ b/internal/proxy/cwinstance/fleet_test.go
@@ -162,7 +162,7 @@
 func measureIdleInstance(f *fakeStore) (out idleUsage) {
 	before, running := liveHeap(), runtime.NumGoroutine()
 	in := New(Config{
-		Name: instanceName(0), DataCentre: dataCentreName(0), Peers: "10.1.0.0:7440", Grace: 6 * time.Second,
+		Name: instanceName(0), DataCentre: dataCentreName(0), PeerListen: "10.1.0.0:7440", GracePeriod: 6 * time.Second,
 		Dialer: unreachable{}, Source: f, Decoder: f, Table: unreachable{}, Era: func() uint64 { return 0 },
 		Clock: clockwork.NewRealClock(), Log: log.NewWithOptions(io.Discard, log.Options{Formatter: log.LogfmtFormatter}), DataCentres: dataCentreCount,
 	})
--- a/internal/proxy/cwinstance/instance.go
+++ b/internal/proxy/cwinstance/instance.go
@@ -43,25 +43,25 @@
 	// Name is the instance's name, unique among all instances.
 	Name       string
 	DataCentre string
-	// Callers, Ready and Metrics are the addresses to listen on for callers, health
-	// probes and metrics, IP:port; Metrics may be empty.
-	Callers, Ready, Metrics string
+	// CallerListen, ReadyListen and MetricsListen are the addresses to listen on for callers, health
+	// probes and metrics, IP:port; MetricsListen may be empty.
+	CallerListen, ReadyListen, MetricsListen string
 	// ReadyPath is the HTTP path of the load balancer's health probe.
 	ReadyPath string
-	// Grace is the time between the start of a shutdown and the exit of the process.
-	Grace     time.Duration
-	PollWaits cwdirectory.PollWaits
-	// GoneAfter is how long after its entry disappeared from the list a target is
+	// GracePeriod is the time between the start of a shutdown and the exit of the process.
+	GracePeriod time.Duration
+	PollWaits   cwdirectory.PollWaits
+	// RemovalDelay is how long after its entry disappeared from the list a target is
 	// removed.
-	GoneAfter time.Duration
-	// Turn is the minimum time between changes of primary by two different holders
+	RemovalDelay time.Duration
+	// MinHolderInterval is the minimum time between changes of primary by two different holders
 	// of a claim.
-	Turn time.Duration
-	// Codec returns the adapter for the protocol of a caller's connection.
-	Codec   func(net.Conn) cwport.CallerConn
-	Dialer  cwport.Dialer
-	Source  cwport.Source
-	Decoder cwport.Decoder
+	MinHolderInterval time.Duration
+	// NewCallerConn returns the adapter for the protocol of a caller's connection.
+	NewCallerConn func(net.Conn) cwport.CallerConn
+	Dialer        cwport.Dialer
+	Source        cwport.Source
+	Decoder       cwport.Decoder
 	// StaleAfter is the age beyond which data of the store that came from another instance
 	// is requested from the store itself.
 	StaleAfter cwdirectory.StaleAfter
@@ -72,20 +72,20 @@
 	Promoter cwport.Promoter
 	Clock    clockwork.Clock
 	Log      *log.Logger
-	// Seed differs for each run of an instance. It makes the ids of claims and
+	// RunID differs for each run of an instance. It makes the ids of claims and
 	// transactions unique.
-	Seed string
-	// Peers is the address to listen on for other instances, IP:port.
-	Peers string
-	// KeyBound is the time within which a revoked key must be out of use; zero means no
+	RunID string
+	// PeerListen is the address to listen on for other instances, IP:port.
+	PeerListen string
+	// KeyRevocationBound is the time within which a revoked key must be out of use; zero means no
 	// bound.
-	KeyBound time.Duration
+	KeyRevocationBound time.Duration
 	// DataCentres is the number of data centres, Quota the tolerance within which
 	// quotas are kept, and FirstStart true if no instance ran before. Without a window
 	// in Quota, quotas are not enforced.
-	DataCentres int
-	Quota       cwcatalogue.QuotaTolerance
-	FirstStart  bool
+	DataCentres    int
+	QuotaTolerance cwcatalogue.QuotaTolerance
+	FirstStart     bool
 }
 
 // Instance is one proxy process with all its parts. Make one with New.
@@ -104,13 +104,13 @@
 func New(cfg Config) *Instance {
 	in := &Instance{cfg: cfg, remotePath: &cwlead.RemotePath{}, metrics: cwengine.NewMetrics()}
 	in.peers = &cwpeers.Peers{
-		Self:  cwholder.Instance{ID: cfg.Name, DataCentre: cfg.DataCentre, Address: cfg.Peers},
+		Self:  cwholder.Instance{ID: cfg.Name, DataCentre: cfg.DataCentre, Address: cfg.PeerListen},
 		Table: cfg.Table, Dial: dialPeer, Clock: cfg.Clock, Log: cfg.Log, FirstStart: cfg.FirstStart, PathMonitor: in.remotePath,
 	}
 	in.peers.OnChange = in.refreshHolders
 	in.members = &cwmembers.Recorder{Table: cfg.Table, Clock: cfg.Clock, Log: cfg.Log, HolderRank: in.holderRank, GroupCount: in.groupCount}
 	in.directory = &cwdirectory.Directory{
-		PollWaits: cfg.PollWaits, RemovalDelay: cfg.GoneAfter, Source: cfg.Source, Sink: in, Clock: cfg.Clock, Log: cfg.Log,
+		PollWaits: cfg.PollWaits, RemovalDelay: cfg.RemovalDelay, Source: cfg.Source, Sink: in, Clock: cfg.Clock, Log: cfg.Log,
 		Feeders: in.peers, Decoder: cfg.Decoder, StaleAfter: cfg.StaleAfter,
 		RememberedTargets: in.members.RecordedMembers,
 		Counts: cwdirectory.Counts{
@@ -120,14 +120,14 @@
 	}
 	in.members.Counted = in.countMembers
 	engine := cwengine.Config{
-		Clock: cfg.Clock, Log: cfg.Log, GracePeriod: cfg.Grace, Metrics: in.metrics, NewGroup: in.newGroup,
-		Name: cfg.Name, RunID: cfg.Seed, Holders: in.peers, RemotePath: in.remotePath,
-		KeyRevocationBound: cfg.KeyBound, CatalogueConfirmedAt: in.directory.Confirmed, RecordedSize: in.members.RecordedSize,
+		Clock: cfg.Clock, Log: cfg.Log, GracePeriod: cfg.GracePeriod, Metrics: in.metrics, NewGroup: in.newGroup,
+		Name: cfg.Name, RunID: cfg.RunID, Holders: in.peers, RemotePath: in.remotePath,
+		KeyRevocationBound: cfg.KeyRevocationBound, CatalogueConfirmedAt: in.directory.Confirmed, RecordedSize: in.members.RecordedSize,
 		FirstStart: cfg.FirstStart,
 	}
-	if cfg.Quota.Window > 0 {
+	if cfg.QuotaTolerance.Window > 0 {
 		in.meter = &cwmeter.Meter{
-			Tolerance: cfg.Quota, Issuers: in.peers, Clock: cfg.Clock, Log: cfg.Log, QuotaOf: in.quota,
+			Tolerance: cfg.QuotaTolerance, Issuers: in.peers, Clock: cfg.Clock, Log: cfg.Log, QuotaOf: in.quota,
 			DataCentres: cfg.DataCentres, FirstStart: cfg.FirstStart,
 		}
 		engine.Meter = in.meter
@@ -196,18 +196,18 @@
 	return cwlead.New(cwlead.Config{
 		Self: cwfailover.InstanceID(in.cfg.Name), DataCentre: in.cfg.DataCentre, Service: service,
 		Clock: in.cfg.Clock, Log: in.cfg.Log, Dialer: countingDialer{in.cfg.Dialer, in.metrics}, Table: in.cfg.Table,
-		Era: in.cfg.Era, Promoter: in.cfg.Promoter, MinHolderInterval: in.cfg.Turn, ClaimSeed: in.cfg.Seed, RemotePath: in.remotePath,
+		Era: in.cfg.Era, Promoter: in.cfg.Promoter, MinHolderInterval: in.cfg.MinHolderInterval, ClaimSeed: in.cfg.RunID, RemotePath: in.remotePath,
 	})
 }
 
 // Run serves until ctx ends. Then it drains the engine, so that sessions can end,
 // and stops the other parts. It also stops if one of them fails.
 func (in *Instance) Run(ctx context.Context) error {
-	callerListener, err := net.Listen("tcp4", in.cfg.Callers)
+	callerListener, err := net.Listen("tcp4", in.cfg.CallerListen)
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	peerListener, err := net.Listen("tcp4", in.cfg.Peers)
+	peerListener, err := net.Listen("tcp4", in.cfg.PeerListen)
 	if err != nil {
 		_ = callerListener.Close()
 		return Error.Wrap(err)
@@ -219,9 +219,9 @@
 	if in.meter != nil {
 		in.meter.Start()
 	}
-	httpServers := []*http.Server{in.newHTTPServer(in.cfg.Ready, in.cfg.ReadyPath, in.serveReady)}
-	if in.cfg.Metrics != "" {
-		httpServers = append(httpServers, in.newHTTPServer(in.cfg.Metrics, "/metrics", in.serveMetrics))
+	httpServers := []*http.Server{in.newHTTPServer(in.cfg.ReadyListen, in.cfg.ReadyPath, in.serveReady)}
+	if in.cfg.MetricsListen != "" {
+		httpServers = append(httpServers, in.newHTTPServer(in.cfg.MetricsListen, "/metrics", in.serveMetrics))
 	}
 	for _, p := range httpServers {
 		eg.Go(func() error { return serveHTTP(p) })
@@ -233,8 +233,8 @@
 	eg.Go(func() error {
 		return (&cwhandover.Server{Handler: in.engine, News: in.directory, Quotas: in.quotaTeller()}).Run(run, peerListener)
 	})
-	eg.Go(func() error { return in.engine.Serve(callerListener, in.cfg.Codec) })
-	in.cfg.Log.Info("started", "instance", in.cfg.Name, "dataCentre", in.cfg.DataCentre, "listen", in.cfg.Callers)
+	eg.Go(func() error { return in.engine.Serve(callerListener, in.cfg.NewCallerConn) })
+	in.cfg.Log.Info("started", "instance", in.cfg.Name, "dataCentre", in.cfg.DataCentre, "listen", in.cfg.CallerListen)
 	select {
 	case <-ctx.Done():
 		in.engine.Drain()
--- a/internal/tool/cwcommand/serve.go
+++ b/internal/tool/cwcommand/serve.go
@@ -80,39 +80,39 @@
 	client := platformClient()
 	store := &platform.Store{Address: s.Store, HTTP: client}
 	cfg := cwinstance.Config{
-		Name:       s.Instance,
-		DataCentre: s.DataCentre,
-		Callers:    s.Callers,
-		Ready:      s.Ready,
-		Peers:      s.Peers,
-		ReadyPath:  platform.ReadyPath,
-		Grace:      s.Grace,
-		PollWaits:  pollWaits(s),
-		GoneAfter:  s.DrainBound - removalMargin,
-		Turn:       s.HolderTurn,
-		Codec:      func(c net.Conn) cwport.CallerConn { return platform.NewCaller(c) },
-		Dialer:     platform.Dialer{InstanceName: s.Instance},
-		Source:     store,
-		Decoder:    platform.Decoder{},
-		StaleAfter: staleAfter(s),
-		Table:      store,
-		Era:        store.Era,
-		Promoter:   &platform.PromotionClient{Address: s.Duties, HTTP: client},
-		Clock:      clock,
-		Log:        logger,
-		Seed:       fmt.Sprintf("%x-%d", time.Now().UnixNano(), os.Getpid()),
+		Name:              s.Instance,
+		DataCentre:        s.DataCentre,
+		CallerListen:      s.Callers,
+		ReadyListen:       s.Ready,
+		PeerListen:        s.Peers,
+		ReadyPath:         platform.ReadyPath,
+		GracePeriod:       s.Grace,
+		PollWaits:         pollWaits(s),
+		RemovalDelay:      s.DrainBound - removalMargin,
+		MinHolderInterval: s.HolderTurn,
+		NewCallerConn:     func(c net.Conn) cwport.CallerConn { return platform.NewCaller(c) },
+		Dialer:            platform.Dialer{InstanceName: s.Instance},
+		Source:            store,
+		Decoder:           platform.Decoder{},
+		StaleAfter:        staleAfter(s),
+		Table:             store,
+		Era:               store.Era,
+		Promoter:          &platform.PromotionClient{Address: s.Duties, HTTP: client},
+		Clock:             clock,
+		Log:               logger,
+		RunID:             fmt.Sprintf("%x-%d", time.Now().UnixNano(), os.Getpid()),
 
-		KeyBound:    s.KeyBound,
-		DataCentres: len(s.DataCentres),
-		Quota:       s.Quota,
-		FirstStart:  s.FirstStart,
+		KeyRevocationBound: s.KeyBound,
+		DataCentres:        len(s.DataCentres),
+		QuotaTolerance:     s.Quota,
+		FirstStart:         s.FirstStart,
 	}
 	if metricsPort != "" {
 		host, _, err := net.SplitHostPort(s.Ready)
 		if err != nil {
 			return &ExitError{Code: ExitUsage, Err: err}
 		}
-		cfg.Metrics = net.JoinHostPort(host, metricsPort)
+		cfg.MetricsListen = net.JoinHostPort(host, metricsPort)
 	}
 	// A SIGHUP that arrives during a shutdown would end the process at once, and its
 	// sessions with it, if it were not handled. SIGHUP is therefore handled until
