--- a/internal/proxy/cwnode/audit.go
+++ b/internal/proxy/cwnode/audit.go
@@ -57,7 +57,7 @@
 	for n := 0; ; n++ {
 		select {
 		case a := <-j.acts:
-			j.write(ctx, fmt.Sprintf("%s-%s-%d", j.cfg.Instance, j.cfg.Seed, n), a)
+			j.write(ctx, fmt.Sprintf("%s-%s-%d", j.cfg.Instance, j.cfg.RunID, n), a)
 		case <-ctx.Done():
 			return nil
 		}
--- a/internal/proxy/cwnode/catalogue.go
+++ b/internal/proxy/cwnode/catalogue.go
@@ -277,7 +277,7 @@
 		Watchers:  n,
 		Journal:   n.audit,
 		Pools:     n,
-		ClaimSeed: n.cfg.Seed,
+		ClaimSeed: n.cfg.RunID,
 	})
 	n.groups[g.Name] = &runningGroup{Group: group, spec: g, cancel: cancel}
 	return func() {
--- a/internal/proxy/cwnode/failure_test.go
+++ b/internal/proxy/cwnode/failure_test.go
@@ -21,7 +21,7 @@
 // at the primary and at no replica before the primary failed. Callers roam and write
 // during each failure. No acknowledged write may be lost, duplicated or missing in its
 // session's own reads.
-func TestLedgerUnderFailure(t *testing.T) {
+func TestAcknowledgedWritesUnderFailure(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		fault func(b *testCluster)
@@ -86,7 +86,7 @@
 
 // Guards against a load generator that stops when its first statement is refused as
 // not run, instead of retrying it after the given time.
-func TestLoadComesBackWhenItIsTold(t *testing.T) {
+func TestLoadRetriesAfterRefusal(t *testing.T) {
 	t.Parallel()
 	c, b := newTestCluster(t, cwdemo.Options{})
 	for _, l := range b.links {
@@ -116,10 +116,10 @@
 	c.Assert(acts[0].After, qt.Matches, "libro-[23] term 2")
 }
 
-// The same guarantees as in TestLedgerUnderFailure without request keys. If the answer
+// The same guarantees as in TestAcknowledgedWritesUnderFailure without request keys. If the answer
 // of a commit is lost, the caller is told that the outcome is unknown, and an answer
 // that says "not run" must be true.
-func TestLedgerWithoutKeys(t *testing.T) {
+func TestAcknowledgedWritesWithoutRequestKeys(t *testing.T) {
 	t.Parallel()
 	c, b := newTestCluster(t, cwdemo.Options{})
 	rep := b.runLoad(c, 4*time.Second, func(p *cwload.Plan) { p.RequestKeys, p.DropToken = false, true }, func() {
--- a/internal/proxy/cwnode/node.go
+++ b/internal/proxy/cwnode/node.go
@@ -62,9 +62,9 @@
 	DrainTimeout time.Duration
 	Clock        clockwork.Clock
 	Log          *log.Logger
-	// Seed differs for each run of an instance. It makes the ids of claims and audit
+	// RunID differs for each run of an instance. It makes the ids of claims and audit
 	// records unique.
-	Seed string
+	RunID string
 }
 
 // Node is one proxy. Make one with New.
--- a/internal/proxy/cwnode/status.go
+++ b/internal/proxy/cwnode/status.go
@@ -36,11 +36,11 @@
 	Group   string `json:"group"`
 	// State is "well", "replacing" (the primary), "readsOnly" or "unavailable".
 	State string `json:"state"`
-	// What describes the problem, Doing what the system does about it, and Act what an
+	// Problem describes the problem, Doing what the system does about it, and Act what an
 	// operator has to do; each may be empty.
-	What  string `json:"what"`
-	Doing string `json:"doing"`
-	Act   string `json:"act"`
+	Problem        string `json:"what"`
+	SystemAction   string `json:"doing"`
+	OperatorAction string `json:"act"`
 }
 
 // TargetBody is the state of a target as this proxy sees it.
@@ -151,31 +151,31 @@
 	switch {
 	case !writable && majority:
 		b.State = "replacing"
-		b.What = "no database takes writes at the moment"
-		b.Doing = "another database is being put in charge; this takes a few seconds"
+		b.Problem = "no database takes writes at the moment"
+		b.SystemAction = "another database is being put in charge; this takes a few seconds"
 	case !writable && len(unreachable) < len(v.Members()):
 		b.State = "readsOnly"
-		b.What = "too few databases answer this proxy: " + strings.Join(unreachable, ", ") + " are away"
-		b.Doing = "reads that accept some age are served; writes resume by themselves once a majority answers"
-		b.Act = "if this lasts for minutes, have the databases or the network looked at"
+		b.Problem = "too few databases answer this proxy: " + strings.Join(unreachable, ", ") + " are away"
+		b.SystemAction = "reads that accept some age are served; writes resume by themselves once a majority answers"
+		b.OperatorAction = "if this lasts for minutes, have the databases or the network looked at"
 	case !writable:
 		b.State = "unavailable"
-		b.What = "no database of this group answers this proxy"
-		b.Doing = "it keeps trying"
-		b.Act = "have the databases or the network looked at"
+		b.Problem = "no database of this group answers this proxy"
+		b.SystemAction = "it keeps trying"
+		b.OperatorAction = "have the databases or the network looked at"
 	case len(unreachable) > 0:
-		b.What = strings.Join(unreachable, ", ") + " do not answer"
-		b.Doing = "work goes to the others; it joins again by itself"
-		b.Act = "if it stays away, have it repaired or replaced: one more loss would stop writes"
+		b.Problem = strings.Join(unreachable, ", ") + " do not answer"
+		b.SystemAction = "work goes to the others; it joins again by itself"
+		b.OperatorAction = "if it stays away, have it repaired or replaced: one more loss would stop writes"
 	}
 	if len(stopping) > 0 {
-		b.Doing = strings.TrimPrefix(b.Doing+"; "+strings.Join(stopping, ", ")+" kept free of work by a planned stop", "; ")
+		b.SystemAction = strings.TrimPrefix(b.SystemAction+"; "+strings.Join(stopping, ", ")+" kept free of work by a planned stop", "; ")
 	}
 	return b
 }
 
-// ReadsAt returns the numbers of reads that replicas and primaries have served since
+// ReadCounts returns the numbers of reads that replicas and primaries have served since
 // the start.
-func (n *Node) ReadsAt() (replica, primary uint64) {
+func (n *Node) ReadCounts() (replica, primary uint64) {
 	return n.server.Metrics.ReplicaReads.Get(), n.server.Metrics.PrimaryReads.Get()
 }
--- a/internal/tool/cwcommand/proxy.go
+++ b/internal/tool/cwcommand/proxy.go
@@ -98,7 +98,7 @@
 		DrainTimeout: p.drainTimeout,
 		Clock:        clockwork.NewRealClock(),
 		Log:          newLogger(cmd, level),
-		Seed:         fmt.Sprintf("%x-%d", time.Now().UnixNano(), os.Getpid()),
+		RunID:        fmt.Sprintf("%x-%d", time.Now().UnixNano(), os.Getpid()),
 	})
 	if err != nil {
 		return &ExitError{Code: ExitUsage, Err: err}
--- a/internal/tool/cwcommand/status.go
+++ b/internal/tool/cwcommand/status.go
@@ -111,11 +111,11 @@
 			fmt.Fprintf(w, "proxy %s (%s) is starting: it is waiting for the catalogue.\n", p.Status.Instance, p.Address)
 		}
 		for _, g := range p.Status.Groups {
-			if g.State != "well" || g.What != "" || g.Doing != "" {
-				healthy = healthy && g.State == "well" && g.What == ""
+			if g.State != "well" || g.Problem != "" || g.SystemAction != "" {
+				healthy = healthy && g.State == "well" && g.Problem == ""
 				fmt.Fprintf(w, "%s/%s, seen by %s: %s\n", g.Service, g.Group, p.Status.Instance, describeGroup(g))
 			}
-			actionRequired = actionRequired || g.Act != "" && g.State != "well"
+			actionRequired = actionRequired || g.OperatorAction != "" && g.State != "well"
 		}
 	}
 	if healthy {
@@ -131,14 +131,14 @@
 // what an operator has to do, as sentences.
 func describeGroup(g cwnode.GroupBody) string {
 	parts := []string{g.State}
-	if g.What != "" {
-		parts = append(parts, g.What)
+	if g.Problem != "" {
+		parts = append(parts, g.Problem)
 	}
-	if g.Doing != "" {
-		parts = append(parts, "the system: "+g.Doing)
+	if g.SystemAction != "" {
+		parts = append(parts, "the system: "+g.SystemAction)
 	}
-	if g.Act != "" {
-		parts = append(parts, "you: "+g.Act)
+	if g.OperatorAction != "" {
+		parts = append(parts, "you: "+g.OperatorAction)
 	}
 	return strings.Join(parts, ". ") + "."
 }
--- a/internal/tool/cwdemo/cluster.go
+++ b/internal/tool/cwdemo/cluster.go
@@ -224,7 +224,7 @@
 		DrainTimeout: 20 * time.Second,
 		Clock:        clockwork.NewRealClock(),
 		Log:          log.NewWithOptions(b.opts.Log, log.Options{Formatter: log.LogfmtFormatter, ReportTimestamp: true}),
-		Seed:         fmt.Sprintf("%x", time.Now().UnixNano()),
+		RunID:        fmt.Sprintf("%x", time.Now().UnixNano()),
 	})
 	if err != nil {
 		return nil, err
--- a/internal/tool/cwdemo/scenario.go
+++ b/internal/tool/cwdemo/scenario.go
@@ -46,7 +46,7 @@
 	}
 	var replica, primary uint64
 	for _, p := range b.Proxies {
-		r, q := p.ReadsAt()
+		r, q := p.ReadCounts()
 		replica, primary = replica+r, primary+q
 	}
 	share := 0.0
