--- a/internal/proxy/cwengine/forward_test.go
+++ b/internal/proxy/cwengine/forward_test.go
@@ -45,7 +45,7 @@
 func (h *testHolder) Name() string { return h.name }
 
 func (h *testHolder) Forward(_ context.Context, req cwport.ForwardRequest) (cwport.ForwardResponse, error) {
-	r := h.engine.Hand(h, req)
+	r := h.engine.ServeForwarded(h, req)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.dropAnswers {
@@ -236,7 +236,7 @@
 	env, s, h := newForwardingSession(t, cwcatalogue.ReadLatest)
 	assertOK(env.c, s.ask(cwstatement.Begin, "BEGIN"))
 	assertOK(env.c, s.ask(cwstatement.Write, "WRITE i 1"))
-	h.engine.Left(h)
+	h.engine.ConnectionClosed(h)
 	a := s.ask(cwstatement.Commit, "COMMIT")
 	assertNothingKept(env.c, a)
 	env.c.Assert(a.State, qt.Equals, cwstatement.Idle)
--- a/internal/proxy/cwengine/forwarded.go
+++ b/internal/proxy/cwengine/forwarded.go
@@ -40,10 +40,10 @@
 	connClosed atomic.Bool
 }
 
-// Hand runs a statement that another instance has forwarded, and returns its answer.
+// ServeForwarded runs a statement that another instance has forwarded, and returns its answer.
 // The answer has Elsewhere set if nothing ran and another holder may run the statement.
-// from identifies the connection on which it arrived; see Left.
-func (e *Engine) Hand(from any, h cwport.ForwardRequest) cwport.ForwardResponse {
+// from identifies the connection on which it arrived; see ConnectionClosed.
+func (e *Engine) ServeForwarded(from any, h cwport.ForwardRequest) cwport.ForwardResponse {
 	e.forwardedInFlight.Add(1)
 	defer e.forwardedInFlight.Add(-1)
 	began := e.cfg.Clock.Now().Add(-h.Elapsed)
@@ -170,8 +170,8 @@
 	return cwport.ForwardResponse{Answer: cwstatement.RetryLater(cwstatement.Aborted, detail, unreachableRetryAfter), TryOtherHolder: true}
 }
 
-// Left rolls back the transactions that arrived on a connection that has ended.
-func (e *Engine) Left(from any) {
+// ConnectionClosed rolls back the transactions that arrived on a connection that has ended.
+func (e *Engine) ConnectionClosed(from any) {
 	e.rollbackForwarded("the caller's instance is gone", func(t *forwardedTransaction) bool {
 		if t.conn == from {
 			t.connClosed.Store(true)
--- a/internal/proxy/cwpeers/link.go
+++ b/internal/proxy/cwpeers/link.go
@@ -351,7 +351,7 @@
 		l.probe(conn)
 	})
 	defer overdue.Stop()
-	resp, err := conn.Hand(ctx, h)
+	resp, err := conn.Forward(ctx, h)
 	if err != nil {
 		return resp, err
 	}
--- a/internal/proxy/cwpeers/peers.go
+++ b/internal/proxy/cwpeers/peers.go
@@ -36,12 +36,12 @@
 
 // Conn is a connection to another instance, used by several goroutines at a time.
 type Conn interface {
-	// Hand runs a statement on the other instance. The error is a *cwport.NoResponseError
+	// Forward runs a statement on the other instance. The error is a *cwport.NoResponseError
 	// if no answer arrives.
-	Hand(ctx context.Context, h cwport.ForwardRequest) (cwport.ForwardResponse, error)
+	Forward(ctx context.Context, h cwport.ForwardRequest) (cwport.ForwardResponse, error)
 	cwport.ChangesServer
-	// AskQuota asks the other instance to admit one operation of a workspace.
-	AskQuota(ctx context.Context, workspace string) (cwport.QuotaDecision, error)
+	// TakeQuota asks the other instance to admit one operation of a workspace.
+	TakeQuota(ctx context.Context, workspace string) (cwport.QuotaDecision, error)
 	// Ping returns an error if the other end does not answer before ctx ends.
 	Ping(ctx context.Context) error
 	// Done returns a channel that is closed once the connection has ended.
--- a/internal/proxy/cwpeers/peers_test.go
+++ b/internal/proxy/cwpeers/peers_test.go
@@ -102,7 +102,7 @@
 	}
 }
 
-func (c *fakeConn) Hand(ctx context.Context, h cwport.ForwardRequest) (cwport.ForwardResponse, error) {
+func (c *fakeConn) Forward(ctx context.Context, h cwport.ForwardRequest) (cwport.ForwardResponse, error) {
 	if err := c.awaitAnswer(ctx); err != nil {
 		return cwport.ForwardResponse{}, &cwport.NoResponseError{Instance: c.name, Cause: err}
 	}
@@ -118,7 +118,7 @@
 	return cwport.ChangesResponse{}, c.net.changesErr
 }
 
-func (c *fakeConn) AskQuota(ctx context.Context, _ string) (cwport.QuotaDecision, error) {
+func (c *fakeConn) TakeQuota(ctx context.Context, _ string) (cwport.QuotaDecision, error) {
 	return cwport.QuotaDecision{Allowed: true}, c.awaitAnswer(ctx)
 }
 
--- a/internal/proxy/cwpeers/quota.go
+++ b/internal/proxy/cwpeers/quota.go
@@ -70,7 +70,7 @@
 	if conn == nil {
 		return cwport.QuotaDecision{}, &cwport.NoResponseError{Instance: l.remote.ID, NotSent: true, Cause: errNoAnswer}
 	}
-	v, err := conn.AskQuota(ctx, workspace)
+	v, err := conn.TakeQuota(ctx, workspace)
 	if err == nil {
 		l.recordAnswer()
 	}
--- a/internal/wire/cwhandover/conn.go
+++ b/internal/wire/cwhandover/conn.go
@@ -27,12 +27,12 @@
 
 // Handler runs forwarded statements.
 type Handler interface {
-	// Hand runs a forwarded statement. The value of from identifies the connection
+	// ServeForwarded runs a forwarded statement. The value of from identifies the connection
 	// that the statement came from.
-	Hand(from any, h cwport.ForwardRequest) cwport.ForwardResponse
-	// Left is called when a connection has ended. The transactions that were
+	ServeForwarded(from any, h cwport.ForwardRequest) cwport.ForwardResponse
+	// ConnectionClosed is called when a connection has ended. The transactions that were
 	// forwarded on it end with it.
-	Left(from any)
+	ConnectionClosed(from any)
 }
 
 // Server handles requests from other instances: forwarded statements, requests for
@@ -56,7 +56,7 @@
 
 func (s *Server) serve(ctx context.Context, conn net.Conn) {
 	bounded := &cwlisten.Bounded{Conn: conn, MaxMessage: maxMessage, Idle: idleTimeout}
-	defer s.Handler.Left(bounded)
+	defer s.Handler.ConnectionClosed(bounded)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	handle := func(ctx context.Context, _ *jsonrpc2.Conn, req *jsonrpc2.Request) (any, error) {
@@ -88,7 +88,7 @@
 	if err != nil {
 		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeInvalidParams, Message: err.Error()}
 	}
-	return encodeResult(s.Handler.Hand(from, h)), nil
+	return encodeResult(s.Handler.ServeForwarded(from, h)), nil
 }
 
 // answerNews handles a request for store changes.
@@ -143,9 +143,9 @@
 	return c, nil
 }
 
-// Hand forwards a statement to the holder and returns its answer. Errors are of type
+// Forward forwards a statement to the holder and returns its answer. Errors are of type
 // *cwport.NoResponseError.
-func (c *Conn) Hand(ctx context.Context, h cwport.ForwardRequest) (cwport.ForwardResponse, error) {
+func (c *Conn) Forward(ctx context.Context, h cwport.ForwardRequest) (cwport.ForwardResponse, error) {
 	var b resultBody
 	err := c.rpc.Call(ctx, methodForward, encodeStatement(h), &b)
 	var refused *jsonrpc2.Error
--- a/internal/wire/cwhandover/handover_test.go
+++ b/internal/wire/cwhandover/handover_test.go
@@ -162,11 +162,11 @@
 	left   chan any
 }
 
-func (h *fakeHandler) Hand(_ any, ho cwport.ForwardRequest) cwport.ForwardResponse {
+func (h *fakeHandler) ServeForwarded(_ any, ho cwport.ForwardRequest) cwport.ForwardResponse {
 	return h.answer(ho)
 }
 
-func (h *fakeHandler) Left(from any) { h.left <- from }
+func (h *fakeHandler) ConnectionClosed(from any) { h.left <- from }
 
 func serve(c *qt.C, h *fakeHandler) string { return serveNews(c, h, nil) }
 
@@ -199,10 +199,10 @@
 	go func() {
 		ho := exampleStatement()
 		ho.Statement.ID = "slow"
-		_, err := conn.Hand(context.Background(), ho)
+		_, err := conn.Forward(context.Background(), ho)
 		slow <- err
 	}()
-	r, err := conn.Hand(context.Background(), exampleStatement())
+	r, err := conn.Forward(context.Background(), exampleStatement())
 	c.Assert(err, qt.IsNil)
 	c.Assert(r.Answer.Rows, qt.DeepEquals, []string{"5c0e"}, qt.Commentf("a slow statement must not block others on the same connection"))
 	close(release)
@@ -210,7 +210,7 @@
 
 	c.Assert(conn.Close(), qt.IsNil)
 	<-h.left
-	_, err = conn.Hand(context.Background(), exampleStatement())
+	_, err = conn.Forward(context.Background(), exampleStatement())
 	var lost *cwport.NoResponseError
 	c.Assert(errors.As(err, &lost), qt.IsTrue)
 }
--- a/internal/wire/cwhandover/quota.go
+++ b/internal/wire/cwhandover/quota.go
@@ -32,10 +32,10 @@
 	return quotaResultBody{Allowed: v.Allowed, Unknown: v.Unknown, RetryAfterUS: v.RetryAfter.Microseconds()}, nil
 }
 
-// AskQuota takes one operation from the part of the workspace's quota that the other
+// TakeQuota takes one operation from the part of the workspace's quota that the other
 // instance keeps. It returns an *UnreadableError if the answer is malformed, and the
 // error of the RPC call if that failed.
-func (c *Conn) AskQuota(ctx context.Context, workspace string) (cwport.QuotaDecision, error) {
+func (c *Conn) TakeQuota(ctx context.Context, workspace string) (cwport.QuotaDecision, error) {
 	var b quotaResultBody
 	if err := c.rpc.Call(ctx, methodQuota, quotaRequestBody{Workspace: workspace}, &b); err != nil {
 		return cwport.QuotaDecision{}, err
