--- a/internal/wire/cwhandover/handover.go
+++ b/internal/wire/cwhandover/handover.go
@@ -80,10 +80,10 @@
 	Elsewhere bool         `json:"elsewhere,omitempty"`
 }
 
-// UnreadableError reports a message that is malformed or has values out of range.
-type UnreadableError struct{ What string }
+// MalformedMessageError reports a message that is malformed or has values out of range.
+type MalformedMessageError struct{ Reason string }
 
-func (e *UnreadableError) Error() string { return "unreadable handover: " + e.What }
+func (e *MalformedMessageError) Error() string { return "unreadable handover: " + e.Reason }
 
 func microseconds(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
 
@@ -117,18 +117,18 @@
 func decodeStatement(params []byte) (cwport.ForwardRequest, error) {
 	var b statementBody
 	if err := json.Unmarshal(params, &b); err != nil {
-		return cwport.ForwardRequest{}, &UnreadableError{What: err.Error()}
+		return cwport.ForwardRequest{}, &MalformedMessageError{Reason: err.Error()}
 	}
 	verb, begin := cwstatement.ParseVerb(b.Verb), cwstatement.ParseVerb(b.Begin)
 	switch {
 	case !holderRuns(verb):
-		return cwport.ForwardRequest{}, &UnreadableError{What: "verb " + b.Verb}
+		return cwport.ForwardRequest{}, &MalformedMessageError{Reason: "verb " + b.Verb}
 	case begin != cwstatement.UnknownVerb && begin != cwstatement.Begin && begin != cwstatement.BeginRead:
-		return cwport.ForwardRequest{}, &UnreadableError{What: "begin " + b.Begin}
+		return cwport.ForwardRequest{}, &MalformedMessageError{Reason: "begin " + b.Begin}
 	case b.Entry.Group == "":
-		return cwport.ForwardRequest{}, &UnreadableError{What: "no group"}
+		return cwport.ForwardRequest{}, &MalformedMessageError{Reason: "no group"}
 	case verb == cwstatement.Execute && b.Prepared == nil:
-		return cwport.ForwardRequest{}, &UnreadableError{What: "no prepared statement"}
+		return cwport.ForwardRequest{}, &MalformedMessageError{Reason: "no prepared statement"}
 	}
 	h := cwport.ForwardRequest{
 		Transaction: b.Transaction, Begin: begin, Entry: decodeEntry(b.Entry), Workspace: b.Workspace,
@@ -172,7 +172,7 @@
 func (b resultBody) decode() (cwport.ForwardResponse, error) {
 	state, ok := cwstatement.ParseState(b.State)
 	if !ok {
-		return cwport.ForwardResponse{}, &UnreadableError{What: "state " + b.State}
+		return cwport.ForwardResponse{}, &MalformedMessageError{Reason: "state " + b.State}
 	}
 	return cwport.ForwardResponse{
 		Answer:         cwstatement.Response{Rows: b.Rows, Proof: b.Proof, Code: cwstatement.ParseCode(b.Code), Detail: b.Detail, State: state},
--- a/internal/wire/cwhandover/handover_test.go
+++ b/internal/wire/cwhandover/handover_test.go
@@ -113,7 +113,7 @@
 			var body newsBody
 			qt.Assert(t, json.Unmarshal([]byte(tc.text), &body), qt.IsNil)
 			_, err := body.decode()
-			qt.Assert(t, err, qt.ErrorAs, new(*UnreadableError))
+			qt.Assert(t, err, qt.ErrorAs, new(*MalformedMessageError))
 		})
 	}
 }
--- a/internal/wire/cwhandover/news.go
+++ b/internal/wire/cwhandover/news.go
@@ -51,10 +51,10 @@
 func decodeNewsRequest(params []byte) (cwport.ChangesRequest, error) {
 	var b newsRequestBody
 	if err := json.Unmarshal(params, &b); err != nil {
-		return cwport.ChangesRequest{}, &UnreadableError{What: err.Error()}
+		return cwport.ChangesRequest{}, &MalformedMessageError{Reason: err.Error()}
 	}
 	if len(b.After) != cwport.TopicCount || b.WaitMS < 0 {
-		return cwport.ChangesRequest{}, &UnreadableError{What: "question for news"}
+		return cwport.ChangesRequest{}, &MalformedMessageError{Reason: "question for news"}
 	}
 	return cwport.ChangesRequest{After: [cwport.TopicCount]cwfeed.Version(b.After), Wait: time.Duration(b.WaitMS) * time.Millisecond}, nil
 }
@@ -131,12 +131,12 @@
 // look newer than it is, so the whole answer is rejected.
 func (b newsBody) decode() (cwport.ChangesResponse, error) {
 	if len(b.Topics) != cwport.TopicCount || b.HeldUS < 0 {
-		return cwport.ChangesResponse{}, &UnreadableError{What: "news: wrong number of topics or negative hold time"}
+		return cwport.ChangesResponse{}, &MalformedMessageError{Reason: "news: wrong number of topics or negative hold time"}
 	}
 	n := cwport.ChangesResponse{Held: microseconds(b.HeldUS), TargetsUnavailable: b.TargetsAway, TargetsIncomplete: b.TargetsUnsettled}
 	for i, tb := range b.Topics {
 		if tb.AgeUS < 0 {
-			return cwport.ChangesResponse{}, &UnreadableError{What: "news: negative age of a topic"}
+			return cwport.ChangesResponse{}, &MalformedMessageError{Reason: "news: negative age of a topic"}
 		}
 		t := cwport.TopicChanges{Version: tb.Version, Complete: tb.Whole, Age: microseconds(tb.AgeUS)}
 		rows, err := tb.decodeRows()
@@ -162,11 +162,11 @@
 	}
 	text, err := cwpack.Unpack(b.Packed)
 	if err != nil {
-		return nil, &UnreadableError{What: "packed rows: " + err.Error()}
+		return nil, &MalformedMessageError{Reason: "packed rows: " + err.Error()}
 	}
 	var rows []rowBody
 	if err := json.Unmarshal(text, &rows); err != nil {
-		return nil, &UnreadableError{What: "packed rows: " + err.Error()}
+		return nil, &MalformedMessageError{Reason: "packed rows: " + err.Error()}
 	}
 	return rows, nil
 }
@@ -178,7 +178,7 @@
 	}
 	value, err := cwpack.Unpack(r.Packed)
 	if err != nil {
-		return cwport.Row{}, &UnreadableError{What: "packed row " + r.Key + ": " + err.Error()}
+		return cwport.Row{}, &MalformedMessageError{Reason: "packed row " + r.Key + ": " + err.Error()}
 	}
 	r.Value = value
 	return r, nil
--- a/internal/wire/cwhandover/quota.go
+++ b/internal/wire/cwhandover/quota.go
@@ -33,7 +33,7 @@
 }
 
 // TakeQuota takes one operation from the part of the workspace's quota that the other
-// instance keeps. It returns an *UnreadableError if the answer is malformed, and the
+// instance keeps. It returns an *MalformedMessageError if the answer is malformed, and the
 // error of the RPC call if that failed.
 func (c *Conn) TakeQuota(ctx context.Context, workspace string) (cwport.QuotaDecision, error) {
 	var b quotaResultBody
@@ -41,7 +41,7 @@
 		return cwport.QuotaDecision{}, err
 	}
 	if b.RetryAfterUS < 0 {
-		return cwport.QuotaDecision{}, &UnreadableError{What: "quota: negative retry time"}
+		return cwport.QuotaDecision{}, &MalformedMessageError{Reason: "quota: negative retry time"}
 	}
 	return cwport.QuotaDecision{Allowed: b.Allowed, Unknown: b.Unknown, RetryAfter: microseconds(b.RetryAfterUS)}, nil
 }
