--- a/internal/proxy/cwfront/extended.go
+++ b/internal/proxy/cwfront/extended.go
@@ -231,9 +231,9 @@
 			st.sendMessage(o)
 		}
 		if sync {
-			c.Front.SendSync(&pgproto3.Sync{})
+			c.Frontend.SendSync(&pgproto3.Sync{})
 		} else {
-			c.Front.Send(&pgproto3.Flush{})
+			c.Frontend.Send(&pgproto3.Flush{})
 		}
 		return st
 	}
@@ -389,7 +389,7 @@
 	}
 	if req == nil {
 		req = &request{sync: true, readOnly: !r.primary, send: func(c *cwpool.Conn) *responseQueue {
-			c.Front.SendSync(&pgproto3.Sync{})
+			c.Frontend.SendSync(&pgproto3.Sync{})
 			return nil
 		}}
 	}
--- a/internal/proxy/cwfront/relay.go
+++ b/internal/proxy/cwfront/relay.go
@@ -185,7 +185,7 @@
 // receive returns the target's next message. Its error is a *responseLostError.
 func (w *watchdog) receive() (pgproto3.BackendMessage, error) {
 	for {
-		msg, err := w.route.lease.Conn.Front.Receive()
+		msg, err := w.route.lease.Conn.Frontend.Receive()
 		if err == nil {
 			w.reportedIdle = false
 			return msg, nil
--- a/internal/proxy/cwfront/request.go
+++ b/internal/proxy/cwfront/request.go
@@ -152,7 +152,7 @@
 	}
 	st := req.send(r.lease.Conn)
 	_ = r.lease.Conn.SetWriteDeadline(r.deadline)
-	if err := r.lease.Conn.Front.Flush(); err != nil {
+	if err := r.lease.Conn.Frontend.Flush(); err != nil {
 		return responseSummary{}, false, &responseLostError{reason: "the connection to the database broke"}
 	}
 	rep, flushed, err := s.relayResponse(r, st, req.sync, !req.readOnly)
--- a/internal/proxy/cwfront/request_key.go
+++ b/internal/proxy/cwfront/request_key.go
@@ -127,7 +127,7 @@
 		return false, s.resolveOutcome(k.key, k.digest, k.deadline)
 	}
 	s.releaseConnection(r)
-	position, err := parseLogPosition(res.Mark)
+	position, err := parseLogPosition(res.LogPosition)
 	if err == nil {
 		err = s.awaitAcknowledgement(position)
 	}
@@ -345,7 +345,7 @@
 	if err != nil {
 		return err
 	}
-	position, err := parseLogPosition(res.Mark)
+	position, err := parseLogPosition(res.LogPosition)
 	if err != nil {
 		return err
 	}
--- a/internal/proxy/cwfront/responses.go
+++ b/internal/proxy/cwfront/responses.go
@@ -38,7 +38,7 @@
 // sendMessage queues a message of the batch on the connection, and its expected
 // response.
 func (st *responseQueue) sendMessage(o batchMessage) {
-	f := st.conn.Front
+	f := st.conn.Frontend
 	switch o.msgType {
 	case 'P':
 		if !st.ensurePrepared(o.statement, false) {
@@ -79,10 +79,10 @@
 		return false
 	}
 	if evicted := st.conn.AddPrepared(p.targetName); evicted != "" {
-		st.conn.Front.SendClose(&pgproto3.Close{ObjectType: 'S', Name: evicted})
+		st.conn.Frontend.SendClose(&pgproto3.Close{ObjectType: 'S', Name: evicted})
 		st.expected = append(st.expected, expectedResponse{requestType: 'C', hidden: true})
 	}
-	st.conn.Front.SendParse(&pgproto3.Parse{Name: p.targetName, Query: p.query, ParameterOIDs: p.paramOIDs})
+	st.conn.Frontend.SendParse(&pgproto3.Parse{Name: p.targetName, Query: p.query, ParameterOIDs: p.paramOIDs})
 	st.expected = append(st.expected, expectedResponse{requestType: 'P', hidden: hidden, statement: p.targetName})
 	return true
 }
--- a/internal/proxy/cwfront/simple.go
+++ b/internal/proxy/cwfront/simple.go
@@ -45,7 +45,7 @@
 		sync:      true,
 		digest:    func() string { return cwrequest.Digest([]byte(text)) },
 		send: func(c *cwpool.Conn) *responseQueue {
-			c.Front.SendQuery(&pgproto3.Query{String: text})
+			c.Frontend.SendQuery(&pgproto3.Query{String: text})
 			return nil
 		},
 	}
@@ -157,7 +157,7 @@
 	tx := s.tx
 	if tx.lease != nil {
 		if res, err := tx.lease.Conn.Exec("ROLLBACK"); err == nil {
-			tx.txStatus = res.Status
+			tx.txStatus = res.TxStatus
 		}
 	}
 	s.endTransaction(false)
@@ -285,7 +285,7 @@
 	}
 	req.readOnly = req.readOnly && !req.mayCommit
 	req.send = func(c *cwpool.Conn) *responseQueue {
-		c.Front.SendQuery(&pgproto3.Query{String: text})
+		c.Frontend.SendQuery(&pgproto3.Query{String: text})
 		return nil
 	}
 	s.runRequest(req)
--- a/internal/proxy/cwpool/pool.go
+++ b/internal/proxy/cwpool/pool.go
@@ -318,12 +318,12 @@
 func ping(c *Conn) bool {
 	defer c.SetDeadline(time.Time{})
 	_ = c.SetDeadline(time.Now().Add(pingTimeout))
-	c.Front.SendSync(&pgproto3.Sync{})
-	if c.Front.Flush() != nil {
+	c.Frontend.SendSync(&pgproto3.Sync{})
+	if c.Frontend.Flush() != nil {
 		return false
 	}
 	for {
-		msg, err := c.Front.Receive()
+		msg, err := c.Frontend.Receive()
 		if err != nil {
 			return false
 		}
--- a/internal/proxy/cwwatch/group.go
+++ b/internal/proxy/cwwatch/group.go
@@ -76,7 +76,7 @@
 // out changes of primary. Its methods are safe for concurrent use.
 type Group struct {
 	cfg   Config
-	feeds map[cwgroup.MemberID]*cwtarget.Feed
+	feeds map[cwgroup.MemberID]*cwtarget.ControlConn
 	// cachedRank is used by the loop goroutine only.
 	cachedRank cachedRank
 
@@ -105,12 +105,12 @@
 	g := &Group{
 		cfg:      cfg,
 		contract: cfg.Contract,
-		feeds:    make(map[cwgroup.MemberID]*cwtarget.Feed),
+		feeds:    make(map[cwgroup.MemberID]*cwtarget.ControlConn),
 		sup:      cwfailover.NewSupervisor(cfg.Self, cfg.ClaimSeed, cfg.Group.Name, cfg.Group.MemberIDs()),
 		changed:  make(chan struct{}),
 	}
 	for _, t := range cfg.Group.Targets {
-		g.feeds[t.ID] = &cwtarget.Feed{
+		g.feeds[t.ID] = &cwtarget.ControlConn{
 			Member:  t.ID,
 			Address: t.Address,
 			Startup: cwtarget.Startup{User: "cicadawalk", Database: cfg.Service, Application: cwtarget.ControlApplication},
@@ -199,8 +199,8 @@
 	return len(r.live) > 0 && len(r.live) == len(live) && &r.live[0] == &live[0]
 }
 
-// Reported implements cwtarget.FeedEvents.
-func (g *Group) Reported(r cwtarget.Report, sentAt time.Time) {
+// StatusReceived implements cwtarget.ControlEvents.
+func (g *Group) StatusReceived(r cwtarget.Report, sentAt time.Time) {
 	now := g.cfg.Clock.Now()
 	g.mu.Lock()
 	voteChanged := g.sup.AddReport(cwgroup.Report{Status: r.Status, At: now, Reachable: true}, r.Following, now)
@@ -218,7 +218,7 @@
 	g.publish(voteChanged)
 }
 
-// Unreachable implements cwtarget.FeedEvents.
+// Unreachable implements cwtarget.ControlEvents.
 func (g *Group) Unreachable(id cwgroup.MemberID) {
 	g.mu.Lock()
 	voteChanged := g.sup.SetUnreachable(id, g.cfg.Clock.Now())
@@ -228,8 +228,8 @@
 	g.cfg.Pools.Cull(id)
 }
 
-// WentSilent implements cwtarget.FeedEvents.
-func (g *Group) WentSilent(id cwgroup.MemberID) {
+// ConnUnresponsive implements cwtarget.ControlEvents.
+func (g *Group) ConnUnresponsive(id cwgroup.MemberID) {
 	g.cfg.Log.Warn("silentConnections", "group", g.cfg.Group.Name, "target", id)
 	g.cfg.Pools.Cull(id)
 }
--- a/internal/proxy/cwwatch/place.go
+++ b/internal/proxy/cwwatch/place.go
@@ -284,7 +284,7 @@
 
 // Activity asks a member what one of its sessions is doing.
 func (g *Group) Activity(ctx context.Context, id cwgroup.MemberID, pid uint32) (string, error) {
-	return g.feeds[id].Activity(ctx, pid)
+	return g.feeds[id].SessionState(ctx, pid)
 }
 
 // Reachable reports whether the member can be reached and its last report is no older
--- a/internal/wire/cwtarget/conn.go
+++ b/internal/wire/cwtarget/conn.go
@@ -39,7 +39,7 @@
 // Conn is an open connection to a target.
 type Conn struct {
 	net.Conn
-	Front *pgproto3.Frontend
+	Frontend *pgproto3.Frontend
 	// PID and Secret identify the connection in a cancel request.
 	PID    uint32
 	Secret []byte
@@ -87,8 +87,8 @@
 		Address:    address,
 		sent:       countingWriter{w: nc},
 	}
-	c.Front = pgproto3.NewFrontend(nc, &c.sent)
-	c.Front.SetMaxBodyLen(maxMessage)
+	c.Frontend = pgproto3.NewFrontend(nc, &c.sent)
+	c.Frontend.SetMaxBodyLen(maxMessage)
 	stop := context.AfterFunc(ctx, func() { _ = nc.SetDeadline(time.Unix(1, 0)) })
 	err = c.start(s)
 	if !stop() && err == nil {
@@ -102,7 +102,7 @@
 }
 
 func (c *Conn) start(s Startup) error {
-	c.Front.Send(&pgproto3.StartupMessage{
+	c.Frontend.Send(&pgproto3.StartupMessage{
 		ProtocolVersion: pgproto3.ProtocolVersion30,
 		Parameters: map[string]string{
 			"user":             s.User,
@@ -110,11 +110,11 @@
 			"application_name": s.Application,
 		},
 	})
-	if err := c.Front.Flush(); err != nil {
+	if err := c.Frontend.Flush(); err != nil {
 		return err
 	}
 	for {
-		msg, err := c.Front.Receive()
+		msg, err := c.Frontend.Receive()
 		if err != nil {
 			return err
 		}
@@ -138,25 +138,25 @@
 type Result struct {
 	// Rows holds the values as text.
 	Rows [][]string
-	// Mark is the log position of the commit, as text; empty if nothing was
+	// LogPosition is the log position of the commit, as text; empty if nothing was
 	// committed.
-	Mark string
-	// Status is the transaction status of the connection, as in ReadyForQuery.
-	Status byte
+	LogPosition string
+	// TxStatus is the transaction status of the connection, as in ReadyForQuery.
+	TxStatus byte
 }
 
 // Exec runs a query of the proxy itself with the simple query protocol and reads the
 // whole result. The connection stays usable after a *ServerError, but after no other
 // error.
 func (c *Conn) Exec(query string) (Result, error) {
-	return c.ExecWith(query, c.Front.Receive)
+	return c.ExecWith(query, c.Frontend.Receive)
 }
 
 // ExecWith is like Exec but reads messages with receive, which may return an error, for
 // example after a timeout.
 func (c *Conn) ExecWith(query string, receive func() (pgproto3.BackendMessage, error)) (Result, error) {
-	c.Front.Send(&pgproto3.Query{String: query})
-	if err := c.Front.Flush(); err != nil {
+	c.Frontend.Send(&pgproto3.Query{String: query})
+	if err := c.Frontend.Flush(); err != nil {
 		return Result{}, err
 	}
 	var res Result
@@ -175,7 +175,7 @@
 			res.Rows = append(res.Rows, row)
 		case *pgproto3.ParameterStatus:
 			if m.Name == PositionParameter {
-				res.Mark = m.Value
+				res.LogPosition = m.Value
 			}
 		case *pgproto3.ErrorResponse:
 			if EndsConnection(m) {
@@ -183,7 +183,7 @@
 			}
 			failed = &ServerError{Code: m.Code, Message: m.Message}
 		case *pgproto3.ReadyForQuery:
-			res.Status = m.TxStatus
+			res.TxStatus = m.TxStatus
 			if failed != nil {
 				return res, failed
 			}
--- a/internal/wire/cwtarget/feed.go
+++ b/internal/wire/cwtarget/feed.go
@@ -19,38 +19,38 @@
 	// data can be computed only from answers to queries, whose send time is known.
 	// For replicas the heartbeats are sufficient.
 	ProbeInterval = 250 * time.Millisecond
-	// Silence is the time without any message after which a feed opens a new
+	// ReceiveTimeout is the time without any message after which a feed opens a new
 	// connection to test whether the member is reachable.
-	Silence = 600 * time.Millisecond
-	// FreshTimeout limits the time to open a connection, including the startup
+	ReceiveTimeout = 600 * time.Millisecond
+	// ConnectTimeout limits the time to open a connection, including the startup
 	// messages.
-	FreshTimeout = 300 * time.Millisecond
+	ConnectTimeout = 300 * time.Millisecond
 	// redialDelay is the pause after a failed connection.
 	redialDelay = 100 * time.Millisecond
 )
 
-// FeedEvents receives the events of a feed. The methods are called from the feed's
+// ControlEvents receives the events of a feed. The methods are called from the feed's
 // goroutines, one at a time for each connection.
-type FeedEvents interface {
-	// Reported is called for each status. The value of asked is the time at which
+type ControlEvents interface {
+	// StatusReceived is called for each status. The value of asked is the time at which
 	// the query was sent, or zero for a notification.
-	Reported(r Report, asked time.Time)
+	StatusReceived(r Report, asked time.Time)
 	// Unreachable is called when a new connection to the member failed.
 	Unreachable(id cwgroup.MemberID)
-	// WentSilent is called when nothing arrives on the open connection although a
+	// ConnUnresponsive is called when nothing arrives on the open connection although a
 	// new connection works. Other old connections to the member may be unresponsive
 	// too.
-	WentSilent(id cwgroup.MemberID)
+	ConnUnresponsive(id cwgroup.MemberID)
 }
 
-// Feed keeps one control connection to a member open. The member sends its status on it
+// ControlConn keeps one control connection to a member open. The member sends its status on it
 // and receives control commands. Set the exported fields before Run.
-type Feed struct {
+type ControlConn struct {
 	Member  cwgroup.MemberID
 	Address string
 	Startup Startup
 	Clock   clockwork.Clock
-	Events  FeedEvents
+	Events  ControlEvents
 
 	mu sync.Mutex
 	// conn is nil while there is no connection.
@@ -70,22 +70,22 @@
 	done   chan struct{}
 }
 
-// NoFeedError reports a query that could not be sent or got no result.
-type NoFeedError struct {
+// ControlConnError reports a query that could not be sent or got no result.
+type ControlConnError struct {
 	Member cwgroup.MemberID
 	Cause  error
 }
 
-func (e *NoFeedError) Error() string {
+func (e *ControlConnError) Error() string {
 	return fmt.Sprintf("no control connection to %s: %v", e.Member, e.Cause)
 }
 
 // Unwrap returns the cause.
-func (e *NoFeedError) Unwrap() error { return e.Cause }
+func (e *ControlConnError) Unwrap() error { return e.Cause }
 
 const statusQuery = "SELECT * FROM group_status()"
 
-// notConnectedError is the cause of a NoFeedError if there is no connection.
+// notConnectedError is the cause of a ControlConnError if there is no connection.
 type notConnectedError struct{}
 
 func (notConnectedError) Error() string { return "not connected" }
@@ -93,7 +93,7 @@
 var errNotConnected = notConnectedError{}
 
 // Run keeps the feed connected until ctx ends.
-func (f *Feed) Run(ctx context.Context) error {
+func (f *ControlConn) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		conn, err := f.connect(ctx)
 		if err != nil {
@@ -108,13 +108,13 @@
 	return nil
 }
 
-func (f *Feed) connect(ctx context.Context) (*Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, FreshTimeout)
+func (f *ControlConn) connect(ctx context.Context) (*Conn, error) {
+	ctx, cancel := context.WithTimeout(ctx, ConnectTimeout)
 	defer cancel()
 	return Dial(ctx, f.Address, f.Startup)
 }
 
-func (f *Feed) sleep(ctx context.Context, d time.Duration) {
+func (f *ControlConn) sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-f.Clock.After(d):
 	case <-ctx.Done():
@@ -122,7 +122,7 @@
 }
 
 // serve uses one connection until it fails or becomes unresponsive.
-func (f *Feed) serve(ctx context.Context, conn *Conn) {
+func (f *ControlConn) serve(ctx context.Context, conn *Conn) {
 	f.mu.Lock()
 	f.conn, f.lastReceived, f.isPrimary = conn, f.Clock.Now(), true
 	f.mu.Unlock()
@@ -148,40 +148,40 @@
 }
 
 // failPending fails the pending queries after the connection has ended.
-func (f *Feed) failPending() {
+func (f *ControlConn) failPending() {
 	f.mu.Lock()
 	pending := f.pending
 	f.conn, f.pending = nil, nil
 	f.mu.Unlock()
 	for _, q := range pending {
-		q.err = &NoFeedError{Member: f.Member, Cause: errNotConnected}
+		q.err = &ControlConnError{Member: f.Member, Cause: errNotConnected}
 		close(q.done)
 	}
 }
 
 // send writes a query and appends q to the pending queries. The target answers queries
 // in order.
-func (f *Feed) send(query string, q *pendingQuery) {
+func (f *ControlConn) send(query string, q *pendingQuery) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.conn == nil {
-		q.err = &NoFeedError{Member: f.Member, Cause: errNotConnected}
+		q.err = &ControlConnError{Member: f.Member, Cause: errNotConnected}
 		close(q.done)
 		return
 	}
 	q.sentAt = f.Clock.Now()
 	f.pending = append(f.pending, q)
-	f.conn.Front.Send(&pgproto3.Query{String: query})
-	_ = f.conn.SetWriteDeadline(time.Now().Add(Silence))
+	f.conn.Frontend.Send(&pgproto3.Query{String: query})
+	_ = f.conn.SetWriteDeadline(time.Now().Add(ReceiveTimeout))
 	// After a failed write the read loop fails too and ends the connection.
-	_ = f.conn.Front.Flush()
+	_ = f.conn.Frontend.Flush()
 }
 
-func (f *Feed) probeLoop(ctx context.Context) {
+func (f *ControlConn) probeLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		f.sleep(ctx, ProbeInterval)
 		f.mu.Lock()
-		unresponsive, isPrimary := f.Clock.Since(f.lastReceived) > Silence, f.isPrimary
+		unresponsive, isPrimary := f.Clock.Since(f.lastReceived) > ReceiveTimeout, f.isPrimary
 		f.mu.Unlock()
 		if unresponsive && f.checkUnresponsive(ctx) {
 			return
@@ -194,7 +194,7 @@
 
 // probe sends a status query. The age of data can be computed only from its answer,
 // because the send time is known.
-func (f *Feed) probe() {
+func (f *ControlConn) probe() {
 	f.send(statusQuery, &pendingQuery{done: make(chan struct{})})
 }
 
@@ -205,7 +205,7 @@
 // A network device on the path can lose the state of an open connection. Messages on it
 // are then never answered, while new connections work. A timeout alone cannot
 // distinguish this from a failed member, but a new connection can.
-func (f *Feed) checkUnresponsive(ctx context.Context) bool {
+func (f *ControlConn) checkUnresponsive(ctx context.Context) bool {
 	conn, err := f.connect(ctx)
 	if ctx.Err() != nil {
 		return true
@@ -215,13 +215,13 @@
 		return true
 	}
 	_ = conn.Close()
-	f.Events.WentSilent(f.Member)
+	f.Events.ConnUnresponsive(f.Member)
 	return true
 }
 
-func (f *Feed) readLoop(conn *Conn) {
+func (f *ControlConn) readLoop(conn *Conn) {
 	for {
-		msg, err := conn.Front.Receive()
+		msg, err := conn.Frontend.Receive()
 		if err != nil {
 			return
 		}
@@ -246,7 +246,7 @@
 	}
 }
 
-func (f *Feed) currentQuery() *pendingQuery {
+func (f *ControlConn) currentQuery() *pendingQuery {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.pending) == 0 {
@@ -255,7 +255,7 @@
 	return f.pending[0]
 }
 
-func (f *Feed) completeQuery() {
+func (f *ControlConn) completeQuery() {
 	f.mu.Lock()
 	if len(f.pending) == 0 {
 		f.mu.Unlock()
@@ -271,7 +271,7 @@
 }
 
 // handleStatus parses a status and reports it. It ignores other texts.
-func (f *Feed) handleStatus(text string, asked time.Time) {
+func (f *ControlConn) handleStatus(text string, asked time.Time) {
 	r, err := ParseStatus(text)
 	if err != nil {
 		return
@@ -279,56 +279,56 @@
 	f.mu.Lock()
 	f.isPrimary = r.Role == cwgroup.RolePrimary
 	f.mu.Unlock()
-	f.Events.Reported(r, asked)
+	f.Events.StatusReceived(r, asked)
 }
 
-// Ask sends a query and returns the first column of its rows. It returns a *NoFeedError
+// Query sends a query and returns the first column of its rows. It returns a *ControlConnError
 // if there is no connection or ctx ends, and a *ServerError if the target refuses the
 // query.
-func (f *Feed) Ask(ctx context.Context, query string) ([]string, error) {
+func (f *ControlConn) Query(ctx context.Context, query string) ([]string, error) {
 	q := &pendingQuery{done: make(chan struct{})}
 	f.send(query, q)
 	select {
 	case <-q.done:
 	case <-ctx.Done():
-		return nil, &NoFeedError{Member: f.Member, Cause: ctx.Err()}
+		return nil, &ControlConnError{Member: f.Member, Cause: ctx.Err()}
 	}
 	return q.rows, q.err
 }
 
 // Status queries the member's status. The result was valid at some time after the call.
-func (f *Feed) Status(ctx context.Context) (Report, error) {
+func (f *ControlConn) Status(ctx context.Context) (Report, error) {
 	return f.control(ctx, statusQuery)
 }
 
 // Adopt tells the member to adopt term t for claim c, and returns its status.
-func (f *Feed) Adopt(ctx context.Context, t cwgroup.Term, c cwgroup.ClaimID) (Report, error) {
+func (f *ControlConn) Adopt(ctx context.Context, t cwgroup.Term, c cwgroup.ClaimID) (Report, error) {
 	return f.control(ctx, fmt.Sprintf("SELECT * FROM group_adopt(%d, '%s')", t, c))
 }
 
 // Promote tells the member to become the primary of term t, and returns its status.
-func (f *Feed) Promote(ctx context.Context, t cwgroup.Term, c cwgroup.ClaimID) (Report, error) {
+func (f *ControlConn) Promote(ctx context.Context, t cwgroup.Term, c cwgroup.ClaimID) (Report, error) {
 	return f.control(ctx, fmt.Sprintf("SELECT * FROM group_promote(%d, '%s')", t, c))
 }
 
 // Follow tells the member to replicate from the primary of term t, which is member id
 // at the address, and returns its status.
-func (f *Feed) Follow(ctx context.Context, t cwgroup.Term, c cwgroup.ClaimID, id cwgroup.MemberID, address string) (Report, error) {
+func (f *ControlConn) Follow(ctx context.Context, t cwgroup.Term, c cwgroup.ClaimID, id cwgroup.MemberID, address string) (Report, error) {
 	return f.control(ctx, fmt.Sprintf("SELECT * FROM group_follow(%d, '%s', '%s', '%s')", t, c, id, address))
 }
 
-// Activity returns the state of the session with a process id from the target's
+// SessionState returns the state of the session with a process id from the target's
 // pg_stat_activity, or the empty string if there is no such session.
-func (f *Feed) Activity(ctx context.Context, pid uint32) (string, error) {
-	rows, err := f.Ask(ctx, fmt.Sprintf("SELECT state FROM pg_stat_activity WHERE pid = %d", pid))
+func (f *ControlConn) SessionState(ctx context.Context, pid uint32) (string, error) {
+	rows, err := f.Query(ctx, fmt.Sprintf("SELECT state FROM pg_stat_activity WHERE pid = %d", pid))
 	if err != nil || len(rows) == 0 {
 		return "", err
 	}
 	return rows[0], nil
 }
 
-func (f *Feed) control(ctx context.Context, query string) (Report, error) {
-	rows, err := f.Ask(ctx, query)
+func (f *ControlConn) control(ctx context.Context, query string) (Report, error) {
+	rows, err := f.Query(ctx, query)
 	if err != nil {
 		return Report{}, err
 	}
