--- a/internal/proxy/cwnode/catalogue.go
+++ b/internal/proxy/cwnode/catalogue.go
@@ -103,7 +103,7 @@
 	case len(u.Document) > 0:
 		next, err = cwcodec.Decode(u.Document)
 	case u.Base == known.Revision:
-		next, err = cwcodec.Overlay(known, u.Changed, u.Revision)
+		next, err = cwcodec.ApplyParts(known, u.Changed, u.Revision)
 	default:
 		return false
 	}
@@ -127,7 +127,7 @@
 // recordChange appends the difference between old and next to changes. The caller holds
 // mu.
 func (n *Node) recordChange(old, next cwcatalogue.Catalogue) {
-	changed, err := cwcodec.Changed(old, next)
+	changed, err := cwcodec.ChangedParts(old, next)
 	if err != nil || old.Revision == 0 {
 		n.changes = nil
 		return
--- a/internal/wire/cwcodec/codec_test.go
+++ b/internal/wire/cwcodec/codec_test.go
@@ -25,9 +25,9 @@
 		back, err := Decode(again)
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, back, qt.DeepEquals, c)
-		parts, err := Parts(c)
+		parts, err := SplitParts(c)
 		qt.Assert(t, err, qt.IsNil)
-		joined, err := Join(parts)
+		joined, err := JoinParts(parts)
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, joined.Entries, qt.DeepEquals, c.Entries)
 	}
@@ -106,7 +106,7 @@
 		c := sampleCatalogue(n)
 		text, err := Encode(c)
 		qt.Assert(b, err, qt.IsNil)
-		parts, err := Parts(c)
+		parts, err := SplitParts(c)
 		qt.Assert(b, err, qt.IsNil)
 		b.Run(fmt.Sprintf("encode/%d", n), func(b *testing.B) {
 			for range b.N {
@@ -123,7 +123,7 @@
 		})
 		b.Run(fmt.Sprintf("join/%d", n), func(b *testing.B) {
 			for range b.N {
-				_, _ = Join(parts)
+				_, _ = JoinParts(parts)
 			}
 		})
 	}
--- a/internal/wire/cwcodec/document.go
+++ b/internal/wire/cwcodec/document.go
@@ -201,23 +201,23 @@
 	return e
 }
 
-// Parts splits a catalogue into the values of the rows in which it is stored, by name:
+// SplitParts splits a catalogue into the values of the rows in which it is stored, by name:
 // one part for data centres and links, one for planned stops, and one for each entry.
-func Parts(c cwcatalogue.Catalogue) (map[string][]byte, error) {
+func SplitParts(c cwcatalogue.Catalogue) (map[string][]byte, error) {
 	parts := make(map[string][]byte, len(c.Entries)+2)
 	add := func(name string, part cwcatalogue.Catalogue) error {
 		text, err := encodePart(part)
 		parts[name] = text
 		return err
 	}
-	if err := add(PartPlaces, cwcatalogue.Catalogue{DataCentres: c.DataCentres, Links: c.Links}); err != nil {
+	if err := add(PartDataCentres, cwcatalogue.Catalogue{DataCentres: c.DataCentres, Links: c.Links}); err != nil {
 		return nil, err
 	}
 	if err := add(PartStops, cwcatalogue.Catalogue{PlannedStops: c.PlannedStops}); err != nil {
 		return nil, err
 	}
 	for _, e := range c.Entries {
-		if err := add(PartEntry+e.Service, cwcatalogue.Catalogue{Entries: []cwcatalogue.Entry{e}}); err != nil {
+		if err := add(PartEntryPrefix+e.Service, cwcatalogue.Catalogue{Entries: []cwcatalogue.Entry{e}}); err != nil {
 			return nil, err
 		}
 	}
@@ -226,12 +226,12 @@
 
 // Names of the parts of a catalogue.
 const (
-	// PartPlaces is the part with data centres and links.
-	PartPlaces = "places"
+	// PartDataCentres is the part with data centres and links.
+	PartDataCentres = "places"
 	// PartStops is the part with planned stops.
 	PartStops = "stops"
-	// PartEntry is the prefix of the part of an entry. The service's name follows.
-	PartEntry = "entry/"
+	// PartEntryPrefix is the prefix of the part of an entry. The service's name follows.
+	PartEntryPrefix = "entry/"
 )
 
 // partBody is the JSON form of a part. Empty lists are omitted.
@@ -247,9 +247,9 @@
 	return json.Marshal(partBody{DataCentres: d.DataCentres, Links: d.Links, Entries: d.Entries, Stops: d.Stops})
 }
 
-// Join builds a catalogue from its parts. The empty part of a removed entry adds
+// JoinParts builds a catalogue from its parts. The empty part of a removed entry adds
 // nothing. Errors are of type *PartError. The revision is not set.
-func Join(parts map[string][]byte) (cwcatalogue.Catalogue, error) {
+func JoinParts(parts map[string][]byte) (cwcatalogue.Catalogue, error) {
 	var d documentBody
 	for _, name := range slices.Sorted(maps.Keys(parts)) {
 		var p partBody
@@ -275,14 +275,14 @@
 // Unwrap returns the cause.
 func (e *PartError) Unwrap() error { return e.Cause }
 
-// Changed returns the parts of next that differ from those of known. A part that is
+// ChangedParts returns the parts of next that differ from those of known. A part that is
 // missing from next is returned as an empty JSON object.
-func Changed(known, next cwcatalogue.Catalogue) (map[string][]byte, error) {
-	before, err := Parts(known)
+func ChangedParts(known, next cwcatalogue.Catalogue) (map[string][]byte, error) {
+	before, err := SplitParts(known)
 	if err != nil {
 		return nil, err
 	}
-	after, err := Parts(next)
+	after, err := SplitParts(next)
 	if err != nil {
 		return nil, err
 	}
@@ -295,15 +295,15 @@
 	return after, nil
 }
 
-// Overlay applies changed parts to a known catalogue, and returns the result as revision
+// ApplyParts applies changed parts to a known catalogue, and returns the result as revision
 // rev. If it fails it returns the known catalogue and a *PartError.
-func Overlay(known cwcatalogue.Catalogue, changed map[string][]byte, rev cwcatalogue.Revision) (cwcatalogue.Catalogue, error) {
-	parts, err := Parts(known)
+func ApplyParts(known cwcatalogue.Catalogue, changed map[string][]byte, rev cwcatalogue.Revision) (cwcatalogue.Catalogue, error) {
+	parts, err := SplitParts(known)
 	if err != nil {
 		return known, err
 	}
 	maps.Copy(parts, changed)
-	c, err := Join(parts)
+	c, err := JoinParts(parts)
 	if err != nil {
 		return known, err
 	}
--- a/internal/wire/cwstore/store.go
+++ b/internal/wire/cwstore/store.go
@@ -166,7 +166,7 @@
 		for _, r := range rows {
 			parts[strings.TrimPrefix(r.Key, keyParts)] = r.Value
 		}
-		c, err := cwcodec.Join(parts)
+		c, err := cwcodec.JoinParts(parts)
 		return c.WithRevision(after), err
 	}
 }
@@ -192,7 +192,7 @@
 			changed[name] = value
 		}
 	}
-	return cwcodec.Overlay(known, changed, rev)
+	return cwcodec.ApplyParts(known, changed, rev)
 }
 
 func auditKey(r cwcatalogue.Revision) string { return fmt.Sprintf("%s%012d", keyAudit, r) }
@@ -296,7 +296,7 @@
 			}
 		}
 	}
-	c, err := cwcodec.Join(parts)
+	c, err := cwcodec.JoinParts(parts)
 	return c.WithRevision(r), err
 }
 
@@ -308,11 +308,11 @@
 }
 
 func (s Store) buildCommit(current, next cwcatalogue.Catalogue, tag string, c *Change) (cwplatform.Change, error) {
-	before, err := cwcodec.Parts(current)
+	before, err := cwcodec.SplitParts(current)
 	if err != nil {
 		return cwplatform.Change{}, err
 	}
-	changed, err := cwcodec.Changed(current, next)
+	changed, err := cwcodec.ChangedParts(current, next)
 	if err != nil {
 		return cwplatform.Change{}, err
 	}
