--- a/internal/proxy/cwnode/audit.go
+++ b/internal/proxy/cwnode/audit.go
@@ -24,17 +24,17 @@
 type auditRecorder struct {
 	store cwstore.Store
 	cfg   Config
-	acts  chan cwstore.Act
+	acts  chan cwstore.Action
 }
 
 func newAuditRecorder(store cwstore.Store, cfg Config) *auditRecorder {
-	return &auditRecorder{store: store, cfg: cfg, acts: make(chan cwstore.Act, maxQueuedActs)}
+	return &auditRecorder{store: store, cfg: cfg, acts: make(chan cwstore.Action, maxQueuedActs)}
 }
 
 // Record implements cwwatch.Journal. It never blocks; if the queue is full, it drops
 // and logs the oldest action.
 func (j *auditRecorder) Record(kind, subject, before, after string) {
-	a := cwstore.Act{
+	a := cwstore.Action{
 		Who: "proxy " + j.cfg.Instance, At: j.cfg.Clock.Now().UTC(),
 		Kind: kind, Subject: subject, Before: before, After: after,
 	}
@@ -66,9 +66,9 @@
 
 // write writes an action and retries until that succeeds or ctx ends. The id makes the
 // retries idempotent.
-func (j *auditRecorder) write(ctx context.Context, id string, a cwstore.Act) {
+func (j *auditRecorder) write(ctx context.Context, id string, a cwstore.Action) {
 	for ctx.Err() == nil {
-		if j.store.Record(ctx, id, a) == nil {
+		if j.store.RecordAction(ctx, id, a) == nil {
 			return
 		}
 		select {
--- a/internal/proxy/cwnode/failure_test.go
+++ b/internal/proxy/cwnode/failure_test.go
@@ -106,9 +106,9 @@
 	t.Parallel()
 	c, b := newTestCluster(t, cwdemo.Options{})
 	b.Databases[0].Stop()
-	var acts []cwstore.Act
+	var acts []cwstore.Action
 	waitFor(c, "an entry in the audit trail", func() bool {
-		acts, _ = b.store().Acts(background)
+		acts, _ = b.store().Actions(background)
 		return len(acts) > 0
 	})
 	c.Assert(acts[0].Kind, qt.Equals, "primaryChanged")
--- a/internal/proxy/cwnode/operator_test.go
+++ b/internal/proxy/cwnode/operator_test.go
@@ -128,7 +128,7 @@
 				return n
 			}
 			c.Check(busy(), qt.Equals, 0)
-			acts, err := b.store().Acts(background)
+			acts, err := b.store().Actions(background)
 			c.Assert(err, qt.IsNil)
 			drained := 0
 			for _, a := range acts {
--- a/internal/tool/cwcommand/catalogue.go
+++ b/internal/tool/cwcommand/catalogue.go
@@ -105,7 +105,7 @@
 		return err
 	}
 	if revision != 0 {
-		old, err := store.At(ctx, revision)
+		old, err := store.LoadRevision(ctx, revision)
 		if err != nil {
 			return &ExitError{Code: ExitUsage, Err: err}
 		}
@@ -258,7 +258,7 @@
 	if err != nil {
 		return err
 	}
-	acts, err := store.Acts(ctx)
+	acts, err := store.Actions(ctx)
 	if err != nil {
 		return err
 	}
--- a/internal/wire/cwstore/audit.go
+++ b/internal/wire/cwstore/audit.go
@@ -27,9 +27,9 @@
 	return out, nil
 }
 
-// Record records an automatic action of a proxy. The id must be unique. Recording the
+// RecordAction records an automatic action of a proxy. The id must be unique. Recording the
 // same action again has no further effect.
-func (s Store) Record(ctx context.Context, id string, a Act) error {
+func (s Store) RecordAction(ctx context.Context, id string, a Action) error {
 	value, err := json.Marshal(actBody(a))
 	if err != nil {
 		return err
@@ -39,20 +39,20 @@
 	return err
 }
 
-// Acts returns the automatic actions of all proxies, oldest first.
-func (s Store) Acts(ctx context.Context) ([]Act, error) {
+// Actions returns the automatic actions of all proxies, oldest first.
+func (s Store) Actions(ctx context.Context) ([]Action, error) {
 	rows, err := s.Table.List(ctx, keyActs)
 	if err != nil {
 		return nil, err
 	}
-	out := make([]Act, 0, len(rows))
+	out := make([]Action, 0, len(rows))
 	for _, r := range rows {
 		var b actBody
 		if err := json.Unmarshal(r.Value, &b); err != nil {
 			return nil, &cwcodec.PartError{Part: r.Key, Cause: err}
 		}
-		out = append(out, Act(b))
+		out = append(out, Action(b))
 	}
-	slices.SortStableFunc(out, func(a, b Act) int { return a.At.Compare(b.At) })
+	slices.SortStableFunc(out, func(a, b Action) int { return a.At.Compare(b.At) })
 	return out, nil
 }
--- a/internal/wire/cwstore/store.go
+++ b/internal/wire/cwstore/store.go
@@ -48,8 +48,8 @@
 	Before, After map[string]json.RawMessage
 }
 
-// Act is an automatic action of a proxy, as recorded next to the audit trail.
-type Act struct {
+// Action is an automatic action of a proxy, as recorded next to the audit trail.
+type Action struct {
 	Who           string
 	At            time.Time
 	Kind, Subject string
@@ -74,19 +74,19 @@
 	return b.String()
 }
 
-// UndecidedError reports that it is unknown whether a change was accepted, because the
+// UnknownOutcomeError reports that it is unknown whether a change was accepted, because the
 // response of the platform was lost and the audit trail could not settle it.
-type UndecidedError struct {
+type UnknownOutcomeError struct {
 	ID    string
 	Cause error
 }
 
-func (e *UndecidedError) Error() string {
+func (e *UnknownOutcomeError) Error() string {
 	return fmt.Sprintf("it is not known whether the change was accepted (%v); look for change %s with 'catalogue history' before trying again", e.Cause, e.ID)
 }
 
 // Unwrap returns the cause.
-func (e *UndecidedError) Unwrap() error { return e.Cause }
+func (e *UnknownOutcomeError) Unwrap() error { return e.Cause }
 
 // Store stores the catalogue in a table, and a copy of each revision in the object
 // store.
@@ -218,7 +218,7 @@
 
 // Apply replaces the catalogue by next if the current revision is still that of next,
 // and returns the new revision. It returns a *ConflictError if the catalogue has
-// changed, and an *UndecidedError if it is unknown whether the change was accepted.
+// changed, and an *UnknownOutcomeError if it is unknown whether the change was accepted.
 // After any other error nothing was changed.
 func (s Store) Apply(ctx context.Context, next cwcatalogue.Catalogue, c Change) (cwcatalogue.Revision, error) {
 	base := next.Revision
@@ -273,9 +273,9 @@
 	}
 }
 
-// At returns the catalogue of an earlier revision, from its copy or else rebuilt from
+// LoadRevision returns the catalogue of an earlier revision, from its copy or else rebuilt from
 // the audit trail. It returns a *RevisionError if there was no such revision.
-func (s Store) At(ctx context.Context, r cwcatalogue.Revision) (cwcatalogue.Catalogue, error) {
+func (s Store) LoadRevision(ctx context.Context, r cwcatalogue.Revision) (cwcatalogue.Catalogue, error) {
 	if s.Objects != nil {
 		if text, err := s.Objects.GetObject(ctx, copyKey(r)); err == nil {
 			return cwcodec.Decode(text)
@@ -355,9 +355,9 @@
 		return 0, s.conflictError(ctx, c.Revision-1, got.Revision)
 	case errors.As(err, &absent):
 		// The request may still arrive at the table.
-		return 0, &UndecidedError{ID: c.ID, Cause: lost}
+		return 0, &UnknownOutcomeError{ID: c.ID, Cause: lost}
 	}
-	return 0, &UndecidedError{ID: c.ID, Cause: err}
+	return 0, &UnknownOutcomeError{ID: c.ID, Cause: err}
 }
 
 func (s Store) conflictError(ctx context.Context, base, current cwcatalogue.Revision) error {
--- a/internal/wire/cwstore/store_test.go
+++ b/internal/wire/cwstore/store_test.go
@@ -112,11 +112,11 @@
 		qt.Assert(t, c.Entries, qt.HasLen, 1)
 	})
 	t.Run("an earlier revision", func(t *testing.T) {
-		c, err := s.At(background, 2)
+		c, err := s.LoadRevision(background, 2)
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, c.Entries, qt.HasLen, 2)
 		qt.Assert(t, c.Revision, qt.Equals, cwcatalogue.Revision(2))
-		_, err = s.At(background, 9)
+		_, err = s.LoadRevision(background, 9)
 		var re *RevisionError
 		qt.Assert(t, err, qt.ErrorAs, &re)
 	})
@@ -130,7 +130,7 @@
 
 // Guards against lost updates. Two operators change the same revision: the second
 // change must be refused, and its error must name the author of the first.
-func TestConflictNamesTheOther(t *testing.T) {
+func TestConflictShowsOtherChange(t *testing.T) {
 	s := Store{Table: newFakeTable()}
 	_, err := s.Apply(background, cwcatalogue.Catalogue{}.WithEntry(sampleEntry("a")), sampleChange("maria"))
 	qt.Assert(t, err, qt.IsNil)
@@ -143,7 +143,7 @@
 // Guards against repeating a change after the table's response was lost. The repeated
 // change would conflict with itself or be made twice. The change must be looked up by
 // its id, and reported as undecided if it is not found.
-func TestLostAnswers(t *testing.T) {
+func TestChangeWithLostResponse(t *testing.T) {
 	table := newFakeTable()
 	s := Store{Table: table}
 	table.loseAfter = true
@@ -155,7 +155,7 @@
 	qt.Assert(t, err, qt.IsNil)
 	table.loseBefore = true
 	_, err = s.Apply(background, known.WithEntry(sampleEntry("b")), sampleChange("ana"))
-	var undecided *UndecidedError
+	var undecided *UnknownOutcomeError
 	qt.Assert(t, err, qt.ErrorAs, &undecided)
 	qt.Assert(t, table.writes, qt.Equals, 1)
 }
