--- a/internal/proxy/cwnode/peers.go
+++ b/internal/proxy/cwnode/peers.go
@@ -100,7 +100,7 @@
 func (n *Node) loopHeartbeat(ctx context.Context) error {
 	for ctx.Err() == nil {
 		n.sendHeartbeats(ctx)
-		n.sleep(ctx, cwpeer.Interval)
+		n.sleep(ctx, cwpeer.HeartbeatInterval)
 	}
 	return nil
 }
@@ -156,13 +156,13 @@
 	n.mu.Unlock()
 }
 
-// Cancel implements cwpeer.Handler.
-func (n *Node) Cancel(pid uint32, secret []byte) { n.server.CancelSession(pid, secret) }
+// CancelLocal implements cwpeer.Handler.
+func (n *Node) CancelLocal(pid uint32, secret []byte) { n.server.CancelSession(pid, secret) }
 
-// Admits implements cwpeer.Handler. Only instances in the platform's list may send
+// Allowed implements cwpeer.Handler. Only instances in the platform's list may send
 // messages to this proxy. Until the list was read, any instance may, so that proxies
 // that start while the platform is unavailable can exchange the catalogue.
-func (n *Node) Admits(id cwfailover.InstanceID) bool {
+func (n *Node) Allowed(id cwfailover.InstanceID) bool {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
 	if !n.instancesListed {
--- a/internal/wire/cwpeer/peer.go
+++ b/internal/wire/cwpeer/peer.go
@@ -33,9 +33,9 @@
 
 // Intervals, timeouts and limits of the protocol.
 const (
-	// Interval is the time between heartbeats. A new vote or revision is sent
+	// HeartbeatInterval is the time between heartbeats. A new vote or revision is sent
 	// immediately.
-	Interval = time.Second
+	HeartbeatInterval = time.Second
 	// dialTimeout limits the time to connect to a partner.
 	dialTimeout = 500 * time.Millisecond
 	// callTimeout limits the time of one call. After a timeout the next call opens
@@ -61,11 +61,11 @@
 	// CatalogueSince returns the changes after a revision, or the whole catalogue
 	// if there are too many.
 	CatalogueSince(r cwcatalogue.Revision) (Update, error)
-	// Cancel cancels the running statement of the session with this process id and
+	// CancelLocal cancels the running statement of the session with this process id and
 	// secret, if this proxy has that session.
-	Cancel(pid uint32, secret []byte)
-	// Admits reports whether this proxy accepts messages from an instance.
-	Admits(id cwfailover.InstanceID) bool
+	CancelLocal(pid uint32, secret []byte)
+	// Allowed reports whether this proxy accepts messages from an instance.
+	Allowed(id cwfailover.InstanceID) bool
 }
 
 // Update updates a catalogue to a revision. It holds the parts that changed since Base,
@@ -165,7 +165,7 @@
 }
 
 // idleTimeout closes a connection on which the partner sends nothing.
-const idleTimeout = 20 * Interval
+const idleTimeout = 20 * HeartbeatInterval
 
 func (s *Server) handle(_ context.Context, _ *jsonrpc2.Conn, req *jsonrpc2.Request) (any, error) {
 	if req.Params == nil || len(*req.Params) > maxMessage {
@@ -177,7 +177,7 @@
 	if err := json.Unmarshal(*req.Params, &who); err != nil {
 		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeInvalidParams, Message: err.Error()}
 	}
-	if !s.Handler.Admits(cwfailover.InstanceID(who.Instance)) {
+	if !s.Handler.Allowed(cwfailover.InstanceID(who.Instance)) {
 		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeInvalidRequest, Message: "this instance is not in the platform's list"}
 	}
 	switch req.Method {
@@ -203,7 +203,7 @@
 		if err := json.Unmarshal(*req.Params, &b); err != nil {
 			return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeInvalidParams, Message: err.Error()}
 		}
-		s.Handler.Cancel(b.PID, b.Secret)
+		s.Handler.CancelLocal(b.PID, b.Secret)
 		return struct{}{}, nil
 	}
 	return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: req.Method}
--- a/internal/wire/cwpeer/peer_test.go
+++ b/internal/wire/cwpeer/peer_test.go
@@ -31,13 +31,13 @@
 	return Update{Base: since, Revision: since + 1, Changed: map[string][]byte{"stops": []byte("{}")}}, nil
 }
 
-func (r *recorder) Cancel(pid uint32, _ []byte) {
+func (r *recorder) CancelLocal(pid uint32, _ []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.pid = pid
 }
 
-func (r *recorder) Admits(id cwfailover.InstanceID) bool { return id == "entry-1" }
+func (r *recorder) Allowed(id cwfailover.InstanceID) bool { return id == "entry-1" }
 
 // received returns the heartbeats and the process id of the last cancel request.
 func (r *recorder) received() ([]Heartbeat, uint32) {
@@ -103,7 +103,7 @@
 // platform's list. The open connection between two proxies becomes unresponsive for
 // good while new ones work. A call without an answer must close the connection, and the
 // next call must open a new one.
-func TestSilentConnectionIsReplaced(t *testing.T) {
+func TestUnresponsiveConnectionIsReplaced(t *testing.T) {
 	c := qt.New(t)
 	rec, addr := serve(c)
 	l, err := cwlink.Start("127.0.0.1:0", addr)
