--- a/internal/proxy/cwclaim/claim.go
+++ b/internal/proxy/cwclaim/claim.go
@@ -158,8 +158,8 @@
 	}
 	key := KeyPrefix + c.Group
 	err = c.Table.Commit(ctx, cwplatform.Change{
-		Expect: []cwplatform.Expect{{Key: key, ETag: tag}},
-		Put:    []cwplatform.Put{{Key: key, Value: value}},
+		Expect: []cwplatform.Condition{{Key: key, ETag: tag}},
+		Put:    []cwplatform.RowWrite{{Key: key, Value: value}},
 	})
 	var conflict *cwplatform.ConflictError
 	var unknown *cwplatform.UnknownError
--- a/internal/proxy/cwmembers/members.go
+++ b/internal/proxy/cwmembers/members.go
@@ -254,8 +254,8 @@
 	defer cancel()
 	key := KeyPrefix + service
 	err = r.Table.Commit(ctx, cwplatform.Change{
-		Expect: []cwplatform.Expect{{Key: key, ETag: tag}},
-		Put:    []cwplatform.Put{{Key: key, Value: value}},
+		Expect: []cwplatform.Condition{{Key: key, ETag: tag}},
+		Put:    []cwplatform.RowWrite{{Key: key, Value: value}},
 	})
 	if errors.As(err, new(*cwplatform.ConflictError)) {
 		return
--- a/internal/proxy/cwnode/node.go
+++ b/internal/proxy/cwnode/node.go
@@ -301,7 +301,7 @@
 	n.instances, n.instancesListed = list, true
 	live := []string{}
 	for _, i := range list {
-		if i.State == cwplatform.Live {
+		if i.State == cwplatform.InstanceLive {
 			live = append(live, i.ID)
 		}
 	}
--- a/internal/proxy/cwpeers/rows.go
+++ b/internal/proxy/cwpeers/rows.go
@@ -239,8 +239,8 @@
 	defer cancel()
 	key := InstanceKey(p.Self)
 	err = p.Table.Commit(ctx, cwplatform.Change{
-		Expect: []cwplatform.Expect{{Key: key, ETag: etag}},
-		Put:    []cwplatform.Put{{Key: key, Value: value}},
+		Expect: []cwplatform.Condition{{Key: key, ETag: etag}},
+		Put:    []cwplatform.RowWrite{{Key: key, Value: value}},
 	})
 	if err != nil {
 		p.Log.Warn("notRegistered", "cause", err)
--- a/internal/standin/cwtable/table_test.go
+++ b/internal/standin/cwtable/table_test.go
@@ -36,8 +36,8 @@
 	ctx := context.Background()
 	put := func(tag, value string) error {
 		return client.Commit(ctx, cwplatform.Change{
-			Expect: []cwplatform.Expect{{Key: "a/b", ETag: tag}},
-			Put:    []cwplatform.Put{{Key: "a/b", Value: []byte(value)}, {Key: "a/c", Value: []byte(value)}},
+			Expect: []cwplatform.Condition{{Key: "a/b", ETag: tag}},
+			Put:    []cwplatform.RowWrite{{Key: "a/b", Value: []byte(value)}, {Key: "a/c", Value: []byte(value)}},
 		})
 	}
 	c.Assert(put("", "1"), qt.IsNil)
@@ -81,7 +81,7 @@
 	list, err := client.Instances(ctx)
 	c.Assert(err, qt.IsNil)
 	c.Assert(list, qt.HasLen, 2)
-	c.Assert(list[1].State, qt.Equals, cwplatform.Leaving)
+	c.Assert(list[1].State, qt.Equals, cwplatform.InstanceLeaving)
 }
 
 func TestObjectsAreWrittenOnce(t *testing.T) {
--- a/internal/tool/cwdemo/cluster.go
+++ b/internal/tool/cwdemo/cluster.go
@@ -245,7 +245,7 @@
 			ID:         fmt.Sprintf("entry-%d", i+1),
 			DataCentre: dataCentres[i%len(dataCentres)],
 			Peer:       p.PeerAddr(),
-			State:      string(cwplatform.Live),
+			State:      string(cwplatform.InstanceLive),
 		})
 	}
 	b.Platform.SetInstances(list)
--- a/internal/wire/cwplatform/platform.go
+++ b/internal/wire/cwplatform/platform.go
@@ -25,15 +25,15 @@
 	ETag string
 }
 
-// Expect is a condition of a change: the row has this entity tag, or does not exist if
+// Condition is a condition of a change: the row has this entity tag, or does not exist if
 // the tag is empty.
-type Expect struct {
+type Condition struct {
 	Key  string
 	ETag string
 }
 
-// Put writes a row.
-type Put struct {
+// RowWrite writes a row.
+type RowWrite struct {
 	Key   string
 	Value []byte
 }
@@ -41,8 +41,8 @@
 // Change is a conditional transaction. All writes take effect if all conditions hold,
 // and otherwise none of them.
 type Change struct {
-	Expect []Expect
-	Put    []Put
+	Expect []Condition
+	Put    []RowWrite
 }
 
 // Table is the platform's transactional table.
@@ -74,8 +74,8 @@
 
 // The states of an instance.
 const (
-	Live    InstanceState = "live"
-	Leaving InstanceState = "leaving"
+	InstanceLive    InstanceState = "live"
+	InstanceLeaving InstanceState = "leaving"
 )
 
 // Instance is an entry of the platform's list of instances.
--- a/internal/wire/cwstore/audit.go
+++ b/internal/wire/cwstore/audit.go
@@ -35,7 +35,7 @@
 		return err
 	}
 	key := fmt.Sprintf("%s%020d-%s", keyActs, a.At.UnixNano(), id)
-	err = s.Table.Commit(ctx, cwplatform.Change{Put: []cwplatform.Put{{Key: key, Value: value}}})
+	err = s.Table.Commit(ctx, cwplatform.Change{Put: []cwplatform.RowWrite{{Key: key, Value: value}}})
 	return err
 }
 
--- a/internal/wire/cwstore/store.go
+++ b/internal/wire/cwstore/store.go
@@ -316,7 +316,7 @@
 	if err != nil {
 		return cwplatform.Change{}, err
 	}
-	ch := cwplatform.Change{Expect: []cwplatform.Expect{{Key: keyRevision, ETag: tag}}}
+	ch := cwplatform.Change{Expect: []cwplatform.Condition{{Key: keyRevision, ETag: tag}}}
 	b := changeBody{
 		Revision: uint64(c.Revision), ID: c.ID, Who: c.Who, At: c.At, Note: c.Note, Summary: c.Summary,
 		Before: make(map[string]json.RawMessage), After: make(map[string]json.RawMessage),
@@ -326,7 +326,7 @@
 		if old, ok := before[name]; ok {
 			b.Before[name] = old
 		}
-		ch.Put = append(ch.Put, cwplatform.Put{Key: keyParts + name, Value: value})
+		ch.Put = append(ch.Put, cwplatform.RowWrite{Key: keyParts + name, Value: value})
 	}
 	audit, err := json.Marshal(b)
 	if err != nil {
@@ -337,8 +337,8 @@
 		return cwplatform.Change{}, err
 	}
 	ch.Put = append(ch.Put,
-		cwplatform.Put{Key: auditKey(c.Revision), Value: audit},
-		cwplatform.Put{Key: keyRevision, Value: revision})
+		cwplatform.RowWrite{Key: auditKey(c.Revision), Value: audit},
+		cwplatform.RowWrite{Key: keyRevision, Value: revision})
 	return ch, nil
 }
 
