--- a/internal/proxy/cwfront/server.go
+++ b/internal/proxy/cwfront/server.go
@@ -151,9 +151,9 @@
 // waiting for the sessions to end; see Drain.
 func (srv *Server) Run(ctx context.Context, ln net.Listener) error {
 	srv.listener = &cwlisten.Listener{
-		Listener: ln,
-		Handle:   func(_ context.Context, conn net.Conn) { srv.serve(conn) },
-		Failed:   func(err error) { srv.Log.Warn("acceptFailed", "error", err) },
+		Listener:     ln,
+		Handle:       func(_ context.Context, conn net.Conn) { srv.serve(conn) },
+		AcceptFailed: func(err error) { srv.Log.Warn("acceptFailed", "error", err) },
 	}
 	return srv.listener.Run(ctx)
 }
--- a/internal/wire/cwhandover/conn.go
+++ b/internal/wire/cwhandover/conn.go
@@ -55,7 +55,7 @@
 }
 
 func (s *Server) serve(ctx context.Context, conn net.Conn) {
-	bounded := &cwlisten.Bounded{Conn: conn, MaxMessage: maxMessage, Idle: idleTimeout}
+	bounded := &cwlisten.LimitedConn{Conn: conn, MaxMessage: maxMessage, IdleTimeout: idleTimeout}
 	defer s.Handler.ConnectionClosed(bounded)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/wire/cwlisten/bounded.go
+++ b/internal/wire/cwlisten/bounded.go
@@ -6,31 +6,31 @@
 	"time"
 )
 
-// Bounded is a connection with an idle timeout and a size limit for messages. Reads fail
+// LimitedConn is a connection with an idle timeout and a size limit for messages. Reads fail
 // if the client sends nothing for too long, or sends more than MaxMessage bytes without
 // an answer in between. Every request has an answer, so a client never needs to send
 // more. Set MaxMessage and Idle before use.
-type Bounded struct {
+type LimitedConn struct {
 	net.Conn
 	// MaxMessage is the largest message, in bytes.
 	MaxMessage int64
-	// Idle is the timeout of a read.
-	Idle time.Duration
+	// IdleTimeout is the timeout of a read.
+	IdleTimeout time.Duration
 	// unanswered is the number of bytes read since the last write.
 	unanswered atomic.Int64
 }
 
-// TooLongError reports that the other side has exceeded Bounded.MaxMessage.
-type TooLongError struct{}
+// MessageTooLongError reports that the other side has exceeded Bounded.MaxMessage.
+type MessageTooLongError struct{}
 
-func (*TooLongError) Error() string { return "message is too long" }
+func (*MessageTooLongError) Error() string { return "message is too long" }
 
-// Read implements net.Conn. It returns a *TooLongError if the message is too long.
-func (c *Bounded) Read(b []byte) (int, error) {
+// Read implements net.Conn. It returns a *MessageTooLongError if the message is too long.
+func (c *LimitedConn) Read(b []byte) (int, error) {
 	if c.unanswered.Load() > c.MaxMessage {
-		return 0, &TooLongError{}
+		return 0, &MessageTooLongError{}
 	}
-	if err := c.SetReadDeadline(time.Now().Add(c.Idle)); err != nil {
+	if err := c.SetReadDeadline(time.Now().Add(c.IdleTimeout)); err != nil {
 		return 0, err
 	}
 	n, err := c.Conn.Read(b)
@@ -39,7 +39,7 @@
 }
 
 // Write implements net.Conn.
-func (c *Bounded) Write(b []byte) (int, error) {
+func (c *LimitedConn) Write(b []byte) (int, error) {
 	c.unanswered.Store(0)
 	return c.Conn.Write(b)
 }
--- a/internal/wire/cwlisten/listen.go
+++ b/internal/wire/cwlisten/listen.go
@@ -20,9 +20,9 @@
 	net.Listener
 	// Handle handles a connection. It must close it.
 	Handle func(ctx context.Context, conn net.Conn)
-	// Failed, if set, is called with the error when a connection could not be
+	// AcceptFailed, if set, is called with the error when a connection could not be
 	// accepted.
-	Failed func(error)
+	AcceptFailed func(error)
 
 	connections sync.WaitGroup
 }
@@ -38,8 +38,8 @@
 			if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 				return nil
 			}
-			if l.Failed != nil {
-				l.Failed(err)
+			if l.AcceptFailed != nil {
+				l.AcceptFailed(err)
 			}
 			time.Sleep(acceptRetryDelay)
 			continue
--- a/internal/wire/cwpeer/peer.go
+++ b/internal/wire/cwpeer/peer.go
@@ -154,7 +154,7 @@
 }
 
 func (s *Server) serve(ctx context.Context, conn net.Conn) {
-	limited := &cwlisten.Bounded{Conn: conn, MaxMessage: maxMessage, Idle: idleTimeout}
+	limited := &cwlisten.LimitedConn{Conn: conn, MaxMessage: maxMessage, IdleTimeout: idleTimeout}
 	rpc := jsonrpc2.NewConn(ctx, jsonrpc2.NewBufferedStream(limited, jsonrpc2.VSCodeObjectCodec{}),
 		jsonrpc2.HandlerWithError(s.handle))
 	defer rpc.Close()
