--- a/internal/proxy/cwdirectory/serve.go
+++ b/internal/proxy/cwdirectory/serve.go
@@ -96,10 +96,10 @@
 
 // packedRow returns a row as it is sent to other instances: compressed if it is large.
 func (d *Directory) packedRow(r cwport.Row) cwport.Row {
-	if len(r.Value) < cwpack.Above {
+	if len(r.Value) < cwpack.MinSize {
 		return r
 	}
-	packed, err := cwpack.Pack(r.Value)
+	packed, err := cwpack.Compress(r.Value)
 	if err != nil {
 		d.Log.Error("rowNotPacked", "key", r.Key, "cause", err)
 		return r
@@ -116,7 +116,7 @@
 // text, and the root of a data centre encoded a message for each of sixteen followers at
 // once, the busiest of 302 instances would take 168 MB, more than they have.
 func (d *Directory) rowForHistory(r cwport.Row, compress bool) cwport.Row {
-	if len(r.Value) < cwpack.Above {
+	if len(r.Value) < cwpack.MinSize {
 		return r
 	}
 	if len(r.Packed) > 0 {
--- a/internal/wire/cwhandover/handover_test.go
+++ b/internal/wire/cwhandover/handover_test.go
@@ -94,7 +94,7 @@
 	})
 	t.Run("a packed row", func(t *testing.T) {
 		value := bytes.Repeat([]byte("route "), 10_000)
-		packed, err := cwpack.Pack(value)
+		packed, err := cwpack.Compress(value)
 		qt.Assert(t, err, qt.IsNil)
 		n := exampleNews()
 		n.Topics[cwport.TopicDesired].Rows = []cwport.Row{{Key: "config", Version: 7, Packed: packed}}
--- a/internal/wire/cwpack/pack.go
+++ b/internal/wire/cwpack/pack.go
@@ -8,9 +8,9 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// Above is the size in bytes from which values are compressed. It is the size of a
+// MinSize is the size in bytes from which values are compressed. It is the size of a
 // desired state of 100 routes. Smaller values fit into a few packets uncompressed.
-const Above = 16 << 10
+const MinSize = 16 << 10
 
 // maxUnpackedSize is the largest uncompressed size that Unpack accepts, in bytes.
 const maxUnpackedSize = 64 << 20
@@ -34,8 +34,8 @@
 	return zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(maxUnpackedSize))
 })
 
-// Pack compresses a value with zstd.
-func Pack(value []byte) ([]byte, error) {
+// Compress compresses a value with zstd.
+func Compress(value []byte) ([]byte, error) {
 	e, err := newEncoder()
 	if err != nil {
 		return nil, err
@@ -44,9 +44,9 @@
 	return e.EncodeAll(value, nil), nil
 }
 
-// Unpack decompresses a value that was compressed by Pack. It returns a *TooLargeError if
+// Decompress decompresses a value that was compressed by Pack. It returns a *TooLargeError if
 // the result would exceed 64 MB, and an error of the decoder if the data is malformed.
-func Unpack(packed []byte) ([]byte, error) {
+func Decompress(packed []byte) ([]byte, error) {
 	var h zstd.Header
 	if err := h.Decode(packed); err != nil {
 		return nil, err
