--- a/internal/core/cwproof/measure_test.go
+++ b/internal/core/cwproof/measure_test.go
@@ -53,10 +53,10 @@
 	}
 }
 
-// TestAnyScheduleWithinSevenSeconds measures the longest time without an acknowledgement
+// TestAnySingleFaultWithinSevenSeconds measures the longest time without an acknowledgement
 // after a single fault of every kind, while a majority of the databases and one proxy
 // work.
-func TestAnyScheduleWithinSevenSeconds(t *testing.T) {
+func TestAnySingleFaultWithinSevenSeconds(t *testing.T) {
 	var worst time.Duration
 	for kind := range faultKinds {
 		for seed := range seedCount(t, 6) {
--- a/internal/core/cwproof/regression_test.go
+++ b/internal/core/cwproof/regression_test.go
@@ -19,7 +19,7 @@
 // database froze too and there was no majority. When the primary resumed, it obeyed the
 // earlier fencing command and stepped down. There was then no primary to suspect, so no
 // proxy started a failover.
-func TestNobodyLeadsAfterAFenceWithoutPromotion(t *testing.T) {
+func TestGroupRecoversAfterFenceWithoutPromotion(t *testing.T) {
 	assertNoViolations(t, 0, withTermChecks,
 		fault{kind: cutProxyFromMember, at: 500 * time.Millisecond, lasts: time.Millisecond, target: 0, other: 1},
 		fault{kind: freezeMember, at: 506 * time.Millisecond, lasts: 114 * time.Millisecond, target: 0, other: 2},
@@ -30,7 +30,7 @@
 // Guards against writes that fail for as long as a path is cut. The primary answers every
 // proxy, but no replica can replicate from it, so no write can be acknowledged. It must
 // be replaced although it is reachable.
-func TestPrimaryThatCannotReplicateIsReplaced(t *testing.T) {
+func TestPrimaryCutFromReplicasIsReplaced(t *testing.T) {
 	sim := newSimulation(3, withTermChecks)
 	violations := sim.runSchedule([]fault{{kind: cutPrimaryFromReplicas, at: time.Second, lasts: 10 * time.Second}})
 	if len(violations) > 0 {
@@ -45,7 +45,7 @@
 // Guards against a database that never rejoins its group. A failover attempt made it
 // adopt a later term, found no majority and ended. The database cannot follow a primary
 // of an earlier term, so the primary's term must be raised.
-func TestStrandedMemberComesBack(t *testing.T) {
+func TestMemberWithLaterTermRejoins(t *testing.T) {
 	sim := newSimulation(5, withTermChecks)
 	sim.after(2*time.Second, func() { sim.members[2].adopt(9, "nobody") })
 	if violations := sim.runSchedule(nil); len(violations) > 0 {
@@ -57,7 +57,7 @@
 // without its session token, through a proxy that is partitioned together with a
 // replaced primary, and does not find its record. The proxy took the position for the
 // read from that primary, which did not know that it had been replaced.
-func TestReadAfterRoamingToTheWrongSide(t *testing.T) {
+func TestReadAfterReconnectToReplacedPrimary(t *testing.T) {
 	for seed := range uint64(20) {
 		assertNoViolations(t, seed, withTermChecks, fault{kind: splitPrimary, at: time.Second, lasts: 6 * time.Second, target: int(seed % 3)})
 	}
@@ -66,7 +66,7 @@
 // Guards against a database that never rejoins its group. Two proxies claimed the same
 // term while the table was slow. The database adopted the term for the losing claim, and
 // so refuses to follow the primary of the other claim.
-func TestMemberThatAdoptedForTheOtherClaimComesBack(t *testing.T) {
+func TestMemberWithLosingClaimRejoins(t *testing.T) {
 	assertNoViolations(t, 0, withTermChecks,
 		fault{kind: freezeMember, at: 500 * time.Millisecond, lasts: time.Millisecond, target: 0, other: 1},
 		fault{kind: killMember, at: 503 * time.Millisecond, lasts: 988 * time.Millisecond, target: 0, other: 1},
