--- a/internal/proxy/cwport/feed.go
+++ b/internal/proxy/cwport/feed.go
@@ -41,7 +41,7 @@
 	TargetsIncomplete bool
 }
 
-// TopicChanges is the part of News about one topic.
+// TopicChanges is the part of a ChangesResponse about one topic.
 type TopicChanges struct {
 	// Version is the version up to which Rows are complete.
 	Version cwfeed.Version
@@ -100,6 +100,6 @@
 // Decoder decodes rows in the store's own format.
 type Decoder interface {
 	// Decode decodes rows of a topic up to a version. Rows that can't be decoded
-	// are reported in the batch's Faults.
+	// are reported in the batch's RowErrors.
 	Decode(t Topic, version cwfeed.Version, rows []Row) Batch
 }
--- a/internal/proxy/cwport/handover.go
+++ b/internal/proxy/cwport/handover.go
@@ -17,7 +17,7 @@
 	// instances; empty for a statement outside a transaction.
 	Transaction string
 	// Begin is the verb that opened the transaction, set with its first statement
-	// only; Unknown otherwise.
+	// only; UnknownVerb otherwise.
 	Begin cwstatement.Verb
 	// Entry is the catalogue entry as the caller's instance knows it, so that a
 	// holder with an older catalogue applies the same contract. It has one group.
@@ -46,7 +46,7 @@
 	Writes bool
 }
 
-// ForwardResponse is a holder's answer to a Handover.
+// ForwardResponse is a holder's answer to a ForwardRequest.
 type ForwardResponse struct {
 	Answer cwstatement.Response
 	// CommitPosition is the log position of the commit that this statement made; zero if it
@@ -76,7 +76,7 @@
 	Connect(group string, d cwholder.TargetCapacity)
 	// HolderRank returns this instance's rank among the group's holders; false if it
 	// doesn't hold the group.
-	HolderRank(group string, d cwholder.TargetCapacity) (place int, ok bool)
+	HolderRank(group string, d cwholder.TargetCapacity) (rank int, ok bool)
 }
 
 // NoResponseError reports a forwarded statement without an answer. The statement may
--- a/internal/proxy/cwport/port.go
+++ b/internal/proxy/cwport/port.go
@@ -122,7 +122,7 @@
 // targets.
 type ReportedRole uint8
 
-// The values of Leadership.
+// The values of ReportedRole.
 const (
 	RoleUnknown ReportedRole = iota
 	RoleReplica
@@ -177,7 +177,7 @@
 	Updated []ListedTarget
 	// Removed are targets that are no longer in the list.
 	Removed []cwgroup.MemberID
-	// OwnRows are own rows (topic Own) that are new, changed or removed.
+	// OwnRows are the rows of TopicOwn that are new, changed or removed.
 	OwnRows []Row
 	// Raw are all rows of the batch in the store's format, to be passed on to
 	// other instances.
