--- a/internal/proxy/cwtargets/conn.go
+++ b/internal/proxy/cwtargets/conn.go
@@ -28,8 +28,8 @@
 // PreparedFull reports whether no more statements should be prepared on c.
 func (c *Conn) PreparedFull() bool { return len(c.Prepared) >= maxPrepared }
 
-// OverloadedError reports that a statement can't get a turn or a connection before
-// its deadline. Nothing has run.
+// OverloadedError reports that a statement can't be admitted or get a connection
+// before its deadline. Nothing has run.
 type OverloadedError struct {
 	// RetryAfter is the expected time until a connection is free.
 	RetryAfter time.Duration
--- a/internal/proxy/cwtargets/idle.go
+++ b/internal/proxy/cwtargets/idle.go
@@ -34,15 +34,15 @@
 	}
 }
 
-// closeIdle closes the idle connection of an index. The caller holds mu.
+// closeIdle closes the idle connection at an index. The caller holds mu.
 func (p *Pool) closeIdle(i int) {
 	_ = p.idle[i].Close()
 	p.idle = slices.Delete(p.idle, i, i+1)
 	p.open--
 }
 
-// CloseIdleBefore closes the idle connections that were opened before at. It is called with
-// the time at which a new connection was seen to work.
+// CloseIdleBefore closes the idle connections that were opened before at. It is called
+// with the time at which a new connection was seen to work.
 //
 // A middlebox can lose track of all open connections: what is sent on them gets no
 // answer, while new connections work. Without CloseIdleBefore, each of the older connections
--- a/internal/proxy/cwtargets/pool.go
+++ b/internal/proxy/cwtargets/pool.go
@@ -57,7 +57,7 @@
 	// initialHold is the assumed hold time of a connection before the first one
 	// was released: a few statements of ten milliseconds.
 	initialHold = 30 * time.Millisecond
-	// queueLimit is the maximum number of statements that wait for their turn. The
+	// queueLimit is the maximum number of statements that wait for admission. The
 	// queue is bounded by their deadlines long before; this bounds its memory.
 	queueLimit = 1000
 	// minRetryAfter is the minimum time after which a refused caller is told to
@@ -108,7 +108,7 @@
 	averageHold time.Duration
 	lentCount   int
 	closed      bool
-	// admission is the queue of statements that wait for their turn; concurrency adapts
+	// admission is the queue of statements that wait for admission; concurrency adapts
 	// the number that may be in progress at once.
 	admission   cwlimit.AdmissionQueue
 	concurrency cwlimit.ConcurrencyLimit
@@ -131,12 +131,12 @@
 	err  error
 }
 
-// NewPool returns a pool without connections. The target accepts ceiling
+// NewPool returns a pool without connections. The target accepts maxConnections
 // connections from all proxies together; see SetMaxConnections.
-func NewPool(to cwport.Endpoint, ceiling int, d cwport.Dialer, clock clockwork.Clock, ev Events) *Pool {
+func NewPool(to cwport.Endpoint, maxConnections int, d cwport.Dialer, clock clockwork.Clock, ev Events) *Pool {
 	p := &Pool{endpoint: to, dialer: d, clock: clock, events: ev, dialsByWorkspace: make(map[string]int)}
 	p.admission.QueueLimit = queueLimit
-	p.SetMaxConnections(ceiling)
+	p.SetMaxConnections(maxConnections)
 	return p
 }
 
@@ -166,7 +166,7 @@
 // Load is the load of a pool, by which statements are routed.
 type Load struct {
 	// InFlight is the number of statements in progress, Waiting the number of waiters for
-	// a turn or a connection, and Open the number of connections, including those
+	// admission or a connection, and Open the number of connections, including those
 	// that are being opened.
 	InFlight, Waiting, Open int
 	// Latency is the recent average time that the target took for a statement.
@@ -200,8 +200,8 @@
 
 // Acquire lends a connection that belongs to the workspace, preferably one whose
 // session has the settings in values. It waits at most until the deadline, and
-// fails at once if the wait is expected to be longer. The error is a *OverloadedError,
-// *UnreachableError or *ClosedError.
+// fails at once if the wait is expected to be longer. The error is an
+// *OverloadedError, *UnreachableError or *ClosedError.
 func (p *Pool) Acquire(ctx context.Context, deadline time.Time, workspace string, values map[string]string) (*Conn, error) {
 	return p.acquire(ctx, &waiter{deadline: deadline, workspace: workspace, result: make(chan lendResult, 1)}, values)
 }
--- a/internal/proxy/cwtargets/turn.go
+++ b/internal/proxy/cwtargets/turn.go
@@ -8,7 +8,7 @@
 )
 
 // Admission is the admission of one statement to a target. It counts as in progress
-// until Done or Drop is called, which must happen exactly once.
+// until Done or DoneUnmeasured is called, which must happen exactly once.
 type Admission struct {
 	pool      *Pool
 	startedAt time.Time
@@ -26,7 +26,7 @@
 }
 
 // Admit waits until the statement may start, at most until its deadline. It fails
-// at once if the statement is not expected to start by then. The error is a
+// at once if the statement is not expected to start by then. The error is an
 // *OverloadedError, and nothing has run.
 func (p *Pool) Admit(c Urgency) (Admission, error) {
 	ready := make(chan *cwrefusal.Refusal, 1)
@@ -39,14 +39,14 @@
 	p.mu.Unlock()
 	select {
 	case r := <-ready:
-		return p.newTurn(r)
+		return p.newAdmission(r)
 	default:
 	}
 	t := p.clock.NewTimer(c.Deadline.Sub(p.clock.Now()))
 	defer t.Stop()
 	select {
 	case r := <-ready:
-		return p.newTurn(r)
+		return p.newAdmission(r)
 	case <-t.Chan():
 	}
 	p.mu.Lock()
@@ -54,26 +54,26 @@
 	p.mu.Unlock()
 	select {
 	case r := <-ready:
-		// The statement was admitted between the timeout and Abandon.
-		return p.newTurn(r)
+		// The statement was admitted between the timeout and Cancel.
+		return p.newAdmission(r)
 	default:
 		return Admission{}, &OverloadedError{RetryAfter: minRetryAfter}
 	}
 }
 
-func (p *Pool) newTurn(r *cwrefusal.Refusal) (Admission, error) {
+func (p *Pool) newAdmission(r *cwrefusal.Refusal) (Admission, error) {
 	if r != nil {
 		return Admission{}, &OverloadedError{RetryAfter: r.RetryAfter}
 	}
 	return Admission{pool: p, startedAt: p.clock.Now()}, nil
 }
 
-// Done ends the turn of a statement that was executed. Its duration adjusts the
+// Done ends the admission of a statement that was executed. Its duration adjusts the
 // number of statements that may be in progress.
 func (t Admission) Done() { t.end(true) }
 
-// DoneUnmeasured ends the turn of a statement that was refused or got no answer. Its duration
-// is ignored, because it says nothing about the target's load.
+// DoneUnmeasured ends the admission of a statement that was refused or got no answer.
+// Its duration is ignored, because it says nothing about the target's load.
 func (t Admission) DoneUnmeasured() { t.end(false) }
 
 func (t Admission) end(measure bool) {
