--- a/internal/proxy/cwpool/pool.go
+++ b/internal/proxy/cwpool/pool.go
@@ -62,7 +62,7 @@
 }
 
 // AddPrepared records that a statement was prepared on the connection. If there are
-// now more than maxPrepared, it forgets the oldest and returns its name, for the
+// now more than maxPrepared, it removes the oldest and returns its name, for the
 // caller to close it at the target; otherwise it returns "".
 func (c *Conn) AddPrepared(name string) (evicted string) {
 	c.Prepared = append(c.Prepared, name)
