--- a/internal/proxy/cwmeter/meter.go
+++ b/internal/proxy/cwmeter/meter.go
@@ -92,7 +92,7 @@
 	for {
 		v := m.askIssuers(workspace, false)
 		if !v.Allowed {
-			v = betterVerdict(v, m.askIssuers(workspace, true))
+			v = betterDecision(v, m.askIssuers(workspace, true))
 		}
 		if !v.Unknown || !m.Clock.Now().Before(end) {
 			return v
@@ -102,7 +102,7 @@
 }
 
 // askIssuers asks the issuers of this data centre, or those of the others if remote
-// is true, until one allows the operation. It returns the best verdict.
+// is true, until one allows the operation. It returns the best decision.
 func (m *Meter) askIssuers(workspace string, remote bool) cwport.QuotaDecision {
 	out := cwport.QuotaDecision{Unknown: true, RetryAfter: unknownRetryAfter}
 	for _, issuer := range m.Issuers.QuotaIssuers(workspace, remote) {
@@ -111,16 +111,16 @@
 		if !ok {
 			v = m.ask(workspace, issuer)
 		}
-		if out = betterVerdict(out, v); out.Allowed {
+		if out = betterDecision(out, v); out.Allowed {
 			return out
 		}
 	}
 	return out
 }
 
-// betterVerdict returns the verdict that is better for the caller: an allowed one
+// betterDecision returns the decision that is better for the caller: an allowed one
 // first, then the one with the shorter RetryAfter, and an unknown one last.
-func betterVerdict(a, b cwport.QuotaDecision) cwport.QuotaDecision {
+func betterDecision(a, b cwport.QuotaDecision) cwport.QuotaDecision {
 	switch {
 	case a.Allowed || b.Unknown:
 		return a
@@ -183,19 +183,19 @@
 	if !ok {
 		return cwport.QuotaDecision{Unknown: true, RetryAfter: unknownRetryAfter}
 	}
-	shape := cwquota.BucketParamsFor(quota, m.Tolerance, max(1, m.DataCentres)*cwholder.MinPerDataCentre)
+	params := cwquota.BucketParamsFor(quota, m.Tolerance, max(1, m.DataCentres)*cwholder.MinPerDataCentre)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.Clock.Now()
 	shard := m.shards[workspace]
 	if shard == nil {
-		shard = cwquota.NewShard(shape, m.started, m.FirstStart)
+		shard = cwquota.NewShard(params, m.started, m.FirstStart)
 		if m.shards == nil {
 			m.shards = make(map[string]*cwquota.Shard)
 		}
 		m.shards[workspace] = shard
 	}
-	shard.SetParams(shape, now)
+	shard.SetParams(params, now)
 	allowed, wait := shard.Take(now)
 	return cwport.QuotaDecision{Allowed: allowed, RetryAfter: wait}
 }
--- a/internal/proxy/cwmeter/meter_test.go
+++ b/internal/proxy/cwmeter/meter_test.go
@@ -15,7 +15,7 @@
 	"cicadawalk.example/cicadawalk/internal/proxy/cwport"
 )
 
-var errUnresponsive = errors.New("silent")
+var errUnresponsive = errors.New("no answer from the issuer")
 
 // fakeIssuers implements cwport.QuotaIssuers for one workspace, and counts the
 // requests to each issuer by name.
@@ -122,11 +122,11 @@
 func TestUnknownQuotaIsRefused(t *testing.T) {
 	f := &fakeIssuers{}
 	m, clock := newMeter(f)
-	verdict := make(chan cwport.QuotaDecision, 1)
-	go func() { verdict <- m.Take(workspace) }()
+	decision := make(chan cwport.QuotaDecision, 1)
+	go func() { decision <- m.Take(workspace) }()
 	for {
 		select {
-		case v := <-verdict:
+		case v := <-decision:
 			qt.Assert(t, v, qt.Equals, cwport.QuotaDecision{Unknown: true, RetryAfter: unknownRetryAfter})
 			return
 		default:
