--- a/internal/proxy/cwclock/clock.go
+++ b/internal/proxy/cwclock/clock.go
@@ -1,8 +1,8 @@
 // Package cwclock provides a clock for leases, claims and the age of data.
 //
 // Go's monotonic clock stops while the machine is suspended, so a lease measured
-// by it would still be valid after hours of suspension. Boot includes that time,
-// and is not affected by changes of the wall clock.
+// by it would still be valid after hours of suspension. BootClock includes that
+// time, and is not affected by changes of the wall clock.
 package cwclock
 
 import (
@@ -17,7 +17,7 @@
 // a BootClock may be compared only with each other.
 type BootClock struct{ clockwork.Clock }
 
-// NewBootClock returns a Boot clock.
+// NewBootClock returns a BootClock.
 func NewBootClock() BootClock { return BootClock{Clock: clockwork.NewRealClock()} }
 
 // Now returns the time since boot as a time.Time, counted from the Unix epoch. It
