--- a/internal/proxy/cwinstance/instance.go
+++ b/internal/proxy/cwinstance/instance.go
@@ -43,8 +43,8 @@
 	// Name is the instance's name, unique among all instances.
 	Name       string
 	DataCentre string
-	// CallerListen, ReadyListen and MetricsListen are the addresses to listen on for callers, health
-	// probes and metrics, IP:port; MetricsListen may be empty.
+	// CallerListen, ReadyListen and MetricsListen are the addresses to listen on for
+	// callers, health probes and metrics, IP:port; MetricsListen may be empty.
 	CallerListen, ReadyListen, MetricsListen string
 	// ReadyPath is the HTTP path of the load balancer's health probe.
 	ReadyPath string
@@ -54,8 +54,8 @@
 	// RemovalDelay is how long after its entry disappeared from the list a target is
 	// removed.
 	RemovalDelay time.Duration
-	// MinHolderInterval is the minimum time between changes of primary by two different holders
-	// of a claim.
+	// MinHolderInterval is the minimum time between changes of primary by two different
+	// holders of a claim.
 	MinHolderInterval time.Duration
 	// NewCallerConn returns the adapter for the protocol of a caller's connection.
 	NewCallerConn func(net.Conn) cwport.CallerConn
@@ -77,12 +77,12 @@
 	RunID string
 	// PeerListen is the address to listen on for other instances, IP:port.
 	PeerListen string
-	// KeyRevocationBound is the time within which a revoked key must be out of use; zero means no
-	// bound.
+	// KeyRevocationBound is the time within which a revoked key must be out of use; zero
+	// means no bound.
 	KeyRevocationBound time.Duration
-	// DataCentres is the number of data centres, Quota the tolerance within which
-	// quotas are kept, and FirstStart true if no instance ran before. Without a window
-	// in Quota, quotas are not enforced.
+	// DataCentres is the number of data centres, QuotaTolerance the tolerance within
+	// which quotas are kept, and FirstStart true if no instance ran before. Without a
+	// window in QuotaTolerance, quotas are not enforced.
 	DataCentres    int
 	QuotaTolerance cwcatalogue.QuotaTolerance
 	FirstStart     bool
@@ -154,9 +154,9 @@
 	return in.engine.Members()
 }
 
-// quotaTeller returns the issuer of quota at this instance; nil if quotas are not
+// quotaServer returns the issuer of quota at this instance; nil if quotas are not
 // enforced.
-func (in *Instance) quotaTeller() cwport.QuotaServer {
+func (in *Instance) quotaServer() cwport.QuotaServer {
 	if in.meter == nil {
 		return nil
 	}
@@ -231,7 +231,7 @@
 	eg.Go(func() error { return in.members.Run(run) })
 	eg.Go(func() error { return in.peers.Run(run) })
 	eg.Go(func() error {
-		return (&cwhandover.Server{Handler: in.engine, News: in.directory, Quotas: in.quotaTeller()}).Run(run, peerListener)
+		return (&cwhandover.Server{Handler: in.engine, News: in.directory, Quotas: in.quotaServer()}).Run(run, peerListener)
 	})
 	eg.Go(func() error { return in.engine.Serve(callerListener, in.cfg.NewCallerConn) })
 	in.cfg.Log.Info("started", "instance", in.cfg.Name, "dataCentre", in.cfg.DataCentre, "listen", in.cfg.CallerListen)
@@ -287,9 +287,9 @@
 func (in *Instance) SetEra(era uint64) { in.engine.SetEra(era) }
 
 // ApplyRows implements cwdirectory.Sink.
-func (in *Instance) ApplyRows(rows []cwport.Row, whole bool) {
-	in.peers.ApplyRows(rows, whole)
-	in.members.ObserveRows(rows, whole)
+func (in *Instance) ApplyRows(rows []cwport.Row, complete bool) {
+	in.peers.ApplyRows(rows, complete)
+	in.members.ObserveRows(rows, complete)
 	for _, r := range rows {
 		service, ok := cwclaim.GroupOfKey(r.Key)
 		if !ok || r.Removed {
