--- a/internal/proxy/cwnode/audit.go
+++ b/internal/proxy/cwnode/audit.go
@@ -10,9 +10,9 @@
 
 // Limits of the audit recorder.
 const (
-	// maxQueuedActs is the maximum number of queued actions; beyond it the oldest is
+	// maxQueuedActions is the maximum number of queued actions; beyond it the oldest is
 	// dropped.
-	maxQueuedActs = 256
+	maxQueuedActions = 256
 	// auditRetryPause is the pause between attempts while the platform's table is
 	// unavailable.
 	auditRetryPause = time.Second
@@ -22,13 +22,13 @@
 // in the platform's table. While the table is unavailable, actions are queued in
 // memory, and are lost if the process ends.
 type auditRecorder struct {
-	store cwstore.Store
-	cfg   Config
-	acts  chan cwstore.Action
+	store   cwstore.Store
+	cfg     Config
+	actions chan cwstore.Action
 }
 
 func newAuditRecorder(store cwstore.Store, cfg Config) *auditRecorder {
-	return &auditRecorder{store: store, cfg: cfg, acts: make(chan cwstore.Action, maxQueuedActs)}
+	return &auditRecorder{store: store, cfg: cfg, actions: make(chan cwstore.Action, maxQueuedActions)}
 }
 
 // Record implements cwwatch.Journal. It never blocks; if the queue is full, it drops
@@ -40,12 +40,12 @@
 	}
 	for {
 		select {
-		case j.acts <- a:
+		case j.actions <- a:
 			return
 		default:
 		}
 		select {
-		case lost := <-j.acts:
+		case lost := <-j.actions:
 			j.cfg.Log.Warn("auditLost", "kind", lost.Kind, "subject", lost.Subject)
 		default:
 		}
@@ -56,7 +56,7 @@
 func (j *auditRecorder) writeLoop(ctx context.Context) error {
 	for n := 0; ; n++ {
 		select {
-		case a := <-j.acts:
+		case a := <-j.actions:
 			j.write(ctx, fmt.Sprintf("%s-%s-%d", j.cfg.Instance, j.cfg.RunID, n), a)
 		case <-ctx.Done():
 			return nil
--- a/internal/proxy/cwnode/cluster_test.go
+++ b/internal/proxy/cwnode/cluster_test.go
@@ -73,8 +73,8 @@
 	return cwstore.Store{Table: &cwplatform.Client{URL: b.Platform.URL()}}
 }
 
-// runLoad runs roaming sessions with request keys for d, and calls fault after a quarter
-// of d. change modifies the plan before; it may be nil.
+// runLoad runs sessions for d that switch proxies and use request keys, and calls fault
+// after a quarter of d. change modifies the plan before; it may be nil.
 func (b *testCluster) runLoad(c *qt.C, d time.Duration, change func(*cwload.Plan), fault func()) *cwload.Report {
 	c.Helper()
 	plan := cwload.Plan{
--- a/internal/proxy/cwnode/failure_test.go
+++ b/internal/proxy/cwnode/failure_test.go
@@ -18,9 +18,9 @@
 )
 
 // Guards against the loss of acknowledged writes, for example of one that was committed
-// at the primary and at no replica before the primary failed. Callers roam and write
-// during each failure. No acknowledged write may be lost, duplicated or missing in its
-// session's own reads.
+// at the primary and at no replica before the primary failed. Callers switch proxies
+// and write during each failure. No acknowledged write may be lost, duplicated or missing
+// in its session's own reads.
 func TestAcknowledgedWritesUnderFailure(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -116,9 +116,9 @@
 	c.Assert(acts[0].After, qt.Matches, "libro-[23] term 2")
 }
 
-// The same guarantees as in TestAcknowledgedWritesUnderFailure without request keys. If the answer
-// of a commit is lost, the caller is told that the outcome is unknown, and an answer
-// that says "not run" must be true.
+// The same guarantees as in TestAcknowledgedWritesUnderFailure without request keys. If
+// the answer of a commit is lost, the caller is told that the outcome is unknown, and an
+// answer that says "not run" must be true.
 func TestAcknowledgedWritesWithoutRequestKeys(t *testing.T) {
 	t.Parallel()
 	c, b := newTestCluster(t, cwdemo.Options{})
--- a/internal/proxy/cwnode/status.go
+++ b/internal/proxy/cwnode/status.go
@@ -36,8 +36,8 @@
 	Group   string `json:"group"`
 	// State is "well", "replacing" (the primary), "readsOnly" or "unavailable".
 	State string `json:"state"`
-	// Problem describes the problem, Doing what the system does about it, and Act what an
-	// operator has to do; each may be empty.
+	// Problem describes the problem, SystemAction what the system does about it, and
+	// OperatorAction what an operator has to do; each may be empty.
 	Problem        string `json:"what"`
 	SystemAction   string `json:"doing"`
 	OperatorAction string `json:"act"`
