--- a/internal/proxy/cwfront/exec.go
+++ b/internal/proxy/cwfront/exec.go
@@ -46,8 +46,8 @@
 	r.lease.Discard()
 }
 
-// parseLogPosition parses the log position reported with a commit. A commit that wrote
-// nothing reports none, and the zero position is returned.
+// parseLogPosition parses the log position reported with a commit. A commit that
+// wrote nothing reports none, and the zero position is returned.
 func parseLogPosition(text string) (cwgroup.LogPosition, error) {
 	if text == "" {
 		return cwgroup.LogPosition{}, nil
--- a/internal/proxy/cwfront/fuzz_test.go
+++ b/internal/proxy/cwfront/fuzz_test.go
@@ -17,18 +17,18 @@
 	"cicadawalk.example/cicadawalk/internal/proxy/cwwatch"
 )
 
-// noGroupServices is a stub of Services whose only entry has two groups, so that
+// noGroupProxy is a stub Proxy whose only entry has two groups, so that
 // without a shard no statement has a group to run in.
-type noGroupServices struct{}
+type noGroupProxy struct{}
 
-func (noGroupServices) Ready() bool      { return true }
-func (noGroupServices) Revision() uint64 { return 1 }
-func (noGroupServices) Entry(string) (cwcatalogue.Entry, bool) {
+func (noGroupProxy) Ready() bool      { return true }
+func (noGroupProxy) Revision() uint64 { return 1 }
+func (noGroupProxy) Entry(string) (cwcatalogue.Entry, bool) {
 	return cwcatalogue.Entry{Service: "s", Groups: []cwcatalogue.Group{{Name: "a"}, {Name: "b"}}}, true
 }
-func (noGroupServices) Group(string) (*cwwatch.Group, bool)        { return nil, false }
-func (noGroupServices) Pool(cwgroup.MemberID) (*cwpool.Pool, bool) { return nil, false }
-func (noGroupServices) ForwardCancel(uint32, []byte)               {}
+func (noGroupProxy) Group(string) (*cwwatch.Group, bool)        { return nil, false }
+func (noGroupProxy) Pool(cwgroup.MemberID) (*cwpool.Pool, bool) { return nil, false }
+func (noGroupProxy) ForwardCancel(uint32, []byte)               {}
 
 // FuzzSession sends arbitrary bytes after a start-up message. The session must end
 // once the client has closed the connection, and must never panic or hang.
@@ -50,7 +50,7 @@
 	start := encode(&pgproto3.StartupMessage{ProtocolVersion: pgproto3.ProtocolVersion30, Parameters: map[string]string{"user": "u", "database": "s"}})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		server := &Server{
-			Proxy:   noGroupServices{},
+			Proxy:   noGroupProxy{},
 			Clock:   clockwork.NewRealClock(),
 			Log:     log.New(io.Discard),
 			Metrics: NewMetrics(metrics.NewSet()),
--- a/internal/proxy/cwfront/server.go
+++ b/internal/proxy/cwfront/server.go
@@ -100,7 +100,8 @@
 	Clock   clockwork.Clock
 	Log     *log.Logger
 	Metrics *Metrics
-	// InstanceTag identifies this proxy in the process ids of its sessions; see InstanceTag.
+	// InstanceTag identifies this proxy in the process ids of its sessions; see the
+	// function InstanceTag.
 	InstanceTag uint16
 	// Version is reported to clients as server_version.
 	Version string
@@ -208,10 +209,10 @@
 	tagMask  = 0x7fff
 )
 
-// InstanceTag returns the tag of an instance, a 15-bit hash of its id. The platform's
-// load balancer may route a CancelRequest to any proxy; the tag in its process
-// id tells which proxy to forward it to. Two instances can have the same tag;
-// the request is then forwarded to both.
+// InstanceTag returns the tag of an instance, a 15-bit hash of its id. The
+// platform's load balancer may route a CancelRequest to any proxy; the tag in its
+// process id tells which proxy to forward it to. Two instances can have the same
+// tag; the request is then forwarded to both.
 func InstanceTag(instance string) uint16 {
 	h := fnv.New32a()
 	h.Write([]byte(instance))
--- a/internal/proxy/cwfront/session.go
+++ b/internal/proxy/cwfront/session.go
@@ -124,8 +124,8 @@
 }
 
 // recordPosition records in the token that the session has written up to, or
-// observed, log position m of its group. The floor needs no check, because m comes from
-// the primary.
+// observed, log position m of its group. The floor needs no check, because m comes
+// from the primary.
 func (s *session) recordPosition(m cwgroup.LogPosition) {
 	s.token = s.token.WithPosition(s.group.Name(), m)
 	if s.checkedFloors == nil {
