--- a/internal/wire/cwcodec/document.go
+++ b/internal/wire/cwcodec/document.go
@@ -201,8 +201,8 @@
 	return e
 }
 
-// SplitParts splits a catalogue into the values of the rows in which it is stored, by name:
-// one part for data centres and links, one for planned stops, and one for each entry.
+// SplitParts splits a catalogue into the values of the rows in which it is stored, by
+// name: one part for data centres and links, one for planned stops, and one for each entry.
 func SplitParts(c cwcatalogue.Catalogue) (map[string][]byte, error) {
 	parts := make(map[string][]byte, len(c.Entries)+2)
 	add := func(name string, part cwcatalogue.Catalogue) error {
--- a/internal/wire/cwhandover/conn.go
+++ b/internal/wire/cwhandover/conn.go
@@ -27,11 +27,11 @@
 
 // Handler runs forwarded statements.
 type Handler interface {
-	// ServeForwarded runs a forwarded statement. The value of from identifies the connection
-	// that the statement came from.
+	// ServeForwarded runs a forwarded statement. The value of from identifies the
+	// connection that the statement came from.
 	ServeForwarded(from any, h cwport.ForwardRequest) cwport.ForwardResponse
-	// ConnectionClosed is called when a connection has ended. The transactions that were
-	// forwarded on it end with it.
+	// ConnectionClosed is called when a connection has ended. The transactions that
+	// were forwarded on it end with it.
 	ConnectionClosed(from any)
 }
 
--- a/internal/wire/cwhandover/quota.go
+++ b/internal/wire/cwhandover/quota.go
@@ -33,8 +33,8 @@
 }
 
 // TakeQuota takes one operation from the part of the workspace's quota that the other
-// instance keeps. It returns an *MalformedMessageError if the answer is malformed, and the
-// error of the RPC call if that failed.
+// instance keeps. It returns a *MalformedMessageError if the answer is malformed, and
+// the error of the RPC call if that failed.
 func (c *Conn) TakeQuota(ctx context.Context, workspace string) (cwport.QuotaDecision, error) {
 	var b quotaResultBody
 	if err := c.rpc.Call(ctx, methodQuota, quotaRequestBody{Workspace: workspace}, &b); err != nil {
--- a/internal/wire/cwlisten/bounded.go
+++ b/internal/wire/cwlisten/bounded.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// LimitedConn is a connection with an idle timeout and a size limit for messages. Reads fail
-// if the client sends nothing for too long, or sends more than MaxMessage bytes without
-// an answer in between. Every request has an answer, so a client never needs to send
-// more. Set MaxMessage and Idle before use.
+// LimitedConn is a connection with an idle timeout and a size limit for messages. Reads
+// fail if the client sends nothing for too long, or sends more than MaxMessage bytes
+// without an answer in between. Every request has an answer, so a client never needs to
+// send more. Set MaxMessage and IdleTimeout before use.
 type LimitedConn struct {
 	net.Conn
 	// MaxMessage is the largest message, in bytes.
@@ -20,7 +20,8 @@
 	unanswered atomic.Int64
 }
 
-// MessageTooLongError reports that the other side has exceeded Bounded.MaxMessage.
+// MessageTooLongError reports that the other side has exceeded
+// LimitedConn.MaxMessage.
 type MessageTooLongError struct{}
 
 func (*MessageTooLongError) Error() string { return "message is too long" }
--- a/internal/wire/cwpack/pack.go
+++ b/internal/wire/cwpack/pack.go
@@ -12,15 +12,16 @@
 // desired state of 100 routes. Smaller values fit into a few packets uncompressed.
 const MinSize = 16 << 10
 
-// maxUnpackedSize is the largest uncompressed size that Unpack accepts, in bytes.
-const maxUnpackedSize = 64 << 20
+// maxDecompressedSize is the largest uncompressed size that Decompress accepts, in
+// bytes.
+const maxDecompressedSize = 64 << 20
 
 // TooLargeError reports a compressed value whose uncompressed size, in bytes, exceeds
-// the limit of Unpack.
+// the limit of Decompress.
 type TooLargeError struct{ Size uint64 }
 
 func (e *TooLargeError) Error() string {
-	return fmt.Sprintf("uncompressed value has %d bytes, more than %d", e.Size, maxUnpackedSize)
+	return fmt.Sprintf("uncompressed value has %d bytes, more than %d", e.Size, maxDecompressedSize)
 }
 
 // newEncoder returns an encoder for one value. An encoder uses about 2 MB, and is not
@@ -31,7 +32,7 @@
 }
 
 var decoder = sync.OnceValues(func() (*zstd.Decoder, error) {
-	return zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(maxUnpackedSize))
+	return zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(maxDecompressedSize))
 })
 
 // Compress compresses a value with zstd.
@@ -44,14 +45,15 @@
 	return e.EncodeAll(value, nil), nil
 }
 
-// Decompress decompresses a value that was compressed by Pack. It returns a *TooLargeError if
-// the result would exceed 64 MB, and an error of the decoder if the data is malformed.
+// Decompress decompresses a value that was compressed by Compress. It returns a
+// *TooLargeError if the result would exceed 64 MB, and an error of the decoder if the
+// data is malformed.
 func Decompress(packed []byte) ([]byte, error) {
 	var h zstd.Header
 	if err := h.Decode(packed); err != nil {
 		return nil, err
 	}
-	if h.FrameContentSize > maxUnpackedSize {
+	if h.FrameContentSize > maxDecompressedSize {
 		return nil, &TooLargeError{Size: h.FrameContentSize}
 	}
 	d, err := decoder()
--- a/internal/wire/cwpack/pack_test.go
+++ b/internal/wire/cwpack/pack_test.go
@@ -29,7 +29,7 @@
 // Guards against memory exhaustion. Another instance sends a few bytes that decompress
 // to gigabytes.
 func TestDecompressIsBounded(t *testing.T) {
-	packed, err := Compress(make([]byte, maxUnpackedSize+1))
+	packed, err := Compress(make([]byte, maxDecompressedSize+1))
 	qt.Assert(t, err, qt.IsNil)
 	_, err = Decompress(packed)
 	qt.Assert(t, err, qt.IsNotNil)
@@ -41,7 +41,7 @@
 	f.Add(packed)
 	f.Add([]byte("no frame"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if out, err := Decompress(b); err == nil && len(out) > maxUnpackedSize {
+		if out, err := Decompress(b); err == nil && len(out) > maxDecompressedSize {
 			t.Fatalf("%d bytes", len(out))
 		}
 	})
--- a/internal/wire/cwpeer/peer.go
+++ b/internal/wire/cwpeer/peer.go
@@ -61,8 +61,8 @@
 	// CatalogueSince returns the changes after a revision, or the whole catalogue
 	// if there are too many.
 	CatalogueSince(r cwcatalogue.Revision) (Update, error)
-	// CancelLocal cancels the running statement of the session with this process id and
-	// secret, if this proxy has that session.
+	// CancelLocal cancels the running statement of the session with this process id
+	// and secret, if this proxy has that session.
 	CancelLocal(pid uint32, secret []byte)
 	// Allowed reports whether this proxy accepts messages from an instance.
 	Allowed(id cwfailover.InstanceID) bool
--- a/internal/wire/cwplatform/client.go
+++ b/internal/wire/cwplatform/client.go
@@ -41,7 +41,7 @@
 	Put    []RowBody    `json:"put"`
 }
 
-// ExpectBody is the JSON form of an Expect.
+// ExpectBody is the JSON form of a Condition.
 type ExpectBody struct {
 	Key  string `json:"key"`
 	ETag string `json:"etag"`
--- a/internal/wire/cwplatform/platform.go
+++ b/internal/wire/cwplatform/platform.go
@@ -25,8 +25,8 @@
 	ETag string
 }
 
-// Condition is a condition of a change: the row has this entity tag, or does not exist if
-// the tag is empty.
+// Condition is a condition of a change: the row has this entity tag, or does not exist
+// if the tag is empty.
 type Condition struct {
 	Key  string
 	ETag string
--- a/internal/wire/cwstore/audit.go
+++ b/internal/wire/cwstore/audit.go
@@ -27,8 +27,8 @@
 	return out, nil
 }
 
-// RecordAction records an automatic action of a proxy. The id must be unique. Recording the
-// same action again has no further effect.
+// RecordAction records an automatic action of a proxy. The id must be unique. Recording
+// the same action again has no further effect.
 func (s Store) RecordAction(ctx context.Context, id string, a Action) error {
 	value, err := json.Marshal(actBody(a))
 	if err != nil {
--- a/internal/wire/cwstore/store.go
+++ b/internal/wire/cwstore/store.go
@@ -74,8 +74,8 @@
 	return b.String()
 }
 
-// UnknownOutcomeError reports that it is unknown whether a change was accepted, because the
-// response of the platform was lost and the audit trail could not settle it.
+// UnknownOutcomeError reports that it is unknown whether a change was accepted, because
+// the response of the platform was lost and the audit trail could not settle it.
 type UnknownOutcomeError struct {
 	ID    string
 	Cause error
@@ -273,8 +273,8 @@
 	}
 }
 
-// LoadRevision returns the catalogue of an earlier revision, from its copy or else rebuilt from
-// the audit trail. It returns a *RevisionError if there was no such revision.
+// LoadRevision returns the catalogue of an earlier revision, from its copy or else
+// rebuilt from the audit trail. It returns a *RevisionError if there was no such revision.
 func (s Store) LoadRevision(ctx context.Context, r cwcatalogue.Revision) (cwcatalogue.Catalogue, error) {
 	if s.Objects != nil {
 		if text, err := s.Objects.GetObject(ctx, copyKey(r)); err == nil {
--- a/internal/wire/cwstore/store_test.go
+++ b/internal/wire/cwstore/store_test.go
@@ -142,7 +142,7 @@
 
 // Guards against repeating a change after the table's response was lost. The repeated
 // change would conflict with itself or be made twice. The change must be looked up by
-// its id, and reported as undecided if it is not found.
+// its id, and its outcome reported as unknown if it is not found.
 func TestChangeWithLostResponse(t *testing.T) {
 	table := newFakeTable()
 	s := Store{Table: table}
@@ -155,7 +155,7 @@
 	qt.Assert(t, err, qt.IsNil)
 	table.loseBefore = true
 	_, err = s.Apply(background, known.WithEntry(sampleEntry("b")), sampleChange("ana"))
-	var undecided *UnknownOutcomeError
-	qt.Assert(t, err, qt.ErrorAs, &undecided)
+	var unknownErr *UnknownOutcomeError
+	qt.Assert(t, err, qt.ErrorAs, &unknownErr)
 	qt.Assert(t, table.writes, qt.Equals, 1)
 }
--- a/internal/wire/cwtarget/feed.go
+++ b/internal/wire/cwtarget/feed.go
@@ -13,14 +13,14 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwgroup"
 )
 
-// Intervals and timeouts of a feed.
+// Intervals and timeouts of a ControlConn.
 const (
 	// ProbeInterval is the time between status queries to a primary. The age of
 	// data can be computed only from answers to queries, whose send time is known.
 	// For replicas the heartbeats are sufficient.
 	ProbeInterval = 250 * time.Millisecond
-	// ReceiveTimeout is the time without any message after which a feed opens a new
-	// connection to test whether the member is reachable.
+	// ReceiveTimeout is the time without any message after which a ControlConn
+	// opens a new connection to test whether the member is reachable.
 	ReceiveTimeout = 600 * time.Millisecond
 	// ConnectTimeout limits the time to open a connection, including the startup
 	// messages.
@@ -29,22 +29,22 @@
 	redialDelay = 100 * time.Millisecond
 )
 
-// ControlEvents receives the events of a feed. The methods are called from the feed's
-// goroutines, one at a time for each connection.
+// ControlEvents receives the events of a ControlConn. The methods are called from the
+// goroutines of the ControlConn, one at a time for each connection.
 type ControlEvents interface {
-	// StatusReceived is called for each status. The value of asked is the time at which
-	// the query was sent, or zero for a notification.
+	// StatusReceived is called for each status. The value of asked is the time at
+	// which the query was sent, or zero for a notification.
 	StatusReceived(r Report, asked time.Time)
 	// Unreachable is called when a new connection to the member failed.
 	Unreachable(id cwgroup.MemberID)
-	// ConnUnresponsive is called when nothing arrives on the open connection although a
-	// new connection works. Other old connections to the member may be unresponsive
+	// ConnUnresponsive is called when nothing arrives on the open connection although
+	// a new connection works. Other old connections to the member may be unresponsive
 	// too.
 	ConnUnresponsive(id cwgroup.MemberID)
 }
 
-// ControlConn keeps one control connection to a member open. The member sends its status on it
-// and receives control commands. Set the exported fields before Run.
+// ControlConn keeps one control connection to a member open. The member sends its
+// status on it and receives control commands. Set the exported fields before Run.
 type ControlConn struct {
 	Member  cwgroup.MemberID
 	Address string
@@ -92,7 +92,7 @@
 
 var errNotConnected = notConnectedError{}
 
-// Run keeps the feed connected until ctx ends.
+// Run keeps the control connection open until ctx ends.
 func (f *ControlConn) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		conn, err := f.connect(ctx)
@@ -282,9 +282,9 @@
 	f.Events.StatusReceived(r, asked)
 }
 
-// Query sends a query and returns the first column of its rows. It returns a *ControlConnError
-// if there is no connection or ctx ends, and a *ServerError if the target refuses the
-// query.
+// Query sends a query and returns the first column of its rows. It returns a
+// *ControlConnError if there is no connection or ctx ends, and a *ServerError if the
+// target refuses the query.
 func (f *ControlConn) Query(ctx context.Context, query string) ([]string, error) {
 	q := &pendingQuery{done: make(chan struct{})}
 	f.send(query, q)
