--- a/internal/proxy/cwfront/bench_test.go
+++ b/internal/proxy/cwfront/bench_test.go
@@ -17,15 +17,15 @@
 
 // startBenchmark starts a demo cluster with a table of 100 rows. It returns a
 // connection to its proxy, one directly to the primary, and the cluster.
-func startBenchmark(b *testing.B) (proxy, direct *pgx.Conn, bench *cwdemo.Cluster) {
+func startBenchmark(b *testing.B) (proxy, direct *pgx.Conn, cluster *cwdemo.Cluster) {
 	b.Helper()
-	bench, err := cwdemo.Start(cwdemo.Options{Proxies: 1})
+	cluster, err := cwdemo.Start(cwdemo.Options{Proxies: 1})
 	qt.Assert(b, err, qt.IsNil)
-	b.Cleanup(bench.Stop)
+	b.Cleanup(cluster.Stop)
 	ctx := context.Background()
-	proxy, err = pgx.Connect(ctx, bench.URL(0))
+	proxy, err = pgx.Connect(ctx, cluster.URL(0))
 	qt.Assert(b, err, qt.IsNil)
-	direct, err = pgx.Connect(ctx, cwdemo.URL(bench.Databases[0].Addr()))
+	direct, err = pgx.Connect(ctx, cwdemo.URL(cluster.Databases[0].Addr()))
 	qt.Assert(b, err, qt.IsNil)
 	_, err = proxy.Exec(ctx, "CREATE TABLE ronda (id bigint PRIMARY KEY, gate text)")
 	qt.Assert(b, err, qt.IsNil)
@@ -37,7 +37,7 @@
 		_ = proxy.Close(ctx)
 		_ = direct.Close(ctx)
 	})
-	return proxy, direct, bench
+	return proxy, direct, cluster
 }
 
 // pointRead selects one row by its primary key.
@@ -74,8 +74,8 @@
 
 // BenchmarkPointReads measures throughput with eight concurrent clients.
 func BenchmarkPointReads(b *testing.B) {
-	_, _, bench := startBenchmark(b)
-	for name, url := range map[string]string{"direct": cwdemo.URL(bench.Databases[0].Addr()), "proxy": bench.URL(0)} {
+	_, _, cluster := startBenchmark(b)
+	for name, url := range map[string]string{"direct": cwdemo.URL(cluster.Databases[0].Addr()), "proxy": cluster.URL(0)} {
 		b.Run(name, func(b *testing.B) {
 			var wg sync.WaitGroup
 			for range 8 {
@@ -100,9 +100,9 @@
 // directly, with everything in one process.
 func TestAllocationsOfAForwardedStatement(t *testing.T) {
 	ctx := context.Background()
-	bench, err := cwdemo.Start(cwdemo.Options{Proxies: 1})
+	cluster, err := cwdemo.Start(cwdemo.Options{Proxies: 1})
 	qt.Assert(t, err, qt.IsNil)
-	t.Cleanup(bench.Stop)
+	t.Cleanup(cluster.Stop)
 	perRead := func(url string) float64 {
 		conn, err := pgx.Connect(ctx, url)
 		qt.Assert(t, err, qt.IsNil)
@@ -114,7 +114,7 @@
 			}
 		})
 	}
-	direct, proxy := perRead(cwdemo.URL(bench.Databases[0].Addr())), perRead(bench.URL(0))
+	direct, proxy := perRead(cwdemo.URL(cluster.Databases[0].Addr())), perRead(cluster.URL(0))
 	cwbound.CheckBound(t, "allocationsPerForwardedStatement", proxy-direct)
 }
 
@@ -122,9 +122,9 @@
 // connection. The clients are plain sockets in the same process, so the measured
 // value is slightly too high.
 func TestMemoryOfAnIdleClient(t *testing.T) {
-	bench, err := cwdemo.Start(cwdemo.Options{Proxies: 1})
+	cluster, err := cwdemo.Start(cwdemo.Options{Proxies: 1})
 	qt.Assert(t, err, qt.IsNil)
-	t.Cleanup(bench.Stop)
+	t.Cleanup(cluster.Stop)
 	start, err := (&pgproto3.StartupMessage{
 		ProtocolVersion: pgproto3.ProtocolVersion30,
 		Parameters:      map[string]string{"user": "u", "database": cwdemo.ServiceName},
@@ -133,7 +133,7 @@
 	connect := func(n int) {
 		buf := make([]byte, 4096)
 		for range n {
-			conn, err := net.Dial("tcp", bench.Proxies[0].Addr())
+			conn, err := net.Dial("tcp", cluster.Proxies[0].Addr())
 			qt.Assert(t, err, qt.IsNil)
 			t.Cleanup(func() { _ = conn.Close() })
 			_, err = conn.Write(start)
