--- a/internal/wire/cwhandover/handover_test.go
+++ b/internal/wire/cwhandover/handover_test.go
@@ -159,14 +159,14 @@
 // fakeHandler answers statements with a function and reports closed connections.
 type fakeHandler struct {
 	answer func(h cwport.ForwardRequest) cwport.ForwardResponse
-	left   chan any
+	closed chan any
 }
 
 func (h *fakeHandler) ServeForwarded(_ any, ho cwport.ForwardRequest) cwport.ForwardResponse {
 	return h.answer(ho)
 }
 
-func (h *fakeHandler) ConnectionClosed(from any) { h.left <- from }
+func (h *fakeHandler) ConnectionClosed(from any) { h.closed <- from }
 
 func serve(c *qt.C, h *fakeHandler) string { return serveNews(c, h, nil) }
 
@@ -186,7 +186,7 @@
 func TestConcurrentStatementsOnOneConnection(t *testing.T) {
 	c := qt.New(t)
 	release := make(chan struct{})
-	h := &fakeHandler{left: make(chan any, 1), answer: func(h cwport.ForwardRequest) cwport.ForwardResponse {
+	h := &fakeHandler{closed: make(chan any, 1), answer: func(h cwport.ForwardRequest) cwport.ForwardResponse {
 		if h.Statement.ID == "slow" {
 			<-release
 		}
@@ -209,7 +209,7 @@
 	c.Assert(<-slow, qt.IsNil)
 
 	c.Assert(conn.Close(), qt.IsNil)
-	<-h.left
+	<-h.closed
 	_, err = conn.Forward(context.Background(), exampleStatement())
 	var lost *cwport.NoResponseError
 	c.Assert(errors.As(err, &lost), qt.IsTrue)
@@ -223,7 +223,7 @@
 }
 
 func TestNewsOverAConnection(t *testing.T) {
-	h := &fakeHandler{left: make(chan any, 16), answer: func(cwport.ForwardRequest) cwport.ForwardResponse { return cwport.ForwardResponse{} }}
+	h := &fakeHandler{closed: make(chan any, 16), answer: func(cwport.ForwardRequest) cwport.ForwardResponse { return cwport.ForwardResponse{} }}
 	question := cwport.ChangesRequest{After: [cwport.TopicCount]cwfeed.Version{4, 5, 6}, Wait: time.Second}
 	ask := func(c *qt.C, f cwport.ChangesServer) (*Conn, cwport.ChangesResponse, error) {
 		conn, err := Dial(context.Background(), "feeder", serveNews(c, h, f))
