--- a/internal/core/cwcatalogue/catalogue.go
+++ b/internal/core/cwcatalogue/catalogue.go
@@ -8,7 +8,7 @@
 // a log position or a primary; the proxies find those out.
 //
 // A catalogue is an immutable value with a revision; the With methods return
-// changed copies. Check lists every invalid field, Diff describes to an
+// changed copies. Validate lists every invalid field, Diff describes to an
 // operator what a new catalogue changes.
 package cwcatalogue
 
@@ -202,7 +202,7 @@
 }
 
 // Entry returns the entry of the service, or false if Entries has none. It
-// does not search Table.
+// does not search EntryTable.
 func (c Catalogue) Entry(service string) (Entry, bool) {
 	i := slices.IndexFunc(c.Entries, func(e Entry) bool { return e.Service == service })
 	if i < 0 {
--- a/internal/core/cwcatalogue/check.go
+++ b/internal/core/cwcatalogue/check.go
@@ -33,16 +33,16 @@
 	Allowed string
 }
 
-// String formats the fault as a message for an operator.
+// String formats the invalid field as a message for an operator.
 func (f InvalidField) String() string {
 	return fmt.Sprintf("%s: %q is not allowed; %s", f.Path, f.Value, f.Allowed)
 }
 
-// checker collects the faults of a catalogue. The maps lead from a value that
-// must be unique to the path of the field that has it.
+// checker collects the invalid fields of a catalogue. The maps lead from a value
+// that must be unique to the path of the field that has it.
 type checker struct {
 	catalogue    Catalogue
-	faults       []InvalidField
+	invalid      []InvalidField
 	targetPaths  map[cwgroup.MemberID]string
 	addressPaths map[string]string
 	groupPaths   map[string]string
@@ -50,7 +50,8 @@
 
 // Validate returns every invalid field of the catalogue: first data centres and
 // links, then entries, then planned stops, each in their order. The result is
-// empty if the catalogue is valid. Entries of Table are not checked.
+// empty if the catalogue is valid. The entries in EntryTable are not
+// checked.
 func Validate(c Catalogue) []InvalidField {
 	k := &checker{
 		catalogue:    c,
@@ -73,17 +74,17 @@
 		path := fmt.Sprintf("stops[%d].target", i)
 		k.require(c.HasTarget(s.Target), path, string(s.Target), "the id of a target of some entry")
 	}
-	return k.faults
+	return k.invalid
 }
 
-// require records a fault if ok is false.
+// require records an invalid field if ok is false.
 func (k *checker) require(ok bool, path, value, allowed string) {
 	if !ok {
-		k.faults = append(k.faults, InvalidField{Path: path, Value: value, Allowed: allowed})
+		k.invalid = append(k.invalid, InvalidField{Path: path, Value: value, Allowed: allowed})
 	}
 }
 
-// checkName records a fault if s is not a valid name.
+// checkName records an invalid field if s is not a valid name.
 func (k *checker) checkName(path, s string) {
 	ok := s != "" && len(s) <= MaxNameLen
 	for _, r := range s {
@@ -117,7 +118,8 @@
 	}
 }
 
-// checkDataCentre records a fault if the catalogue has no data centre with the name.
+// checkDataCentre records an invalid field if the catalogue has no data centre
+// with the name.
 func (k *checker) checkDataCentre(path, name string) {
 	ok := slices.ContainsFunc(k.catalogue.DataCentres, func(d DataCentre) bool { return d.Name == name })
 	k.require(ok, path, name, "a data centre of this catalogue")
@@ -160,7 +162,7 @@
 	k.checkUnique(k.addressPaths, path+".address", t.Address)
 }
 
-// checkUnique records a fault if an earlier field has the same value.
+// checkUnique records an invalid field if an earlier field has the same value.
 func (k *checker) checkUnique(seen map[string]string, path, value string) {
 	if at, twice := seen[value]; twice {
 		k.require(false, path, value, "a value that is not used at "+at+" already")
--- a/internal/core/cwcatalogue/diff.go
+++ b/internal/core/cwcatalogue/diff.go
@@ -19,8 +19,8 @@
 // compares data centres, links, Entries and planned stops, not workspaces.
 func Diff(a, b Catalogue) []Difference {
 	var out []Difference
-	add := func(traffic, format string, args ...any) {
-		out = append(out, Difference{Text: fmt.Sprintf(format, args...), CallerImpact: traffic})
+	add := func(impact, format string, args ...any) {
+		out = append(out, Difference{Text: fmt.Sprintf(format, args...), CallerImpact: impact})
 	}
 	for _, e := range b.Entries {
 		if old, ok := a.Entry(e.Service); ok {
@@ -52,8 +52,8 @@
 
 func diffEntry(a, b Entry) []Difference {
 	var out []Difference
-	add := func(traffic, format string, args ...any) {
-		out = append(out, Difference{Text: b.Service + ": " + fmt.Sprintf(format, args...), CallerImpact: traffic})
+	add := func(impact, format string, args ...any) {
+		out = append(out, Difference{Text: b.Service + ": " + fmt.Sprintf(format, args...), CallerImpact: impact})
 	}
 	if a.Owner != b.Owner || a.Title != b.Title {
 		add("", "owner or title changes (owner %s, title %s)", b.Owner, b.Title)
--- a/internal/core/cwcatalogue/table.go
+++ b/internal/core/cwcatalogue/table.go
@@ -3,8 +3,8 @@
 // EntryTable holds the entries of a large catalogue by service name. Tens of
 // thousands of names share a few groups and contracts, so entries that differ
 // only in their name share one template: 20,000 entries take 1.0 MB instead of
-// 6.1 MB (BenchmarkEntryTable). The zero value is an empty table. A nil *EntryTable can
-// be read, and has no entries.
+// 6.1 MB (BenchmarkEntryTable). The zero value is an empty table. A nil
+// *EntryTable can be read, and has no entries.
 type EntryTable struct {
 	// templates are the distinct entries without their names.
 	templates []Entry
--- a/internal/core/cwcatalogue/table_test.go
+++ b/internal/core/cwcatalogue/table_test.go
@@ -34,8 +34,8 @@
 	qt.Assert(t, ok || none.Len() > 0 || none.Templates() != nil, qt.IsFalse)
 }
 
-// BenchmarkEntryTable reports the heap in bytes of 20,000 entries in 40 groups, as a
-// map of entries and as a Table.
+// BenchmarkEntryTable reports the heap in bytes of 20,000 entries in 40 groups, as
+// a map of entries and as an EntryTable.
 func BenchmarkEntryTable(b *testing.B) {
 	const entries, groups = 20_000, 40
 	for name, build := range map[string]func() any{
