--- a/internal/standin/cwreplica/conn.go
+++ b/internal/standin/cwreplica/conn.go
@@ -10,8 +10,9 @@
 	"cicadawalk.example/cicadawalk/internal/proxy/cwport"
 )
 
-// conn is a connection from an instance to a member. It implements cwport.TargetConn.
-// Except for queue and timeout, its fields are guarded by the group's lock.
+// conn is a connection from an instance to a member. It implements
+// cwport.TargetConn. Except for queue and timeout, its fields are guarded by the
+// group's lock.
 type conn struct {
 	group  *Group
 	member *Member
@@ -31,9 +32,9 @@
 	readOnly bool
 	term     cwgroup.Term
 	writes   map[string]string
-	// values are the settings of the session, and prepared maps the name of each
+	// settings are those of the session, and prepared maps the name of each
 	// prepared statement to its verb.
-	values   map[string]string
+	settings map[string]string
 	prepared map[string]string
 	closed   bool
 	// broken is true once a cut path has dropped data of the connection.
@@ -63,7 +64,7 @@
 	if c.member.loseAnswers {
 		return cwstatement.Response{}, errLost
 	}
-	a.State, a.LogEnd = c.state, lastMark(c.visibleLog())
+	a.State, a.LogEnd = c.state, lastPosition(c.visibleLog())
 	return a, nil
 }
 
@@ -113,12 +114,12 @@
 // not see the command's floor. An error inside a transaction makes it fail.
 func (c *conn) run(cmd cwstatement.Command) cwstatement.Response {
 	if cmd.ID != "" {
-		c.group.callerCommands = append(c.group.callerCommands, CallerCommand{ID: cmd.ID, Workspace: c.workspace, Settings: maps.Clone(c.values)})
+		c.group.callerCommands = append(c.group.callerCommands, CallerCommand{ID: cmd.ID, Workspace: c.workspace, Settings: maps.Clone(c.settings)})
 	}
 	if c.state == cwstatement.InFailedTransaction && cmd.Verb != cwstatement.Commit && cmd.Verb != cwstatement.Rollback {
 		return cwstatement.Failure(cwstatement.Malformed, "failed")
 	}
-	if !containsMark(c.visibleLog(), cmd.Floor) {
+	if !containsPosition(c.visibleLog(), cmd.Floor) {
 		return cwstatement.Failure(cwstatement.Behind, "")
 	}
 	a := c.execute(cmd)
@@ -146,13 +147,13 @@
 	case cwstatement.Commit:
 		return c.commit(done)
 	case cwstatement.Set:
-		c.values[cmd.Name] = cmd.Args
+		c.settings[cmd.Name] = cmd.Args
 		return cwstatement.Response{}
 	case cwstatement.Prepare:
 		c.prepared[cmd.Name] = verbName(cmd.Writes)
 		return cwstatement.Response{}
 	case cwstatement.Reset:
-		clear(c.values)
+		clear(c.settings)
 		clear(c.prepared)
 		return cwstatement.Response{}
 	case cwstatement.Execute:
--- a/internal/standin/cwreplica/group.go
+++ b/internal/standin/cwreplica/group.go
@@ -87,7 +87,8 @@
 	cutPaths map[path]bool
 	// promotions are the accepted promotion orders, in order.
 	promotions []cwport.Promotion
-	// callerCommands are the callers' commands that members processed, in order.
+	// callerCommands has the session state of each caller's command that a member
+	// processed, in order.
 	callerCommands []CallerCommand
 	// healthChecks counts the health requests.
 	healthChecks int
@@ -107,7 +108,8 @@
 	cutsHang bool
 }
 
-// CallerCommand is the session state under which a member processed a caller's command.
+// CallerCommand is the session state under which a member processed a caller's
+// command.
 type CallerCommand struct {
 	// ID is the id of the command.
 	ID        string
@@ -154,14 +156,14 @@
 	g.cutsHang, g.clock = true, clock
 }
 
-// SetApplyDelay sets the time by the clock between a member's receipt of a record and
-// its visibility to reads.
-func (g *Group) SetApplyDelay(id cwgroup.MemberID, late time.Duration, clock clockwork.Clock) {
+// SetApplyDelay sets the time by the clock between a member's receipt of a record
+// and its visibility to reads.
+func (g *Group) SetApplyDelay(id cwgroup.MemberID, delay time.Duration, clock clockwork.Clock) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m := g.members[id]
 	m.applyDue(g.now())
-	m.applyDelay, g.clock = late, clock
+	m.applyDelay, g.clock = delay, clock
 }
 
 // Cut cuts or restores the path between an instance and a member, or between two
@@ -174,10 +176,10 @@
 }
 
 // SetReceiveStopped stops a replica's receipt of records, or resumes it.
-func (g *Group) SetReceiveStopped(id cwgroup.MemberID, deaf bool) {
+func (g *Group) SetReceiveStopped(id cwgroup.MemberID, stopped bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.members[id].receiveStopped = deaf
+	g.members[id].receiveStopped = stopped
 	g.replicate()
 }
 
@@ -191,10 +193,10 @@
 // SetUnresponsive makes a member unresponsive, or responsive again. Commands to an
 // unresponsive member are not run; they fail when the connection's timeout has
 // passed by the clock. New connections to it hang until their context ends.
-func (g *Group) SetUnresponsive(id cwgroup.MemberID, dark bool, clock clockwork.Clock) {
+func (g *Group) SetUnresponsive(id cwgroup.MemberID, unresponsive bool, clock clockwork.Clock) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.members[id].unresponsive, g.clock = dark, clock
+	g.members[id].unresponsive, g.clock = unresponsive, clock
 }
 
 // LoseFences makes the next n fence orders to a member get no answer. They are
@@ -295,8 +297,8 @@
 	return cwstatement.Health{Role: m.role, Term: m.term, FencedTerm: m.fenceTerm, LogEnd: m.lastReceived(), Connections: m.connections}
 }
 
-// DialerFrom returns a dialer for connections of an instance. If the name is empty, the
-// workspace of each connection is used as the instance's name.
+// DialerFrom returns a dialer for connections of an instance. If the name is empty,
+// the workspace of each connection is used as the instance's name.
 func (g *Group) DialerFrom(instance string) cwport.Dialer {
 	return dialer{group: g, instance: instance}
 }
@@ -337,7 +339,7 @@
 	m.connections++
 	return &conn{
 		group: g, member: m, incarnation: m.incarnation, instance: instance, workspace: workspace,
-		values: map[string]string{}, prepared: map[string]string{},
+		settings: map[string]string{}, prepared: map[string]string{},
 	}, nil
 }
 
--- a/internal/standin/cwreplica/log.go
+++ b/internal/standin/cwreplica/log.go
@@ -9,8 +9,8 @@
 
 // record is one committed transaction. Its writes map items to values.
 type record struct {
-	mark   cwgroup.LogPosition
-	writes map[string]string
+	position cwgroup.LogPosition
+	writes   map[string]string
 }
 
 // Log is an immutable snapshot of a member's log.
@@ -29,7 +29,7 @@
 	low, high := 0, min(len(l.records), len(o.records))
 	for low < high {
 		mid := (low + high + 1) / 2
-		if l.records[mid-1].mark == o.records[mid-1].mark {
+		if l.records[mid-1].position == o.records[mid-1].position {
 			low = mid
 			continue
 		}
@@ -65,17 +65,18 @@
 	return Log{}
 }
 
-// lastMark returns the mark of the last record; position 0 of term 1 for an empty
-// log.
-func lastMark(log []record) cwgroup.LogPosition {
+// lastPosition returns the log position of the last record; index 0 of term 1 for
+// an empty log.
+func lastPosition(log []record) cwgroup.LogPosition {
 	if len(log) == 0 {
 		return cwgroup.LogPosition{Term: 1}
 	}
-	return log[len(log)-1].mark
+	return log[len(log)-1].position
 }
 
-// lastReceived returns the mark of the last record that the member has received.
-func (m *Member) lastReceived() cwgroup.LogPosition { return lastMark(m.log) }
+// lastReceived returns the log position of the last record that the member has
+// received.
+func (m *Member) lastReceived() cwgroup.LogPosition { return lastPosition(m.log) }
 
 // visibleLog returns the part of the log that reads see.
 func (m *Member) visibleLog(now time.Time) []record {
@@ -116,20 +117,20 @@
 // appendRecord appends a transaction that was committed at the member itself.
 func (m *Member) appendRecord(writes map[string]string, now time.Time) {
 	next := cwgroup.LogPosition{Term: m.term, Index: m.lastReceived().Index + 1}
-	m.log = append(m.log, record{mark: next, writes: maps.Clone(writes)})
+	m.log = append(m.log, record{position: next, writes: maps.Clone(writes)})
 	m.receivedAt = append(m.receivedAt, now)
 	m.applyDue(now)
 }
 
-// containsMark reports whether a log has the record with the mark. A mark with
-// position 0 is in every log.
-func containsMark(log []record, floor cwgroup.LogPosition) bool {
+// containsPosition reports whether a log has the record at a log position. A
+// position with index 0 is in every log.
+func containsPosition(log []record, floor cwgroup.LogPosition) bool {
 	if floor.Index == 0 {
 		return true
 	}
-	// The first record has position 1.
+	// The first record has index 1.
 	i := int(floor.Index) - 1
-	return i < len(log) && log[i].mark == floor
+	return i < len(log) && log[i].position == floor
 }
 
 // itemValue returns the last value that a log has for an item; empty if none.
