--- a/internal/standin/cwdatabase/commit.go
+++ b/internal/standin/cwdatabase/commit.go
@@ -25,8 +25,8 @@
 	return &result{tag: "COMMIT"}, nil
 }
 
-// commit commits the session's write transaction and reports the mark of its
-// record to the client as the parameter cwtarget.PositionParameter. It returns
+// commit commits the session's write transaction and reports the log position of
+// its record to the client as the parameter cwtarget.PositionParameter. It returns
 // errConnClosed if an injected fault closed the connection.
 func (c *session) commit() error {
 	drop, lose := c.member.consumeCommitFault()
@@ -37,7 +37,7 @@
 	tx := c.tx
 	c.tx = transaction{}
 	c.writing.Store(false)
-	mark, err := c.member.commit(tx.term, tx.stmts)
+	position, err := c.member.commit(tx.term, tx.stmts)
 	if err != nil {
 		return err
 	}
@@ -45,7 +45,7 @@
 		_ = c.conn.Close()
 		return errConnClosed
 	}
-	c.backend.Send(&pgproto3.ParameterStatus{Name: cwtarget.PositionParameter, Value: mark.String()})
+	c.backend.Send(&pgproto3.ParameterStatus{Name: cwtarget.PositionParameter, Value: position.String()})
 	return nil
 }
 
--- a/internal/standin/cwdatabase/member.go
+++ b/internal/standin/cwdatabase/member.go
@@ -3,7 +3,7 @@
 //
 // A Member serves PostgreSQL protocol 3 and runs SQL on an embedded SQLite
 // engine. The primary appends a record to its log for each committed write
-// transaction. Each record has a term and a position. Replicas copy the log of
+// transaction. Each record has a term and an index. Replicas copy the log of
 // the primary asynchronously over the same protocol and run the records on their
 // own data.
 //
@@ -51,7 +51,7 @@
 	Primary bool
 	// PrimaryAddr is the address of the primary of term 1, for a replica.
 	PrimaryAddr string
-	// PrimaryID is the id of the primary at Follow.
+	// PrimaryID is the id of the primary at PrimaryAddr.
 	PrimaryID cwgroup.MemberID
 }
 
@@ -99,9 +99,9 @@
 	role         cwgroup.Role
 	adoptedTerm  cwgroup.Term
 	adoptedClaim cwgroup.ClaimID
-	// log holds the record of position i at index i-1.
+	// log holds the record with log index i in log[i-1].
 	log []record
-	// applied is the position of the last record that the engine has run.
+	// applied is the log index of the last record that the engine has run.
 	applied cwgroup.LogIndex
 	// primaryAddr and primaryID are the address and id of the primary that a
 	// replica follows; empty if there is none.
@@ -146,9 +146,9 @@
 	m.changed = make(chan struct{})
 }
 
-// markAt returns the mark of the record at position p; the zero mark for
-// position 0. The caller holds mu.
-func (m *Member) markAt(p cwgroup.LogIndex) cwgroup.LogPosition {
+// positionAt returns the log position of the record with index p; the zero position
+// for index 0. The caller holds mu.
+func (m *Member) positionAt(p cwgroup.LogIndex) cwgroup.LogPosition {
 	if p == 0 {
 		return cwgroup.LogPosition{}
 	}
@@ -168,8 +168,8 @@
 		Role:        m.role,
 		AdoptedTerm: m.adoptedTerm,
 		Claim:       m.adoptedClaim,
-		Durable:     m.markAt(cwgroup.LogIndex(len(m.log))),
-		Applied:     m.markAt(m.applied),
+		Durable:     m.positionAt(cwgroup.LogIndex(len(m.log))),
+		Applied:     m.positionAt(m.applied),
 		OpenWrites:  m.openWrites,
 	}
 	if m.role != cwgroup.RolePrimary {
@@ -186,8 +186,8 @@
 	m.notify()
 }
 
-// Faults returns the injected faults. LoseCommitAnswers and DropBeforeCommit are the
-// numbers that remain.
+// Faults returns the injected faults. LoseCommitAnswers and DropBeforeCommit are
+// the numbers that remain.
 func (m *Member) Faults() Faults {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -358,8 +358,8 @@
 }
 
 // commit commits the open write transaction and appends a record of stmts to the
-// log. It returns the mark of that record, or of the end of the log if stmts is
-// empty. It returns a *NotPrimaryError, and rolls back, if the member is no
+// log. It returns the log position of that record, or of the end of the log if
+// stmts is empty. It returns a *NotPrimaryError, and rolls back, if the member is no
 // longer the primary of the term.
 func (m *Member) commit(term cwgroup.Term, stmts []statement) (cwgroup.LogPosition, error) {
 	m.mu.Lock()
@@ -378,7 +378,7 @@
 		return cwgroup.LogPosition{}, Error.Wrap(err)
 	}
 	if len(stmts) == 0 {
-		return m.markAt(cwgroup.LogIndex(len(m.log))), nil
+		return m.positionAt(cwgroup.LogIndex(len(m.log))), nil
 	}
 	if err := m.engine.applyCommitted(ctx, stmts); err != nil {
 		return cwgroup.LogPosition{}, err
@@ -386,7 +386,7 @@
 	m.log = append(m.log, record{Term: term, Stmts: stmts})
 	m.applied = cwgroup.LogIndex(len(m.log))
 	m.notify()
-	return m.markAt(m.applied), nil
+	return m.positionAt(m.applied), nil
 }
 
 // rebuild recreates the data from the log after the log was truncated. The
--- a/internal/standin/cwdatabase/replicate.go
+++ b/internal/standin/cwdatabase/replicate.go
@@ -22,7 +22,7 @@
 const replicationCommand = "START_REPLICATION "
 
 // streamRequest asks a primary for its log. It has the replica's term and claim,
-// the end of the replica's log, and the first position of each term in it.
+// the end of the replica's log, and the first index of each term in it.
 type streamRequest struct {
 	Member  cwgroup.MemberID
 	Adopted cwgroup.Term
@@ -40,7 +40,7 @@
 
 // streamMessage is a message from a primary to a replica, sent as JSON. Only the
 // first one has TruncateTo set: the replica removes the records after that
-// position before it appends any.
+// index before it appends any.
 type streamMessage struct {
 	TruncateTo *cwgroup.LogIndex
 	Records    []record
@@ -58,9 +58,9 @@
 }
 
 // commonPrefix returns the length of the common prefix of a primary's log and a
-// replica's: the last position at which both have a record of the same term. Two
-// logs with the same term at a position are equal up to that position, because
-// all records of a term were written by one primary.
+// replica's: the last index at which both have a record of the same term. Two
+// logs with the same term at an index are equal up to that index, because all
+// records of a term were written by one primary.
 func commonPrefix(log []record, req streamRequest) cwgroup.LogIndex {
 	end := req.Last
 	for i := len(req.Epochs) - 1; i >= 0; i-- {
@@ -254,7 +254,7 @@
 	return nil
 }
 
-// truncateLog removes the records after position p. It rebuilds the data if any
+// truncateLog removes the records after index p. It rebuilds the data if any
 // of them had been applied. The caller holds mu and writeLock.
 func (m *Member) truncateLog(ctx context.Context, p cwgroup.LogIndex) error {
 	m.log = m.log[:p:p]
@@ -276,7 +276,7 @@
 	return nil
 }
 
-// applyDelayed applies the records up to a position, unless the member has since
+// applyDelayed applies the records up to an index, unless the member has since
 // changed its term or role.
 func (m *Member) applyDelayed(ctx context.Context, term cwgroup.Term, upTo cwgroup.LogIndex) {
 	if m.acquireWriteLock(ctx) != nil {
