--- a/internal/standin/cwcontrol/control.go
+++ b/internal/standin/cwcontrol/control.go
@@ -42,7 +42,7 @@
 	LoseAnswers int   `json:"loseAnswers"`
 }
 
-// linkFaults is the JSON form of cwlink.Faults, without CutBack.
+// linkFaults is the JSON form of cwlink.Faults, without CutFromTarget.
 type linkFaults struct {
 	DelayMs int64 `json:"delayMs"`
 	Cut     bool  `json:"cut"`
--- a/internal/standin/cwlink/link.go
+++ b/internal/standin/cwlink/link.go
@@ -25,8 +25,8 @@
 	// connection that was accepted during a cut, or that lost data, stays silent
 	// after the cut.
 	Cut bool
-	// CutFromTarget drops the data from the target. A connection that lost data stays
-	// silent afterwards in both directions.
+	// CutFromTarget drops the data from the target. A connection that lost data
+	// stays silent afterwards in both directions.
 	CutFromTarget bool
 	// Refuse closes open connections, and new ones as soon as they are accepted.
 	Refuse bool
@@ -39,8 +39,8 @@
 
 	mu     sync.Mutex
 	faults Faults
-	// silenceCount counts the calls of Silence. The data of connections that were
-	// accepted under a lower count is dropped.
+	// silenceCount counts the calls of SilenceConnections. The data of connections
+	// that were accepted under a lower count is dropped.
 	silenceCount int
 	conns        map[*relayedConn]struct{}
 }
@@ -95,8 +95,8 @@
 	return l.faults
 }
 
-// SilenceConnections drops all further data of the connections that are open, without closing
-// them. Connections accepted later work.
+// SilenceConnections drops all further data of the connections that are open,
+// without closing them. Connections accepted later work.
 func (l *Link) SilenceConnections() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -181,7 +181,8 @@
 	}
 }
 
-// silenced reports whether Silence was called after the connection was accepted.
+// silenced reports whether SilenceConnections was called after the connection was
+// accepted.
 func (c *relayedConn) silenced() bool {
 	c.link.mu.Lock()
 	defer c.link.mu.Unlock()
--- a/internal/standin/cwprogram/program.go
+++ b/internal/standin/cwprogram/program.go
@@ -22,8 +22,8 @@
 // Error is the class of the program's own errors.
 var Error = errs.Class("cicadastandin")
 
-// NewCommand returns the cicadastandin command with its subcommands database, platform
-// and link.
+// NewCommand returns the cicadastandin command with its subcommands database,
+// platform and link.
 func NewCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "cicadastandin",
--- a/internal/standin/cwtable/table.go
+++ b/internal/standin/cwtable/table.go
@@ -34,8 +34,8 @@
 	Down bool
 	// Delay is added to every answer.
 	Delay time.Duration
-	// LoseCommitAnswers is the number of commits that take effect but whose connection
-	// is closed instead of the answer being sent.
+	// LoseCommitAnswers is the number of commits that take effect but whose
+	// connection is closed instead of the answer being sent.
 	LoseCommitAnswers int
 }
 
