--- a/internal/standin/cwprogram/program.go
+++ b/internal/standin/cwprogram/program.go
@@ -37,7 +37,7 @@
 
 func databaseCommand() *cobra.Command {
 	var cfg cwdatabase.Config
-	var id, followID, control string
+	var id, primaryID, control string
 	cmd := &cobra.Command{
 		Use:   "database",
 		Short: "One database of a group, in memory",
@@ -45,7 +45,7 @@
   cicadastandin database --id libro-2 --listen 127.0.2.1:5432 --follow 127.0.1.1:5432 --follow-id libro-1`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			cfg.ID, cfg.PrimaryID = cwgroup.MemberID(id), cwgroup.MemberID(followID)
+			cfg.ID, cfg.PrimaryID = cwgroup.MemberID(id), cwgroup.MemberID(primaryID)
 			m, err := cwdatabase.Start(cfg)
 			if err != nil {
 				return err
@@ -67,7 +67,7 @@
 	fs.BoolVar(&cfg.ChecksTerm, "checks-term", true, "check the term of every control command")
 	fs.BoolVar(&cfg.Primary, "primary", false, "start as the primary of term 1")
 	fs.StringVar(&cfg.PrimaryAddr, "follow", "", "address of the primary of term 1")
-	fs.StringVar(&followID, "follow-id", "", "id of the primary of term 1")
+	fs.StringVar(&primaryID, "follow-id", "", "id of the primary of term 1")
 	return cmd
 }
 
