--- a/internal/proxy/cwpeers/link.go
+++ b/internal/proxy/cwpeers/link.go
@@ -288,7 +288,7 @@
 	}
 }
 
-// recordOverdue reports to the path that a message sent at the given time has no
+// recordOverdue reports to the path monitor that a message sent at the given time has no
 // answer.
 func (l *link) recordOverdue(sent time.Time) {
 	if l.path != nil {
--- a/internal/proxy/cwpeers/ondemand_test.go
+++ b/internal/proxy/cwpeers/ondemand_test.go
@@ -172,7 +172,7 @@
 }
 
 // Guards against an instance that accepts callers while its data centre is cut off: a
-// missing answer from another data centre must be reported to Path.
+// missing answer from another data centre must be reported to PathMonitor.
 func TestUnansweredStatementIsReportedToPathMonitor(t *testing.T) {
 	runManyGroups(t, func(w manyGroupsTest) {
 		var remote cwholder.Instance
