--- a/internal/proxy/cwdirectory/directory.go
+++ b/internal/proxy/cwdirectory/directory.go
@@ -93,7 +93,7 @@
 type PollWaits struct{ Desired, Targets time.Duration }
 
 // Directory follows the topics of a Source and passes their state to a Sink. Other
-// instances request changes from it with TellNews. Set the exported fields before Run.
+// instances request changes from it with ServeChanges. Set the exported fields before Run.
 type Directory struct {
 	PollWaits PollWaits
 	// RemovalDelay is how long after the disappearance of its entry a target is removed,
@@ -191,9 +191,9 @@
 type topicState struct {
 	// cancelPoll cancels the long poll in progress; nil if there is none.
 	cancelPoll context.CancelFunc
-	// feederUnsettledAt is when a feeder last could not supply a complete first list;
+	// feederIncompleteAt is when a feeder last could not supply a complete first list;
 	// zero if that never happened.
-	feederUnsettledAt time.Time
+	feederIncompleteAt time.Time
 	// version is the version up to which the topic is known; it never decreases.
 	version cwfeed.Version
 	// loaded is true once a snapshot was applied.
@@ -201,8 +201,8 @@
 	// confirmed is a time at which the store certainly had nothing newer than what is
 	// known. It never decreases.
 	confirmed time.Time
-	// history holds the rows and changes for other instances.
-	history cwfeed.ChangeLog[cwport.Row]
+	// changeLog holds the rows and changes for other instances.
+	changeLog cwfeed.ChangeLog[cwport.Row]
 }
 
 // rowID identifies a row of a topic.
@@ -234,8 +234,8 @@
 	return d.topics[cwport.TopicDesired].confirmed
 }
 
-// initState initializes the unexported fields once. TellNews calls it too, since another
-// instance may send a request before Run.
+// initState initializes the unexported fields once. ServeChanges calls it too, since
+// another instance may send a request before Run.
 func (d *Directory) initState() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -301,18 +301,18 @@
 	return b, b.Changed() || len(b.RowErrors) > 0
 }
 
-// recordBatch updates the version, history and confirmation of a topic, and wakes the
+// recordBatch updates the version, change log and confirmation of a topic, and wakes the
 // requests of other instances.
 func (d *Directory) recordBatch(t cwport.Topic, b cwport.Batch, whole bool, confirmed time.Time) {
-	entries := d.historyEntries(b.Raw)
+	entries := d.changeLogEntries(b.Raw)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	s := &d.topics[t]
 	if whole {
 		s.loaded = true
-		s.history.Replace(b.Version, entries)
+		s.changeLog.Replace(b.Version, entries)
 	} else {
-		s.history.Apply(b.Version, entries)
+		s.changeLog.Apply(b.Version, entries)
 	}
 	s.version = max(s.version, b.Version)
 	if confirmed.After(s.confirmed) {
@@ -334,12 +334,12 @@
 	}
 }
 
-// historyEntries converts rows to entries of a topic's history.
-func (d *Directory) historyEntries(rows []cwport.Row) []cwfeed.Entry[cwport.Row] {
+// changeLogEntries converts rows to entries of a topic's change log.
+func (d *Directory) changeLogEntries(rows []cwport.Row) []cwfeed.Entry[cwport.Row] {
 	compress := d.requestedRecently()
 	out := make([]cwfeed.Entry[cwport.Row], 0, len(rows))
 	for _, r := range rows {
-		out = append(out, cwfeed.Entry[cwport.Row]{Key: r.Key, Version: r.Version, Removed: r.Removed, Row: d.rowForHistory(r, compress)})
+		out = append(out, cwfeed.Entry[cwport.Row]{Key: r.Key, Version: r.Version, Removed: r.Removed, Row: d.rowForChangeLog(r, compress)})
 	}
 	return out
 }
--- a/internal/proxy/cwdirectory/fleet_test.go
+++ b/internal/proxy/cwdirectory/fleet_test.go
@@ -56,7 +56,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.version++
-	s.history[t].Apply(s.version, (&Directory{Clock: clockwork.NewRealClock()}).historyEntries([]cwport.Row{{Key: key, Version: s.version, Removed: removed}}))
+	s.history[t].Apply(s.version, (&Directory{Clock: clockwork.NewRealClock()}).changeLogEntries([]cwport.Row{{Key: key, Version: s.version, Removed: removed}}))
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
--- a/internal/proxy/cwdirectory/follow.go
+++ b/internal/proxy/cwdirectory/follow.go
@@ -42,7 +42,7 @@
 // asked. The age counts from the store's last confirmation.
 type StaleAfter struct{ Desired, Targets time.Duration }
 
-func (s StaleAfter) ages(t cwport.Topic) cwfeed.Staleness {
+func (s StaleAfter) staleness(t cwport.Topic) cwfeed.Staleness {
 	return cwfeed.Staleness{MaxAge: [cwport.TopicCount]time.Duration{cwport.TopicDesired: s.Desired, cwport.TopicTargets: s.Targets, cwport.TopicOwn: ownStaleAfter}[t]}
 }
 
@@ -171,18 +171,18 @@
 		// The feeder uses members whose entries are missing, and its rows do not include
 		// them. An instance that has never seen them would take two of three members for
 		// the whole group.
-		d.recordUnsettled(t)
+		d.recordIncomplete(t)
 		return false
 	}
-	return n.Topics[t].Complete && !d.StaleAfter.ages(t).IsStale(a.Confirmed(), d.Clock.Now())
+	return n.Topics[t].Complete && !d.StaleAfter.staleness(t).IsStale(a.Confirmed(), d.Clock.Now())
 }
 
-// recordUnsettled makes this instance request the first rows of a topic from the store,
+// recordIncomplete makes this instance request the first rows of a topic from the store,
 // and not from a feeder for MinRemovalDelay.
-func (d *Directory) recordUnsettled(t cwport.Topic) {
+func (d *Directory) recordIncomplete(t cwport.Topic) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.topics[t].feederUnsettledAt = d.Clock.Now()
+	d.topics[t].feederIncompleteAt = d.Clock.Now()
 	close(d.pollDueChanged)
 	d.pollDueChanged = make(chan struct{})
 }
@@ -195,11 +195,11 @@
 	defer d.mu.Unlock()
 	q := cwport.ChangesRequest{}
 	if d.source == fromFeeder {
-		q.Wait = d.StaleAfter.ages(cwport.TopicDesired).FeederWait()
+		q.Wait = d.StaleAfter.staleness(cwport.TopicDesired).FeederWait()
 	}
 	for _, t := range cwport.Topics {
 		q.After[t] = d.topics[t].version
-		if s := &d.topics[t]; !s.loaded && d.Clock.Since(s.feederUnsettledAt) < MinRemovalDelay {
+		if s := &d.topics[t]; !s.loaded && d.Clock.Since(s.feederIncompleteAt) < MinRemovalDelay {
 			// The feeder would answer at once with all rows of the topic, which this
 			// instance cannot use. An instance whose requests the store rejects since its
 			// start would thus ask its feeder in a busy loop, so it excludes the topic.
@@ -234,10 +234,10 @@
 func (d *Directory) untilPollDue(t cwport.Topic) (time.Duration, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	stale := d.StaleAfter.ages(t).MaxAge
+	stale := d.StaleAfter.staleness(t).MaxAge
 	s := &d.topics[t]
 	switch {
-	case d.source == fromStore || !s.loaded && !s.feederUnsettledAt.IsZero():
+	case d.source == fromStore || !s.loaded && !s.feederIncompleteAt.IsZero():
 		return 0, d.pollDueChanged
 	case !s.loaded:
 		return d.startDeadline.Sub(d.Clock.Now()), d.pollDueChanged
--- a/internal/proxy/cwdirectory/poll.go
+++ b/internal/proxy/cwdirectory/poll.go
@@ -54,9 +54,9 @@
 
 // handleFailure records a failed request, and waits before the next.
 func (d *Directory) handleFailure(ctx context.Context, p *poll, err error) {
-	var history *cwport.ChangesLostError
-	if errors.As(err, &history) {
-		d.Log.Warn("historyLost", "topic", p.topic, "after", history.After)
+	var lost *cwport.ChangesLostError
+	if errors.As(err, &lost) {
+		d.Log.Warn("historyLost", "topic", p.topic, "after", lost.After)
 		p.needSnapshot, p.historyLost = true, true
 		// The pause avoids a busy loop if the store drops its history repeatedly.
 		d.sleep(ctx, minRetryPause)
@@ -159,10 +159,10 @@
 	case t == cwport.TopicTargets && len(d.missingSince) > 0:
 		// An answer after MinRemovalDelay is needed to decide whether the entry is back.
 		return min(configured, MinRemovalDelay)
-	case d.Clock.Since(d.lastRequestAt) < 2*d.StaleAfter.ages(cwport.TopicDesired).FeederWait():
+	case d.Clock.Since(d.lastRequestAt) < 2*d.StaleAfter.staleness(cwport.TopicDesired).FeederWait():
 		// Other instances follow this one. The store's next confirmation must reach them
 		// before their data is stale.
-		return min(configured, d.StaleAfter.ages(t).StoreWait())
+		return min(configured, d.StaleAfter.staleness(t).StoreWait())
 	}
 	return configured
 }
--- a/internal/proxy/cwdirectory/removal.go
+++ b/internal/proxy/cwdirectory/removal.go
@@ -21,7 +21,7 @@
 		removed = d.missingFrom(b.Updated)
 	}
 	if whole && !first && b.Version.Era() > d.topics[cwport.TopicTargets].version.Era() {
-		d.keepLeaving(b.Updated)
+		d.keepDraining(b.Updated)
 	}
 	for _, l := range b.Updated {
 		d.knownTargets[l.ID] = l
--- a/internal/proxy/cwdirectory/restore.go
+++ b/internal/proxy/cwdirectory/restore.go
@@ -101,7 +101,7 @@
 	return d.storeBehind
 }
 
-// keepLeaving marks the listed entries of targets that are known to be leaving. The
+// keepDraining marks the listed entries of targets that are known to be draining. The
 // caller holds mu.
 //
 // A target may have announced that it is shutting down, and the store may then be
@@ -109,7 +109,7 @@
 // again, new work would be sent to it and be lost when it stops. So an entry from before
 // the restore does not revoke the announcement. An entry that the target writes later, or
 // after it has started again, is used as it is.
-func (d *Directory) keepLeaving(listed []cwport.ListedTarget) {
+func (d *Directory) keepDraining(listed []cwport.ListedTarget) {
 	for i, l := range listed {
 		known, ok := d.knownTargets[l.ID]
 		if ok && known.Draining && !l.Draining && known.StartedAt.Equal(l.StartedAt) {
--- a/internal/proxy/cwdirectory/serve.go
+++ b/internal/proxy/cwdirectory/serve.go
@@ -70,7 +70,7 @@
 	defer d.mu.Unlock()
 	ready = d.topics[cwport.TopicDesired].confirmed.After(lastConfirmed)
 	for i := range d.topics {
-		ready = ready || d.topics[i].history.HasChangesSince(q.After[i])
+		ready = ready || d.topics[i].changeLog.HasChangesSince(q.After[i])
 	}
 	if !ready {
 		return n, false, d.changesAvailable
@@ -79,8 +79,8 @@
 	n.TargetsUnavailable, n.TargetsIncomplete = d.unavailable, !d.listComplete(now)
 	for i := range d.topics {
 		s := &d.topics[i]
-		rows, whole := s.history.ChangesSince(q.After[i])
-		version, _ := s.history.Version()
+		rows, whole := s.changeLog.ChangesSince(q.After[i])
+		version, _ := s.changeLog.Version()
 		n.Topics[i] = cwport.TopicChanges{Version: version, Complete: whole, Rows: rows, Age: now.Sub(s.confirmed)}
 	}
 	return n, true, d.changesAvailable
@@ -108,14 +108,14 @@
 	return r
 }
 
-// rowForHistory returns a row as it is kept for other instances: a large one is
+// rowForChangeLog returns a row as it is kept for other instances: a large one is
 // compressed if it was received compressed, or if compress is true, as it is while other
 // instances send requests.
 //
 // A desired state with thousands of routes takes megabytes. If every instance kept it as
 // text, and the root of a data centre encoded a message for each of sixteen followers at
 // once, the busiest of 302 instances would take 168 MB, more than they have.
-func (d *Directory) rowForHistory(r cwport.Row, compress bool) cwport.Row {
+func (d *Directory) rowForChangeLog(r cwport.Row, compress bool) cwport.Row {
 	if len(r.Value) < cwpack.MinSize {
 		return r
 	}
--- a/internal/proxy/cwdirectory/start_test.go
+++ b/internal/proxy/cwdirectory/start_test.go
@@ -39,7 +39,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	c.Assert(d.missingSince["a"].IsZero(), qt.IsFalse)
-	rows, _ := d.topics[cwport.TopicTargets].history.ChangesSince(0)
+	rows, _ := d.topics[cwport.TopicTargets].changeLog.ChangesSince(0)
 	c.Assert(rows, qt.HasLen, 0, qt.Commentf("b was removed by version 9, and is not passed on"))
 }
 
