--- a/internal/proxy/cwlead/group.go
+++ b/internal/proxy/cwlead/group.go
@@ -42,9 +42,9 @@
 	// AckTimeout bounds the wait for a second member after a commit. A replica whose
 	// replication works receives the record within a few milliseconds.
 	AckTimeout = time.Second
-	// LeavingGrace is how long a leaving member still counts towards a majority. It is
-	// the longest time that a connected instance takes to learn that the member is
-	// leaving, plus a margin.
+	// LeavingGrace is how long a leaving member, one that is listed as draining, still
+	// counts towards a majority. It is the longest time that a connected instance takes
+	// to learn that the member is leaving, plus a margin.
 	LeavingGrace = 4 * time.Second
 	// healthTimeout bounds a health check on an open connection.
 	healthTimeout = 300 * time.Millisecond
