--- a/internal/proxy/cwwatch/command.go
+++ b/internal/proxy/cwwatch/command.go
@@ -56,7 +56,7 @@
 	}
 	switch cmd.Kind {
 	case cwfailover.WriteClaim, cwfailover.ReadClaim, cwfailover.RecordReplacedTerm, cwfailover.RecordPrimary:
-		resp.RowOutcome = g.claims().Execute(ctx, cmd).Outcome
+		resp.RowOutcome = g.claimStore().Execute(ctx, cmd).Outcome
 		return resp
 	}
 	r, err := g.sendMemberCommand(ctx, cmd)
@@ -68,7 +68,7 @@
 	return resp
 }
 
-func (g *Group) claims() cwclaim.Store {
+func (g *Group) claimStore() cwclaim.Store {
 	return cwclaim.Store{Table: g.cfg.Table, Group: g.cfg.Group.Name, Self: g.cfg.Self, MayClaim: g.mayClaim}
 }
 
@@ -79,18 +79,19 @@
 	return g.sup.MayClaim(row, t, g.cfg.Clock.Now())
 }
 
-// sendMemberCommand sends a command to a member over its feed and returns its report.
+// sendMemberCommand sends a command to a member over its control connection and returns
+// its report.
 func (g *Group) sendMemberCommand(ctx context.Context, cmd cwfailover.Command) (cwtarget.Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
-	feed := g.feeds[cmd.Member]
+	conn := g.controlConns[cmd.Member]
 	switch cmd.Kind {
 	case cwfailover.AdoptTerm:
-		return feed.Adopt(ctx, cmd.Term, cmd.Claim)
+		return conn.Adopt(ctx, cmd.Term, cmd.Claim)
 	case cwfailover.Promote:
-		return feed.Promote(ctx, cmd.Term, cmd.Claim)
+		return conn.Promote(ctx, cmd.Term, cmd.Claim)
 	default:
 		t, _ := g.cfg.Group.Target(cmd.Primary)
-		return feed.Follow(ctx, cmd.Term, cmd.Claim, cmd.Primary, t.Address)
+		return conn.Follow(ctx, cmd.Term, cmd.Claim, cmd.Primary, t.Address)
 	}
 }
--- a/internal/proxy/cwwatch/group.go
+++ b/internal/proxy/cwwatch/group.go
@@ -1,10 +1,11 @@
 // Package cwwatch tracks, for one proxy, the state of one group of targets that report
-// their state over feeds, and acts on it.
+// their state over control connections, and acts on it.
 //
-// A Group owns a feed to each member and combines the reports of the feeds into a View.
-// The view determines where reads are placed, when writes are acknowledged, and whether
-// the primary is to be replaced. The decisions are made by the core packages; this
-// package supplies events, the clock and a lock, and executes their commands.
+// A Group owns a control connection to each member and combines the reports received on
+// them into a View. The view determines where reads are placed, when writes are
+// acknowledged, and whether the primary is to be replaced. The decisions are made by the
+// core packages; this package supplies events, the clock and a lock, and executes their
+// commands.
 package cwwatch
 
 import (
@@ -75,8 +76,8 @@
 // Group tracks the state of one group at this proxy, places its statements and carries
 // out changes of primary. Its methods are safe for concurrent use.
 type Group struct {
-	cfg   Config
-	feeds map[cwgroup.MemberID]*cwtarget.ControlConn
+	cfg          Config
+	controlConns map[cwgroup.MemberID]*cwtarget.ControlConn
 	// cachedRank is used by the loop goroutine only.
 	cachedRank cachedRank
 
@@ -100,17 +101,18 @@
 	failoverGaps []time.Duration
 }
 
-// New returns a group that is not running yet. Call Run to start its feeds.
+// New returns a group that is not running yet. Call Run to open its control
+// connections.
 func New(cfg Config) *Group {
 	g := &Group{
-		cfg:      cfg,
-		contract: cfg.Contract,
-		feeds:    make(map[cwgroup.MemberID]*cwtarget.ControlConn),
-		sup:      cwfailover.NewSupervisor(cfg.Self, cfg.ClaimSeed, cfg.Group.Name, cfg.Group.MemberIDs()),
-		changed:  make(chan struct{}),
+		cfg:          cfg,
+		contract:     cfg.Contract,
+		controlConns: make(map[cwgroup.MemberID]*cwtarget.ControlConn),
+		sup:          cwfailover.NewSupervisor(cfg.Self, cfg.ClaimSeed, cfg.Group.Name, cfg.Group.MemberIDs()),
+		changed:      make(chan struct{}),
 	}
 	for _, t := range cfg.Group.Targets {
-		g.feeds[t.ID] = &cwtarget.ControlConn{
+		g.controlConns[t.ID] = &cwtarget.ControlConn{
 			Member:  t.ID,
 			Address: t.Address,
 			Startup: cwtarget.Startup{User: "cicadawalk", Database: cfg.Service, Application: cwtarget.ControlApplication},
@@ -124,7 +126,7 @@
 // Run keeps the group up to date until ctx ends, then ends all waits.
 func (g *Group) Run(ctx context.Context) error {
 	eg, ctx := errgroup.WithContext(ctx)
-	for _, f := range g.feeds {
+	for _, f := range g.controlConns {
 		eg.Go(func() error { return f.Run(ctx) })
 	}
 	eg.Go(func() error { return g.loop(ctx, eg) })
@@ -158,7 +160,7 @@
 
 func (g *Group) tick(ctx context.Context, eg *errgroup.Group) {
 	now := g.cfg.Clock.Now()
-	c := g.conditions()
+	c := g.tickInputs()
 	g.mu.Lock()
 	c.OpenWrites = g.openWrites
 	c.MembersCheckTerm, c.WithoutTable = g.contract.ChecksTerm, g.contract.FailoverWithoutTable
@@ -176,9 +178,9 @@
 	g.dispatch(ctx, eg, commands)
 }
 
-// conditions returns what is known of the other watchers. It calls Config.Watchers
+// tickInputs returns what is known of the other watchers. It calls Config.Watchers
 // without holding the group's lock.
-func (g *Group) conditions() cwfailover.TickInputs {
+func (g *Group) tickInputs() cwfailover.TickInputs {
 	live := g.cfg.Watchers.Live()
 	if !g.cachedRank.validFor(live) {
 		g.cachedRank = cachedRank{live: live, rank: cwplace.Rank(string(g.cfg.Self), g.cfg.Group.Name, live)}
--- a/internal/proxy/cwwatch/place.go
+++ b/internal/proxy/cwwatch/place.go
@@ -83,19 +83,19 @@
 func (g *Group) queryPosition() (cwgroup.LogPosition, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), positionTimeout)
 	defer cancel()
-	results := make(chan cwgroup.Status, len(g.feeds))
-	for _, f := range g.feeds {
+	results := make(chan cwgroup.Status, len(g.controlConns))
+	for _, f := range g.controlConns {
 		go func() {
 			r, _ := f.Status(ctx)
 			results <- r.Status
 		}()
 	}
 	var answers []cwgroup.Status
-	for range g.feeds {
+	for range g.controlConns {
 		if s := <-results; s.Member != "" {
 			answers = append(answers, s)
 		}
-		if m, ok := cwgroup.ConfirmedPosition(answers, len(g.feeds)); ok {
+		if m, ok := cwgroup.ConfirmedPosition(answers, len(g.controlConns)); ok {
 			return m, nil
 		}
 	}
@@ -140,9 +140,9 @@
 }
 
 // PlaceRead returns where to serve a read. It waits if the entry's policy says so or if
-// a new primary is expected soon. A decision of kind AskPrimary is returned to the
-// caller, which must determine the floor. The error is a refusal of a read that has not
-// run.
+// a new primary is expected soon. A decision with the action AskPrimary is returned
+// to the caller, which must determine the floor. The error is a refusal of a read that
+// has not run.
 func (g *Group) PlaceRead(ctx context.Context, rd cwroute.Read, deadline time.Time) (cwroute.Decision, error) {
 	began := g.cfg.Clock.Now()
 	for {
@@ -284,7 +284,7 @@
 
 // Activity asks a member what one of its sessions is doing.
 func (g *Group) Activity(ctx context.Context, id cwgroup.MemberID, pid uint32) (string, error) {
-	return g.feeds[id].SessionState(ctx, pid)
+	return g.controlConns[id].SessionState(ctx, pid)
 }
 
 // Reachable reports whether the member can be reached and its last report is no older
