--- a/internal/proxy/cwengine/exchange.go
+++ b/internal/proxy/cwengine/exchange.go
@@ -14,8 +14,8 @@
 // preparedName returns the name under which targets know a prepared statement,
 // derived from its text. The name is a cryptographic digest: if two texts shared a
 // name, a caller could run the statement of another one.
-func preparedName(writes bool, shape string) string {
-	digest := sha256.Sum256([]byte(shape))
+func preparedName(writes bool, text string) string {
+	digest := sha256.Sum256([]byte(text))
 	mode := "r"
 	if writes {
 		mode = "w"
@@ -75,7 +75,7 @@
 		// The prepare is sent together with the statement. If it fails, the target
 		// does not know the name and does not run the statement.
 		c.Send(cwstatement.Command{
-			Verb: cwstatement.Prepare, Name: w.prepare.name, Args: w.prepare.shape, Writes: w.prepare.writes,
+			Verb: cwstatement.Prepare, Name: w.prepare.name, Args: w.prepare.text, Writes: w.prepare.writes,
 		})
 	}
 	c.Send(w.command)
--- a/internal/proxy/cwengine/forwarded.go
+++ b/internal/proxy/cwengine/forwarded.go
@@ -40,9 +40,10 @@
 	connClosed atomic.Bool
 }
 
-// ServeForwarded runs a statement that another instance has forwarded, and returns its answer.
-// The answer has Elsewhere set if nothing ran and another holder may run the statement.
-// from identifies the connection on which it arrived; see ConnectionClosed.
+// ServeForwarded runs a statement that another instance has forwarded, and returns its
+// answer. The answer has TryOtherHolder set if nothing ran and another holder may run
+// the statement. from identifies the connection on which it arrived; see
+// ConnectionClosed.
 func (e *Engine) ServeForwarded(from any, h cwport.ForwardRequest) cwport.ForwardResponse {
 	e.forwardedInFlight.Add(1)
 	defer e.forwardedInFlight.Add(-1)
@@ -137,7 +138,7 @@
 	if h.Prepared != nil {
 		p := h.Prepared
 		s.prepared = map[string]preparedStatement{
-			h.Statement.Name: {name: preparedName(p.Writes, p.Text), shape: p.Text, writes: p.Writes},
+			h.Statement.Name: {name: preparedName(p.Writes, p.Text), text: p.Text, writes: p.Writes},
 		}
 	}
 	s.lastWrites = nil
--- a/internal/proxy/cwengine/groups_test.go
+++ b/internal/proxy/cwengine/groups_test.go
@@ -105,7 +105,7 @@
 
 func (*holdsAllGroups) HolderRank(string, cwholder.TargetCapacity) (int, bool) { return 0, true }
 
-// countingHolders counts the calls of Holds.
+// countingHolders counts the calls of HolderRank.
 type countingHolders struct {
 	forwardingHolders
 	calls int
--- a/internal/proxy/cwengine/listings.go
+++ b/internal/proxy/cwengine/listings.go
@@ -56,8 +56,8 @@
 	return out
 }
 
-// active returns the targets of a service that are neither leaving nor lapsed,
-// ordered by id.
+// active returns the targets of a service that are not draining and whose entries are
+// present, ordered by id.
 func (l *targetList) active(service string) []cwgroup.MemberID {
 	var out []cwgroup.MemberID
 	for _, id := range l.byService[service] {
@@ -68,12 +68,13 @@
 	return out
 }
 
-// anyActive reports whether a service has a target that is neither leaving nor lapsed.
+// anyActive reports whether a service has a target that is not draining and whose entry
+// is present.
 func (l *targetList) anyActive(service string) bool {
 	return slices.ContainsFunc(l.byService[service], func(id cwgroup.MemberID) bool { return isActive(l.byID[id]) })
 }
 
-// isActive reports whether a target is neither leaving nor lapsed.
+// isActive reports whether a target is not draining and its entry is present.
 func isActive(t cwport.ListedTarget) bool { return !t.Draining && !t.EntryMissing }
 
 // services returns the services that have targets, in no particular order.
--- a/internal/proxy/cwengine/remote.go
+++ b/internal/proxy/cwengine/remote.go
@@ -57,7 +57,7 @@
 		Elapsed: s.engine.cfg.Clock.Since(began),
 	}
 	if p, ok := s.prepared[st.Name]; ok && st.Verb == cwstatement.Execute {
-		h.Prepared = &cwport.Prepared{Text: p.shape, Writes: p.writes}
+		h.Prepared = &cwport.Prepared{Text: p.text, Writes: p.writes}
 	}
 	return h
 }
--- a/internal/proxy/cwengine/run.go
+++ b/internal/proxy/cwengine/run.go
@@ -41,7 +41,7 @@
 	priority int
 }
 
-func (l limits) claim() cwtargets.Urgency {
+func (l limits) urgency() cwtargets.Urgency {
 	return cwtargets.Urgency{Deadline: l.startBy, Priority: l.priority, Due: l.due}
 }
 
@@ -290,7 +290,7 @@
 
 // acquireAt waits for the statement's turn at a member and leases a connection to it.
 func (t *task) acquireAt(place cwlead.Placement) (*connLease, error) {
-	turn, err := place.Pool.Admit(t.limits.claim())
+	turn, err := place.Pool.Admit(t.limits.urgency())
 	if err != nil {
 		return nil, err
 	}
--- a/internal/proxy/cwengine/session.go
+++ b/internal/proxy/cwengine/session.go
@@ -37,8 +37,8 @@
 	// name is the name under which targets know it. It is derived from the content,
 	// since callers use the same names for different statements.
 	name string
-	// shape is the text that was prepared.
-	shape  string
+	// text is the statement as it was prepared.
+	text   string
 	writes bool
 }
 
@@ -286,7 +286,7 @@
 	if s.prepared == nil {
 		s.prepared = make(map[string]preparedStatement, 1)
 	}
-	s.prepared[st.Name] = preparedStatement{name: preparedName(st.Writes, st.Args), shape: st.Args, writes: st.Writes}
+	s.prepared[st.Name] = preparedStatement{name: preparedName(st.Writes, st.Args), text: st.Args, writes: st.Writes}
 	return cwstatement.Response{}
 }
 
--- a/internal/proxy/cwengine/transaction.go
+++ b/internal/proxy/cwengine/transaction.go
@@ -222,7 +222,7 @@
 // if nothing ran and the transaction may begin at another target.
 func (tx *transaction) runOnLease(t *task, w work) (cwstatement.Response, bool) {
 	l := tx.lease
-	if err := l.takeTurn(t.limits.claim()); err != nil {
+	if err := l.takeTurn(t.limits.urgency()); err != nil {
 		return t.placementFailure(err), false
 	}
 	first := !tx.mayHaveRun
