--- a/internal/tool/cwbound/bound.go
+++ b/internal/tool/cwbound/bound.go
@@ -35,8 +35,8 @@
 	return m, err
 })
 
-// CheckBound logs a value, and fails the test if the value is outside of the bound with that
-// name, or if there is no such bound.
+// CheckBound logs a value, and fails the test if the value is outside of the bound with
+// that name, or if there is no such bound.
 func CheckBound(t TestReporter, name string, value float64) {
 	t.Helper()
 	m, err := loadBounds()
--- a/internal/tool/cwcommand/catalogue.go
+++ b/internal/tool/cwcommand/catalogue.go
@@ -195,8 +195,8 @@
 	return cmd
 }
 
-// apply prints the differences between next and the current catalogue and, if yes is
-// true, stores next as a new revision.
+// apply prints the differences between next and the current catalogue and, if confirmed
+// is true, stores next as a new revision.
 func (o *platformFlags) apply(cmd *cobra.Command, next cwcatalogue.Catalogue, confirmed bool) error {
 	ctx, store, out := cmd.Context(), o.store(), cmd.OutOrStdout()
 	current, err := store.Load(ctx)
--- a/internal/tool/cwdemo/cluster.go
+++ b/internal/tool/cwdemo/cluster.go
@@ -1,9 +1,9 @@
 // Package cwdemo runs proxies, stand-in databases and a stand-in of the platform in one
 // process, for the demo command and for tests.
 //
-// A Bench is such a deployment: groups of three databases, the platform's table service,
-// and a number of proxies. Once runs a failover scenario on it: sessions move between two
-// proxies while the primary is stopped. Serve runs it until it is interrupted.
+// A Cluster is such a deployment: groups of three databases, the platform's table service,
+// and a number of proxies. RunScenario runs a failover scenario on it: sessions move between
+// two proxies while the primary is stopped. Serve runs it until it is interrupted.
 package cwdemo
 
 import (
@@ -40,7 +40,7 @@
 // dataCentres are the names of the data centres, in the order of hosts.
 var dataCentres = []string{"hall-rufino", "hall-chivilcoy", "hall-casilda"}
 
-// Options configures a Bench.
+// Options configures a Cluster.
 type Options struct {
 	// Proxies is the number of proxies. Listen has their addresses, IP:port each;
 	// proxies without one listen on a free port.
@@ -84,7 +84,7 @@
 	opts      Options
 }
 
-// Proxy is one running proxy of a Bench.
+// Proxy is one running proxy of a Cluster.
 type Proxy struct {
 	*cwnode.Node
 	cancel context.CancelFunc
--- a/internal/tool/cwdemo/scenario.go
+++ b/internal/tool/cwdemo/scenario.go
@@ -19,10 +19,10 @@
 	scenarioSessions = 12
 )
 
-// RunScenario runs the failover scenario: sessions write, read and move between two proxies, and
-// the primary is stopped meanwhile. It prints one key=value line for each result to w, and
-// the log lines of the proxies to logs. It returns an error if a consistency guarantee was
-// violated.
+// RunScenario runs the failover scenario: sessions write, read and move between two
+// proxies, and the primary is stopped meanwhile. It prints one key=value line for each
+// result to w, and the log lines of the proxies to logs. It returns an error if a
+// consistency guarantee was violated.
 func RunScenario(ctx context.Context, w, logs io.Writer) error {
 	b, err := Start(Options{Proxies: 2, ListLag: 100 * time.Millisecond, Log: logs})
 	if err != nil {
--- a/internal/tool/cwload/load.go
+++ b/internal/tool/cwload/load.go
@@ -43,8 +43,8 @@
 	// operation starts late because the one before it took long. Zero means that
 	// each session starts an operation when the last one ends.
 	Rate float64
-	// SwitchProxyEvery is the number of operations after which a session moves to the next
-	// proxy; zero means never.
+	// SwitchProxyEvery is the number of operations after which a session moves to the
+	// next proxy; zero means never.
 	SwitchProxyEvery int
 	// MaxAge is the greatest age of data that reads accept; zero sets no limit, so that
 	// only the session token counts.
@@ -82,7 +82,7 @@
 	// StaleOwnReads is the number of reads that lacked a record which the session had
 	// acknowledged.
 	StaleOwnReads int
-	// Lost, Doubled and FalseNotRun are the numbers of records that were acknowledged
+	// Lost, Duplicated and FalseNotRun are the numbers of records that were acknowledged
 	// and are missing, that are there more than once, and that are there although
 	// each answer said that the write did not run.
 	Lost        int
@@ -97,7 +97,8 @@
 	Acks []AcknowledgedWrite
 }
 
-// AcknowledgedWrite is when an acknowledged write was started and when it was acknowledged.
+// AcknowledgedWrite is when an acknowledged write was started and when its
+// acknowledgement arrived.
 type AcknowledgedWrite struct{ StartedAt, AckedAt time.Time }
 
 // NoViolations reports whether no consistency guarantee was violated.
@@ -225,7 +226,7 @@
 	for i := range l.plan.Sessions {
 		sessionLedger := &ledger{outcomes: make(map[int]outcome)}
 		l.ledger[i] = sessionLedger
-		s := &session{load: l, id: i, ledger: sessionLedger, rng: rand.New(rand.NewPCG(l.plan.Seed, uint64(i)))}
+		s := &session{runner: l, id: i, ledger: sessionLedger, rng: rand.New(rand.NewPCG(l.plan.Seed, uint64(i)))}
 		g.Go(func() error { return s.run(ctx) })
 	}
 	return g.Wait()
--- a/internal/tool/cwload/session.go
+++ b/internal/tool/cwload/session.go
@@ -35,7 +35,7 @@
 
 // session is one caller.
 type session struct {
-	load   *Runner
+	runner *Runner
 	id     int
 	ledger *ledger
 	rng    *rand.Rand
@@ -66,11 +66,11 @@
 // run runs operations until ctx ends, on the schedule of Plan.Rate if it is set.
 func (s *session) run(ctx context.Context) error {
 	defer s.close()
-	s.proxy = s.id % len(s.load.plan.URLs)
+	s.proxy = s.id % len(s.runner.plan.URLs)
 	due := time.Now()
 	step := time.Duration(0)
-	if s.load.plan.Rate > 0 {
-		step = time.Duration(float64(time.Second) * float64(s.load.plan.Sessions) / s.load.plan.Rate)
+	if s.runner.plan.Rate > 0 {
+		step = time.Duration(float64(time.Second) * float64(s.runner.plan.Sessions) / s.runner.plan.Rate)
 		due = due.Add(time.Duration(s.rng.Float64() * float64(step)))
 	}
 	for ctx.Err() == nil {
@@ -107,10 +107,10 @@
 // the plan's duration is over by then. intended is when the operation was scheduled.
 func (s *session) runOperation(intended time.Time) {
 	s.operationCount++
-	if r := s.load.plan.SwitchProxyEvery; r > 0 && s.operationCount%r == 0 {
+	if r := s.runner.plan.SwitchProxyEvery; r > 0 && s.operationCount%r == 0 {
 		s.switchProxy()
 	}
-	if s.rng.Float64() < s.load.plan.WriteShare {
+	if s.rng.Float64() < s.runner.plan.WriteShare {
 		s.write(intended)
 		return
 	}
@@ -120,7 +120,7 @@
 // switchProxy closes the connection; the next one goes to the next proxy.
 func (s *session) switchProxy() {
 	s.close()
-	s.proxy = (s.proxy + 1) % len(s.load.plan.URLs)
+	s.proxy = (s.proxy + 1) % len(s.runner.plan.URLs)
 }
 
 func (s *session) close() {
@@ -139,20 +139,20 @@
 	if s.conn != nil && !s.conn.IsClosed() {
 		return s.conn, nil
 	}
-	cfg, err := pgx.ParseConfig(s.load.plan.URLs[s.proxy])
+	cfg, err := pgx.ParseConfig(s.runner.plan.URLs[s.proxy])
 	if err != nil {
 		return nil, err
 	}
-	if s.token != "" && !s.load.plan.DropToken {
+	if s.token != "" && !s.runner.plan.DropToken {
 		cfg.RuntimeParams["cicadawalk.sessionToken"] = s.token
 	}
-	if a := s.load.plan.MaxAge; a > 0 {
+	if a := s.runner.plan.MaxAge; a > 0 {
 		cfg.RuntimeParams["cicadawalk.maxAge"] = strconv.FormatInt(a.Milliseconds(), 10)
 	}
 	s.conn, err = pgx.ConnectConfig(ctx, cfg)
 	if err != nil {
 		s.conn = nil
-		s.proxy = (s.proxy + 1) % len(s.load.plan.URLs)
+		s.proxy = (s.proxy + 1) % len(s.runner.plan.URLs)
 		time.Sleep(connectRetryDelay)
 	}
 	return s.conn, err
@@ -186,7 +186,7 @@
 		refused, pause := s.recordError(err)
 		if !refused {
 			result = unknown
-			if !s.load.plan.RequestKeys {
+			if !s.runner.plan.RequestKeys {
 				break
 			}
 		}
@@ -204,13 +204,13 @@
 	if err != nil {
 		return &notSentError{cause: err}
 	}
-	if s.load.plan.RequestKeys {
-		key := fmt.Sprintf("SET cicadawalk.requestKey = '%s-%d-%d'", s.load.plan.Table, s.id, seq)
+	if s.runner.plan.RequestKeys {
+		key := fmt.Sprintf("SET cicadawalk.requestKey = '%s-%d-%d'", s.runner.plan.Table, s.id, seq)
 		if _, err := conn.Exec(ctx, key); err != nil {
 			return &notSentError{cause: err}
 		}
 	}
-	_, err = conn.Exec(ctx, fmt.Sprintf("INSERT INTO %s VALUES ($1, $2, $3)", s.load.plan.Table), s.id, seq, "ronda")
+	_, err = conn.Exec(ctx, fmt.Sprintf("INSERT INTO %s VALUES ($1, $2, $3)", s.runner.plan.Table), s.id, seq, "ronda")
 	return err
 }
 
@@ -226,7 +226,7 @@
 	ended := time.Now()
 	s.ledger.outcomes[seq] = acknowledged
 	s.ledger.acked++
-	l := s.load
+	l := s.runner
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.report.Operations++
@@ -256,7 +256,7 @@
 // the delay before it is repeated. After an error that is not an answer of the proxy, the
 // session moves to the next proxy.
 func (s *session) recordError(err error) (refused bool, pause time.Duration) {
-	l := s.load
+	l := s.runner
 	var pe *pgconn.PgError
 	var ns *notSentError
 	isPG, isNotSent := errors.As(err, &pe), errors.As(err, &ns)
@@ -302,7 +302,7 @@
 			time.Sleep(pause)
 			continue
 		}
-		l := s.load
+		l := s.runner
 		l.mu.Lock()
 		l.report.Operations++
 		l.report.Reads++
@@ -324,6 +324,6 @@
 		return 0, &notSentError{cause: err}
 	}
 	var n int64
-	err = conn.QueryRow(ctx, fmt.Sprintf("SELECT count(*) FROM %s WHERE session = $1", s.load.plan.Table), s.id).Scan(&n)
+	err = conn.QueryRow(ctx, fmt.Sprintf("SELECT count(*) FROM %s WHERE session = $1", s.runner.plan.Table), s.id).Scan(&n)
 	return int(n), err
 }
--- a/internal/tool/cwsoak/access.go
+++ b/internal/tool/cwsoak/access.go
@@ -25,8 +25,8 @@
 
 // Bounds in the settings of the instances.
 const (
-	// KeyRevocationBound is the time after the revocation of a key from which no statement may
-	// run with it.
+	// KeyRevocationBound is the time after the revocation of a key from which no
+	// statement may run with it.
 	KeyRevocationBound = 3 * time.Second
 	// QuotaWindow, QuotaOverage and QuotaSlack define how precisely quotas are
 	// enforced; see cwcatalogue.QuotaTolerance.
@@ -101,8 +101,8 @@
 	}
 }
 
-// checkKey checks that the key of a statement that ran was not revoked more than KeyRevocationBound
-// before the statement was sent.
+// checkKey checks that the key of a statement that ran was not revoked more than
+// KeyRevocationBound before the statement was sent.
 func (env *environment) checkKey(key string, sent time.Time) {
 	env.access.mu.Lock()
 	at, ok := env.access.revokedAt[key]
--- a/internal/tool/cwsoak/environment.go
+++ b/internal/tool/cwsoak/environment.go
@@ -92,14 +92,14 @@
 type promoter struct{ env *environment }
 
 // Promote implements cwport.Promoter.
-func (p promoter) Promote(ctx context.Context, order cwport.Promotion) error {
+func (p promoter) Promote(ctx context.Context, promotion cwport.Promotion) error {
 	for _, g := range p.env.groups {
-		if g.Service == order.Service {
-			defer p.env.runPromotionHook(order.Holder)
-			return g.Promote(ctx, order)
+		if g.Service == promotion.Service {
+			defer p.env.runPromotionHook(promotion.Holder)
+			return g.Promote(ctx, promotion)
 		}
 	}
-	return &cwport.RefusedError{Code: cwstatement.WrongTarget, Detail: order.Service}
+	return &cwport.RefusedError{Code: cwstatement.WrongTarget, Detail: promotion.Service}
 }
 
 // runPromotionHook calls onPromotion, if set, and clears it.
--- a/internal/tool/cwsoak/ledger.go
+++ b/internal/tool/cwsoak/ledger.go
@@ -25,22 +25,24 @@
 	// FalseNotRun is a record that was written although its caller was told that
 	// the statement had no effect.
 	FalseNotRun Guarantee = "falseNotRun"
-	// ConflictingHolders is two holders that promoted with the same fence, or a fence lower than
-	// an earlier one.
+	// ConflictingHolders is two holders that promoted with the same fence, or a fence
+	// lower than an earlier one.
 	ConflictingHolders Guarantee = "holders"
 	// DesiredStateReverted is an instance that returned to an older desired state.
 	DesiredStateReverted Guarantee = "reverted"
-	// StatementInterrupted is a statement that was interrupted by a planned stop of an instance.
+	// StatementInterrupted is a statement that was interrupted by a planned stop of an
+	// instance.
 	StatementInterrupted Guarantee = "cut"
-	// RevokedKeyAccepted is a statement that ran more than KeyRevocationBound after its key was revoked.
+	// RevokedKeyAccepted is a statement that ran more than KeyRevocationBound after its
+	// key was revoked.
 	RevokedKeyAccepted Guarantee = "revoked"
 	// WrongWorkspace is a statement that a target ran for the wrong workspace.
 	WrongWorkspace Guarantee = "misbooked"
 	// QuotaExceeded is a window in which a workspace ran more operations than its quota
 	// allows.
 	QuotaExceeded Guarantee = "overQuota"
-	// DesiredStateOutdated is an instance that does not have a desired state in force within
-	// the time limit after it was acknowledged.
+	// DesiredStateOutdated is an instance that does not have a desired state in force
+	// within the time limit after the state was acknowledged.
 	DesiredStateOutdated Guarantee = "outdated"
 	// NotRecovered is a group that is not served after all faults were removed.
 	NotRecovered Guarantee = "notRecovered"
--- a/internal/tool/cwsoak/soak.go
+++ b/internal/tool/cwsoak/soak.go
@@ -18,7 +18,7 @@
 // Clocks are not changed: only a privileged process may set them, and the proxies use
 // the boot-time clock.
 //
-// The values of Kind are the guarantees that are checked. At the end all faults are
+// The values of Guarantee are the guarantees that are checked. At the end all faults are
 // removed, and the system has to serve every group again.
 package cwsoak
 
@@ -99,9 +99,9 @@
 	Seed uint64
 	// Faults is the number of injected faults.
 	Faults int
-	// Acknowledged, Refused and Unresolved are the numbers of writes and transactions that
-	// were acknowledged, that had no effect because they were refused, rolled back or
-	// interrupted before their COMMIT, and whose outcome is unknown.
+	// Acknowledged, WithoutEffect and Unresolved are the numbers of writes and
+	// transactions that were acknowledged, that had no effect because they were refused,
+	// rolled back or interrupted before their COMMIT, and whose outcome is unknown.
 	Acknowledged  int
 	WithoutEffect int
 	Unresolved    int
