--- a/cicadawalk.go
+++ b/cicadawalk.go
@@ -4,7 +4,7 @@
 // group of replicated databases, events and the current time, and return typed decisions.
 // The embedding program owns sockets, goroutines and the clock.
 //
-// A group has members, one of which is the primary of the current Term. A Mark is a
+// A group has members, one of which is the primary of the current Term. A LogPosition is a
 // position in the replicated log: a term and a number of records. A View is what a program
 // knows about a group; it consists of one Report for each member.
 //
@@ -12,11 +12,11 @@
 //     has its record at the primary's own term.
 //   - A Token carries the log positions that a session has seen, and a Router selects a
 //     member for a read that has them.
-//   - A Supervisor decides when a primary is replaced, and returns the orders that carry
+//   - A Supervisor decides when a primary is replaced, and returns the commands that carry
 //     out the change, one step at a time.
-//   - Shares divides the connections of a target between proxies, Gate limits and queues
-//     the statements in progress at a target, and Budget limits retries, so that an
-//     overload does not grow by them.
+//   - ConnectionShares divides the connections of a target between proxies, AdmissionQueue
+//     limits and queues the statements in progress at a target, and RetryBudget limits
+//     retries, so that retries do not make an overload worse.
 //
 // The example uses them together on a group of three members.
 package cicadawalk
@@ -82,10 +82,11 @@
 	Pending = cwack.Pending
 	// Acknowledged means that a majority has the record.
 	Acknowledged = cwack.Acknowledged
-	// Superseded means that the primary was replaced before. The record may have been
-	// lost or not.
+	// Superseded means that the primary was replaced before a majority had the record.
+	// The record may have been lost or not.
 	Superseded = cwack.Superseded
-	// TimedOut means that the deadline passed before. The record may survive.
+	// TimedOut means that the deadline passed before a majority had the record. The
+	// record may survive.
 	TimedOut = cwack.TimedOut
 )
 
@@ -103,8 +104,8 @@
 	// Decision is the member that a read is sent to, the time that it waits, or its
 	// refusal.
 	Decision = cwroute.Decision
-	// PrimaryFallback is the policy that sends a read which no replica can serve yet to the
-	// primary.
+	// PrimaryFallback is the policy that sends a read which no replica can serve yet to
+	// the primary.
 	PrimaryFallback = cwroute.PrimaryFallback
 	// BoundedWait is the policy that lets such a read wait for a replica, up to a
 	// duration.
@@ -146,11 +147,11 @@
 
 // Limits of connections, statements and retries.
 type (
-	// ConnectionShares divides the connection limit of a target between the proxies that hold
-	// connections to it.
+	// ConnectionShares divides the connection limit of a target between the proxies that
+	// hold connections to it.
 	ConnectionShares = cwlimit.ConnectionShares
-	// DelayedShare is the share of a target's connections that a proxy uses. It falls at once
-	// and rises with a delay, since the list of proxies lags.
+	// DelayedShare is the share of a target's connections that a proxy uses. It falls at
+	// once and rises with a delay, since the list of proxies lags.
 	DelayedShare = cwlimit.DelayedShare
 	// AdmissionQueue limits the statements in progress at one target, and queues others by
 	// priority.
--- a/example_test.go
+++ b/example_test.go
@@ -9,7 +9,7 @@
 
 // A group of three members loses its primary. The example acknowledges a write, routes a
 // read of the session that wrote, and lets a Supervisor start to replace the primary. A
-// program would send the orders and pass the answers back.
+// program would send the commands and pass the responses back.
 func Example() {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	members := []cicadawalk.MemberID{"a", "b", "c"}
