--- a/internal/core/cwproof/ledger_test.go
+++ b/internal/core/cwproof/ledger_test.go
@@ -130,22 +130,22 @@
 	p := l.proxy()
 	p.do(func() {
 		if l.sim.rng.IntN(4) > 0 {
-			l.placeRead(r, p, cwroute.Read{Floor: floorOf(r.position)})
+			l.routeRead(r, p, cwroute.Read{Floor: floorOf(r.position)})
 			return
 		}
-		p.readPosition(func(position cwgroup.LogPosition) { l.placeRead(r, p, cwroute.Read{Floor: floorOf(position)}) })
+		p.readPosition(func(position cwgroup.LogPosition) { l.routeRead(r, p, cwroute.Read{Floor: floorOf(position)}) })
 	})
 }
 
-func (l *ledger) placeRead(r *request, p *proxy, rd cwroute.Read) {
-	d := p.placeRead(rd)
+func (l *ledger) routeRead(r *request, p *proxy, rd cwroute.Read) {
+	d := p.routeRead(rd)
 	switch d.Action {
 	case cwroute.Wait:
 		l.sim.after(5*time.Millisecond, func() {
 			p.do(func() {
 				rd.Waited += 5 * time.Millisecond
 				l.readWait += 5 * time.Millisecond
-				l.placeRead(r, p, rd)
+				l.routeRead(r, p, rd)
 			})
 		})
 	case cwroute.Serve:
--- a/internal/core/cwproof/measure_test.go
+++ b/internal/core/cwproof/measure_test.go
@@ -169,5 +169,5 @@
 	if s.lastRequest == 0 {
 		return
 	}
-	s.sim.ledger.placeRead(s.sim.ledger.requests[s.lastRequest], p, cwroute.Read{Floor: floorOf(s.position)})
+	s.sim.ledger.routeRead(s.sim.ledger.requests[s.lastRequest], p, cwroute.Read{Floor: floorOf(s.position)})
 }
--- a/internal/core/cwproof/proxy_test.go
+++ b/internal/core/cwproof/proxy_test.go
@@ -257,8 +257,8 @@
 	}
 }
 
-// placeRead selects a member for a read in the same way as a Group.
-func (p *proxy) placeRead(rd cwroute.Read) cwroute.Decision {
+// routeRead selects a member for a read in the same way as a cwwatch.Group.
+func (p *proxy) routeRead(rd cwroute.Read) cwroute.Decision {
 	var cands []cwroute.Candidate
 	v := p.supervisor.View()
 	for _, m := range p.sim.members {
--- a/internal/core/cwproof/simulation_test.go
+++ b/internal/core/cwproof/simulation_test.go
@@ -284,12 +284,12 @@
 	return m.follow.id()
 }
 
-func (m *member) acceptsOrder(t cwgroup.Term, c cwgroup.ClaimID) bool {
+func (m *member) acceptsCommand(t cwgroup.Term, c cwgroup.ClaimID) bool {
 	return !m.sim.options.checksTerm || t > m.adopted || t == m.adopted && c == m.claim
 }
 
 func (m *member) adopt(t cwgroup.Term, c cwgroup.ClaimID) bool {
-	if !m.acceptsOrder(t, c) {
+	if !m.acceptsCommand(t, c) {
 		return false
 	}
 	if t != m.adopted || c != m.claim {
@@ -313,7 +313,7 @@
 }
 
 func (m *member) followPrimary(t cwgroup.Term, c cwgroup.ClaimID, p *member) bool {
-	if !m.acceptsOrder(t, c) || m.role == cwgroup.RolePrimary && m.adopted == t && m.sim.options.checksTerm {
+	if !m.acceptsCommand(t, c) || m.role == cwgroup.RolePrimary && m.adopted == t && m.sim.options.checksTerm {
 		return false
 	}
 	m.adopted, m.claim, m.role, m.follow = t, c, cwgroup.RoleReplica, p
