--- a/internal/core/cwfeed/tree.go
+++ b/internal/core/cwfeed/tree.go
@@ -20,7 +20,7 @@
 // answered.
 package cwfeed
 
-import "cicadawalk.example/cicadawalk/internal/core/cwplace"
+import "cicadawalk.example/cicadawalk/internal/core/cwrendezvous"
 
 // Default parameters of a DistributionTree.
 const (
@@ -56,11 +56,11 @@
 	if len(instances) < orDefault(t.MinInstances, DefaultMinInstances) {
 		return "", false
 	}
-	rank := cwplace.Rank(self, treeKey, instances)
+	rank := cwrendezvous.Rank(self, treeKey, instances)
 	if rank < roots || rank >= len(instances) {
 		return "", false
 	}
-	return cwplace.Order(treeKey, instances)[(rank-roots)/fanout], true
+	return cwrendezvous.Order(treeKey, instances)[(rank-roots)/fanout], true
 }
 
 // treeKey is the rendezvous key of the tree. It differs from the names of groups,
--- a/internal/core/cwholder/holder.go
+++ b/internal/core/cwholder/holder.go
@@ -24,7 +24,7 @@
 import (
 	"slices"
 
-	"cicadawalk.example/cicadawalk/internal/core/cwplace"
+	"cicadawalk.example/cicadawalk/internal/core/cwrendezvous"
 )
 
 // Instance describes an instance that can be a holder.
@@ -128,7 +128,7 @@
 		byID[i.ID] = i
 	}
 	var out []Instance
-	for _, id := range cwplace.First(key, ids, n) {
+	for _, id := range cwrendezvous.First(key, ids, n) {
 		out = append(out, byID[id])
 	}
 	return out
--- a/internal/core/cwholder/placement.go
+++ b/internal/core/cwholder/placement.go
@@ -4,7 +4,7 @@
 	"maps"
 	"slices"
 
-	"cicadawalk.example/cicadawalk/internal/core/cwplace"
+	"cicadawalk.example/cicadawalk/internal/core/cwrendezvous"
 )
 
 // Placement computes the holders of each group from the known instances and
@@ -115,7 +115,7 @@
 			delete(p.ranks, group)
 			continue
 		}
-		if !cwplace.Precedes(i.ID, p.Self.ID, group) {
+		if !cwrendezvous.Precedes(i.ID, p.Self.ID, group) {
 			continue
 		}
 		known.preceding += by
@@ -138,14 +138,14 @@
 			near = append(near, h.ID)
 		}
 	}
-	return cwplace.Rank(i.ID, group, append(near, i.ID)) < p.holdersIn(i.DataCentre, group, r.capacity)
+	return cwrendezvous.Rank(i.ID, group, append(near, i.ID)) < p.holdersIn(i.DataCentre, group, r.capacity)
 }
 
 // holdersIn returns the number of holders of a group in a data centre.
 func (p *Placement) holdersIn(centre, group string, d TargetCapacity) int {
 	rank := 0
 	for other := range p.idsByCentre {
-		if other != centre && cwplace.Precedes(other, centre, group) {
+		if other != centre && cwrendezvous.Precedes(other, centre, group) {
 			rank++
 		}
 	}
@@ -157,10 +157,10 @@
 // centre has no more instances than the group needs holders there, all of them are
 // holders and none of them has to forward.
 func (p *Placement) Holders(group string, d TargetCapacity) []Instance {
-	centres := cwplace.Order(group, slices.Collect(maps.Keys(p.idsByCentre)))
+	centres := cwrendezvous.Order(group, slices.Collect(maps.Keys(p.idsByCentre)))
 	var out, additional []Instance
 	for rank, c := range centres {
-		for n, id := range cwplace.First(group, p.idsByCentre[c], d.holdersInDataCentre(rank, len(centres))) {
+		for n, id := range cwrendezvous.First(group, p.idsByCentre[c], d.holdersInDataCentre(rank, len(centres))) {
 			if n == 0 {
 				out = append(out, p.instances[id])
 			} else {
@@ -214,7 +214,7 @@
 	centre := p.idsByCentre[p.Self.DataCentre]
 	out := selfRank{capacity: d, preceding: len(centre), localHolders: p.holdersIn(p.Self.DataCentre, group, d), rank: -1}
 	if p.instances[p.Self.ID] == p.Self {
-		out.preceding = cwplace.Rank(p.Self.ID, group, centre)
+		out.preceding = cwrendezvous.Rank(p.Self.ID, group, centre)
 		if out.preceding < out.localHolders {
 			out.rank = slices.Index(p.cachedRoute(group, d).holders, p.Self)
 		}
--- a/internal/core/cwlimit/share.go
+++ b/internal/core/cwlimit/share.go
@@ -18,7 +18,7 @@
 import (
 	"time"
 
-	"cicadawalk.example/cicadawalk/internal/core/cwplace"
+	"cicadawalk.example/cicadawalk/internal/core/cwrendezvous"
 )
 
 // ConnectionShares divides the connection limit of a target among its holders, the
@@ -37,7 +37,7 @@
 // connections don't always go to the same instances. If there are more holders than
 // connections for traffic, the first Limit-Reserved holders get one each.
 func (s ConnectionShares) ShareOf(self, target string, holders []string) int {
-	rank := cwplace.Rank(self, target, holders)
+	rank := cwrendezvous.Rank(self, target, holders)
 	if rank == len(holders) {
 		// The other instances don't count this one either.
 		return 0
--- a/internal/core/cwplace/place.go
+++ b/internal/core/cwrendezvous/place.go
@@ -1,8 +1,8 @@
-// Package cwplace implements rendezvous hashing. For each key, every instance
+// Package cwrendezvous implements rendezvous hashing. For each key, every instance
 // computes the same order of the nodes in a list, without communication. If a
 // node is added or removed, the relative order of the others stays the same, so
 // that as few keys as possible move.
-package cwplace
+package cwrendezvous
 
 import (
 	"cmp"
--- a/internal/core/cwplace/place_test.go
+++ b/internal/core/cwrendezvous/place_test.go
@@ -1,4 +1,4 @@
-package cwplace
+package cwrendezvous
 
 import (
 	"fmt"
--- a/internal/proxy/cwfront/session.go
+++ b/internal/proxy/cwfront/session.go
@@ -12,8 +12,8 @@
 
 	"cicadawalk.example/cicadawalk/internal/core/cwcatalogue"
 	"cicadawalk.example/cicadawalk/internal/core/cwgroup"
-	"cicadawalk.example/cicadawalk/internal/core/cwplace"
 	"cicadawalk.example/cicadawalk/internal/core/cwrefusal"
+	"cicadawalk.example/cicadawalk/internal/core/cwrendezvous"
 	"cicadawalk.example/cicadawalk/internal/core/cwsession"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwpool"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwwatch"
@@ -79,7 +79,7 @@
 			s.group = nil
 			return nil
 		}
-		name = cwplace.Order(s.proxySettings.shard, names)[0]
+		name = cwrendezvous.Order(s.proxySettings.shard, names)[0]
 	}
 	g, ok := s.server.Proxy.Group(name)
 	if !ok {
--- a/internal/proxy/cwnode/catalogue.go
+++ b/internal/proxy/cwnode/catalogue.go
@@ -10,7 +10,7 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwcatalogue"
 	"cicadawalk.example/cicadawalk/internal/core/cwgroup"
 	"cicadawalk.example/cicadawalk/internal/core/cwlimit"
-	"cicadawalk.example/cicadawalk/internal/core/cwplace"
+	"cicadawalk.example/cicadawalk/internal/core/cwrendezvous"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwpool"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwwatch"
 	"cicadawalk.example/cicadawalk/internal/wire/cwcodec"
@@ -42,7 +42,7 @@
 	for ctx.Err() == nil {
 		n.pollTable(ctx)
 		wait := slowPollInterval
-		if !n.Ready() || cwplace.Rank(n.cfg.Instance, "catalogue", n.Live()) < fastPollers {
+		if !n.Ready() || cwrendezvous.Rank(n.cfg.Instance, "catalogue", n.Live()) < fastPollers {
 			wait = fastPollInterval
 		}
 		if !n.Ready() {
--- a/internal/proxy/cwnode/peers.go
+++ b/internal/proxy/cwnode/peers.go
@@ -7,7 +7,7 @@
 
 	"cicadawalk.example/cicadawalk/internal/core/cwcatalogue"
 	"cicadawalk.example/cicadawalk/internal/core/cwfailover"
-	"cicadawalk.example/cicadawalk/internal/core/cwplace"
+	"cicadawalk.example/cicadawalk/internal/core/cwrendezvous"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwfront"
 	"cicadawalk.example/cicadawalk/internal/wire/cwpeer"
 	"cicadawalk.example/cicadawalk/internal/wire/cwplatform"
@@ -64,7 +64,7 @@
 		}
 	}
 	wanted := make(map[string]bool)
-	for _, id := range cwplace.First(n.cfg.Instance, ids, maxPartners) {
+	for _, id := range cwrendezvous.First(n.cfg.Instance, ids, maxPartners) {
 		wanted[byID[id]] = true
 	}
 	if len(wanted) == 0 {
--- a/internal/proxy/cwwatch/group.go
+++ b/internal/proxy/cwwatch/group.go
@@ -21,7 +21,7 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwcatalogue"
 	"cicadawalk.example/cicadawalk/internal/core/cwfailover"
 	"cicadawalk.example/cicadawalk/internal/core/cwgroup"
-	"cicadawalk.example/cicadawalk/internal/core/cwplace"
+	"cicadawalk.example/cicadawalk/internal/core/cwrendezvous"
 	"cicadawalk.example/cicadawalk/internal/core/cwroute"
 	"cicadawalk.example/cicadawalk/internal/wire/cwplatform"
 	"cicadawalk.example/cicadawalk/internal/wire/cwtarget"
@@ -183,7 +183,7 @@
 func (g *Group) tickInputs() cwfailover.TickInputs {
 	live := g.cfg.Watchers.Live()
 	if !g.cachedRank.validFor(live) {
-		g.cachedRank = cachedRank{live: live, rank: cwplace.Rank(string(g.cfg.Self), g.cfg.Group.Name, live)}
+		g.cachedRank = cachedRank{live: live, rank: cwrendezvous.Rank(string(g.cfg.Self), g.cfg.Group.Name, live)}
 	}
 	return cwfailover.TickInputs{ListedProxies: len(live), Rank: g.cachedRank.rank}
 }
