--- a/internal/core/cwrequest/request.go
+++ b/internal/core/cwrequestkey/request.go
@@ -1,4 +1,4 @@
-// Package cwrequest implements request keys (idempotency keys), with which a
+// Package cwrequestkey implements request keys (idempotency keys), with which a
 // request runs at most once.
 //
 // A caller may send a request key with a write. The key is inserted into a table of
@@ -14,7 +14,7 @@
 //
 // The package holds the SQL statements and the decisions; the caller runs the
 // statements.
-package cwrequest
+package cwrequestkey
 
 import (
 	"crypto/sha256"
--- a/internal/core/cwrequest/request_test.go
+++ b/internal/core/cwrequestkey/request_test.go
@@ -1,4 +1,4 @@
-package cwrequest
+package cwrequestkey
 
 import (
 	"strings"
--- a/internal/proxy/cwfront/extended.go
+++ b/internal/proxy/cwfront/extended.go
@@ -7,7 +7,7 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 
 	"cicadawalk.example/cicadawalk/internal/core/cwrefusal"
-	"cicadawalk.example/cicadawalk/internal/core/cwrequest"
+	"cicadawalk.example/cicadawalk/internal/core/cwrequestkey"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwpool"
 	"cicadawalk.example/cicadawalk/internal/wire/cwsql"
 )
@@ -255,7 +255,7 @@
 			parts = append(parts, []byte{byte(f)})
 		}
 	}
-	return cwrequest.Digest(parts...)
+	return cwrequestkey.Digest(parts...)
 }
 
 // answerBatchLocally answers a batch that needs no target: one that only
--- a/internal/proxy/cwfront/request_key.go
+++ b/internal/proxy/cwfront/request_key.go
@@ -9,7 +9,7 @@
 
 	"cicadawalk.example/cicadawalk/internal/core/cwack"
 	"cicadawalk.example/cicadawalk/internal/core/cwrefusal"
-	"cicadawalk.example/cicadawalk/internal/core/cwrequest"
+	"cicadawalk.example/cicadawalk/internal/core/cwrequestkey"
 	"cicadawalk.example/cicadawalk/internal/wire/cwtarget"
 )
 
@@ -21,7 +21,7 @@
 // request.
 const resolveRetryInterval = 100 * time.Millisecond
 
-// substituteArguments replaces the placeholders $1, $2 ... of a cwrequest
+// substituteArguments replaces the placeholders $1, $2 ... of a cwrequestkey
 // statement with the quoted arguments. It does so in one pass, so that text in an
 // argument that looks like a placeholder is not replaced.
 func substituteArguments(query string, args ...string) string {
@@ -103,10 +103,10 @@
 		}
 		return false, nil
 	}
-	if flushed || len(s.output)-start > cwrequest.MaxAnswerLen {
+	if flushed || len(s.output)-start > cwrequestkey.MaxAnswerLen {
 		s.discardOutput(start, flushed)
 		s.rollback(r)
-		return false, cwrefusal.NotRun(cwrefusal.LimitExceeded, 0, "the answer to a request with a key is longer than %d bytes", cwrequest.MaxAnswerLen)
+		return false, cwrefusal.NotRun(cwrefusal.LimitExceeded, 0, "the answer to a request with a key is longer than %d bytes", cwrequestkey.MaxAnswerLen)
 	}
 	return k.commit(r, start)
 }
@@ -116,7 +116,7 @@
 func (k *keyedRequest) commit(r route, start int) (retry bool, err error) {
 	s := k.s
 	encoded := base64.StdEncoding.EncodeToString(s.output[start:])
-	res, err := s.exec(r, substituteArguments(cwrequest.RecordAnswer, k.key, encoded)+"; COMMIT")
+	res, err := s.exec(r, substituteArguments(cwrequestkey.RecordAnswer, k.key, encoded)+"; COMMIT")
 	if err != nil {
 		s.output = s.output[:start]
 		if cwtarget.ServerCode(err) != "" {
@@ -147,9 +147,9 @@
 	}
 	query := "BEGIN; "
 	if k.tombstone != "" {
-		query += substituteArguments(cwrequest.DeleteTombstone, k.key, k.tombstone) + "; "
+		query += substituteArguments(cwrequestkey.DeleteTombstone, k.key, k.tombstone) + "; "
 	}
-	_, err := s.exec(r, query+substituteArguments(cwrequest.InsertKey, k.key, k.digest, "open"))
+	_, err := s.exec(r, query+substituteArguments(cwrequestkey.InsertKey, k.key, k.digest, "open"))
 	return err
 }
 
@@ -168,7 +168,7 @@
 			s.discardConnection(r)
 			return true, refusal
 		}
-		_, err := s.exec(r, cwrequest.CreateTable)
+		_, err := s.exec(r, cwrequestkey.CreateTable)
 		s.releaseOrDiscard(r, err)
 		return true, refusal
 	case "23505":
@@ -196,12 +196,12 @@
 	if err != nil {
 		return true, cwrefusal.NotRun(cwrefusal.SerializationFailure, retryAfter, "the request could not begin")
 	}
-	switch cwrequest.Classify(row, k.digest) {
-	case cwrequest.Replay:
+	switch cwrequestkey.Classify(row, k.digest) {
+	case cwrequestkey.Replay:
 		return false, s.replay(r, row)
-	case cwrequest.Mismatch:
+	case cwrequestkey.Mismatch:
 		return false, cwrefusal.NotRun(cwrefusal.DuplicateRequest, 0, "this request key belongs to another request")
-	case cwrequest.Tombstoned:
+	case cwrequestkey.Tombstoned:
 		k.tombstone = row.State
 	}
 	return true, cwrefusal.NotRun(cwrefusal.SerializationFailure, retryAfter, "another attempt of this request is in progress")
@@ -215,7 +215,7 @@
 // would have been told that a lost request was done. So the replay waits until
 // the primary's log is on a majority, up to a position that was read after the
 // lookup and in the same term.
-func (s *session) replay(r route, row cwrequest.Row) error {
+func (s *session) replay(r route, row cwrequestkey.Row) error {
 	if err := s.awaitPrimaryLogOnMajority(r); err != nil {
 		return cwrefusal.Unknown("this request has run before, but it is not known yet whether that is kept")
 	}
@@ -303,8 +303,8 @@
 		s.releaseOrDiscard(r, err)
 		return false, err
 	}
-	meaning := cwrequest.Classify(row, digest)
-	if meaning == cwrequest.Absent {
+	meaning := cwrequestkey.Classify(row, digest)
+	if meaning == cwrequestkey.Absent {
 		err := s.writeTombstone(r, key, digest)
 		return err == nil, confirmNotRun(err)
 	}
@@ -313,7 +313,7 @@
 		return false, errTermChanged
 	}
 	switch meaning {
-	case cwrequest.Replay:
+	case cwrequestkey.Replay:
 		answer, err := base64.StdEncoding.DecodeString(row.Answer)
 		if err != nil {
 			return true, cwrefusal.Unknown("the recorded answer of this request is damaged")
@@ -321,7 +321,7 @@
 		s.server.Metrics.Replays.Inc()
 		s.output = append(s.output, answer...)
 		return true, nil
-	case cwrequest.Tombstoned:
+	case cwrequestkey.Tombstoned:
 		return true, confirmNotRun(nil)
 	}
 	return true, cwrefusal.NotRun(cwrefusal.DuplicateRequest, 0, "this request key belongs to another request")
@@ -339,8 +339,8 @@
 // writeTombstone inserts a tombstone for the key and waits until a majority has
 // it.
 func (s *session) writeTombstone(r route, key, digest string) error {
-	id := cwrequest.TombstoneState(fmt.Sprintf("%d-%d", s.cancelKey.pid, s.server.Clock.Now().UnixNano()))
-	res, err := s.exec(r, substituteArguments(cwrequest.InsertTombstone, key, digest, id))
+	id := cwrequestkey.TombstoneState(fmt.Sprintf("%d-%d", s.cancelKey.pid, s.server.Clock.Now().UnixNano()))
+	res, err := s.exec(r, substituteArguments(cwrequestkey.InsertTombstone, key, digest, id))
 	s.releaseOrDiscard(r, err)
 	if err != nil {
 		return err
@@ -353,17 +353,17 @@
 }
 
 // lookupKey reads the row of a key from the member of r.
-func (s *session) lookupKey(r route, key string) (cwrequest.Row, error) {
-	res, err := s.exec(r, substituteArguments(cwrequest.SelectKey, key))
+func (s *session) lookupKey(r route, key string) (cwrequestkey.Row, error) {
+	res, err := s.exec(r, substituteArguments(cwrequestkey.SelectKey, key))
 	if cwtarget.ServerCode(err) == "42P01" {
 		// The table is missing, so no request with a key has committed in this
 		// group yet. Create it, so that a tombstone can be written.
-		_, err = s.exec(r, cwrequest.CreateTable)
-		return cwrequest.Row{}, err
+		_, err = s.exec(r, cwrequestkey.CreateTable)
+		return cwrequestkey.Row{}, err
 	}
 	if err != nil || len(res.Rows) == 0 {
-		return cwrequest.Row{}, err
+		return cwrequestkey.Row{}, err
 	}
 	row := res.Rows[0]
-	return cwrequest.Row{Found: true, Digest: row[0], State: row[1], Answer: row[2]}, nil
+	return cwrequestkey.Row{Found: true, Digest: row[0], State: row[1], Answer: row[2]}, nil
 }
--- a/internal/proxy/cwfront/settings.go
+++ b/internal/proxy/cwfront/settings.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"cicadawalk.example/cicadawalk/internal/core/cwrefusal"
-	"cicadawalk.example/cicadawalk/internal/core/cwrequest"
+	"cicadawalk.example/cicadawalk/internal/core/cwrequestkey"
 )
 
 // Names of the settings that the proxy itself handles, in lower case as the
@@ -129,7 +129,7 @@
 		return s.setToken(value)
 	case settingRequestKey:
 		if value != "" {
-			if err := cwrequest.CheckKey(value); err != nil {
+			if err := cwrequestkey.CheckKey(value); err != nil {
 				return invalidSetting("cicadawalk.requestKey", "", err.Error())
 			}
 		}
--- a/internal/proxy/cwfront/simple.go
+++ b/internal/proxy/cwfront/simple.go
@@ -7,7 +7,7 @@
 	"github.com/jackc/pgx/v5/pgtype"
 
 	"cicadawalk.example/cicadawalk/internal/core/cwrefusal"
-	"cicadawalk.example/cicadawalk/internal/core/cwrequest"
+	"cicadawalk.example/cicadawalk/internal/core/cwrequestkey"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwpool"
 	"cicadawalk.example/cicadawalk/internal/wire/cwsql"
 )
@@ -43,7 +43,7 @@
 		begins:    st.Kind == cwsql.Begin,
 		mayCommit: st.Kind == cwsql.Commit,
 		sync:      true,
-		digest:    func() string { return cwrequest.Digest([]byte(text)) },
+		digest:    func() string { return cwrequestkey.Digest([]byte(text)) },
 		send: func(c *cwpool.Conn) *responseQueue {
 			c.Frontend.SendQuery(&pgproto3.Query{String: text})
 			return nil
@@ -257,7 +257,7 @@
 		s.failStatement(errAborted)
 		return
 	}
-	req := request{readOnly: true, sync: true, digest: func() string { return cwrequest.Digest([]byte(text)) }}
+	req := request{readOnly: true, sync: true, digest: func() string { return cwrequestkey.Digest([]byte(text)) }}
 	settingCount := 0
 	for _, st := range stmts {
 		switch st.Kind {
--- a/internal/proxy/cwfront/transaction.go
+++ b/internal/proxy/cwfront/transaction.go
@@ -3,7 +3,7 @@
 import (
 	"cicadawalk.example/cicadawalk/internal/core/cwgroup"
 	"cicadawalk.example/cicadawalk/internal/core/cwrefusal"
-	"cicadawalk.example/cicadawalk/internal/core/cwrequest"
+	"cicadawalk.example/cicadawalk/internal/core/cwrequestkey"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwpool"
 )
 
@@ -50,7 +50,7 @@
 	}
 	start := len(s.output)
 	if req.mayCommit && tx.requestKey != "" && tx.txStatus == 'T' {
-		if _, err := s.exec(r, substituteArguments(cwrequest.RecordAnswer, tx.requestKey, "")); err != nil {
+		if _, err := s.exec(r, substituteArguments(cwrequestkey.RecordAnswer, tx.requestKey, "")); err != nil {
 			req.mayCommit = false
 			s.handleLostTransaction(req, err)
 			return
