--- a/internal/core/cwproof/doc.go
+++ b/internal/core/cwsimulation/doc.go
@@ -1,4 +1,4 @@
-// Package cwproof tests the guarantees of the core under failures, in a deterministic
+// Package cwsimulation tests the guarantees of the core under failures, in a deterministic
 // simulation. It has tests only.
 //
 // The simulation runs on virtual time. It has one group of three fake databases, a fake
@@ -7,4 +7,4 @@
 // paths, slow replicas, lost responses, an unavailable table, and proxies that pause
 // during a failover. After all faults have ended, the test compares the answers that
 // callers received with the logs of the databases.
-package cwproof
+package cwsimulation
--- a/internal/core/cwproof/regression_test.go
+++ b/internal/core/cwsimulation/regression_test.go
@@ -1,4 +1,4 @@
-package cwproof
+package cwsimulation
 
 import (
 	"strings"
