--- a/internal/proxy/cwnode/node.go
+++ b/internal/proxy/cwnode/node.go
@@ -27,8 +27,8 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwfailover"
 	"cicadawalk.example/cicadawalk/internal/core/cwgroup"
 	"cicadawalk.example/cicadawalk/internal/core/cwlimit"
-	"cicadawalk.example/cicadawalk/internal/proxy/cwfront"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwpool"
+	"cicadawalk.example/cicadawalk/internal/proxy/cwserver"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwwatch"
 	"cicadawalk.example/cicadawalk/internal/wire/cwpeer"
 	"cicadawalk.example/cicadawalk/internal/wire/cwplatform"
@@ -71,7 +71,7 @@
 type Node struct {
 	cfg         Config
 	store       cwstore.Store
-	server      *cwfront.Server
+	server      *cwserver.Server
 	metricSet   *metrics.Set
 	failoverGap *metrics.Histogram
 	audit       *auditRecorder
@@ -134,13 +134,13 @@
 	}
 	n.audit = newAuditRecorder(n.store, cfg)
 	n.failoverGap = n.metricSet.NewHistogram("cicadawalk_failover_gap_seconds")
-	n.server = &cwfront.Server{
+	n.server = &cwserver.Server{
 		Proxy:       n,
 		Clock:       cfg.Clock,
 		Log:         cfg.Log,
-		Metrics:     cwfront.NewMetrics(n.metricSet),
+		Metrics:     cwserver.NewMetrics(n.metricSet),
 		Version:     serverVersion,
-		InstanceTag: cwfront.InstanceTag(cfg.Instance),
+		InstanceTag: cwserver.InstanceTag(cfg.Instance),
 	}
 	n.registerGauges()
 	for _, l := range []struct {
@@ -233,7 +233,7 @@
 	}
 }
 
-// Entry implements cwfront.Proxy.
+// Entry implements cwserver.Proxy.
 func (n *Node) Entry(service string) (cwcatalogue.Entry, bool) {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
@@ -241,15 +241,15 @@
 	return e, ok
 }
 
-// Revision implements cwfront.Proxy.
+// Revision implements cwserver.Proxy.
 func (n *Node) Revision() uint64 { return n.revision.Load() }
 
-// Ready implements cwfront.Proxy. A node is ready once it has the highest
+// Ready implements cwserver.Proxy. A node is ready once it has the highest
 // revision among the table and the partners that answered. A proxy that starts while
 // the table is unavailable must not serve an outdated catalogue.
 func (n *Node) Ready() bool { return n.catalogueLoaded.Load() && n.revision.Load() > 0 }
 
-// Group implements cwfront.Proxy.
+// Group implements cwserver.Proxy.
 func (n *Node) Group(name string) (*cwwatch.Group, bool) {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
@@ -260,7 +260,7 @@
 	return g.Group, true
 }
 
-// Pool implements cwfront.Proxy.
+// Pool implements cwserver.Proxy.
 func (n *Node) Pool(id cwgroup.MemberID) (*cwpool.Pool, bool) {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
--- a/internal/proxy/cwnode/peers.go
+++ b/internal/proxy/cwnode/peers.go
@@ -8,7 +8,7 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwcatalogue"
 	"cicadawalk.example/cicadawalk/internal/core/cwfailover"
 	"cicadawalk.example/cicadawalk/internal/core/cwrendezvous"
-	"cicadawalk.example/cicadawalk/internal/proxy/cwfront"
+	"cicadawalk.example/cicadawalk/internal/proxy/cwserver"
 	"cicadawalk.example/cicadawalk/internal/wire/cwpeer"
 	"cicadawalk.example/cicadawalk/internal/wire/cwplatform"
 )
@@ -171,13 +171,13 @@
 	return slices.ContainsFunc(n.instances, func(i cwplatform.Instance) bool { return i.ID == string(id) })
 }
 
-// ForwardCancel implements cwfront.Proxy. The other proxy need not be a partner,
+// ForwardCancel implements cwserver.Proxy. The other proxy need not be a partner,
 // so the request is sent on a new connection.
 func (n *Node) ForwardCancel(pid uint32, secret []byte) {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
 	for _, i := range n.instances {
-		if i.ID == n.cfg.Instance || i.Peer == "" || cwfront.InstanceTag(i.ID) != cwfront.ProcessIDTag(pid) {
+		if i.ID == n.cfg.Instance || i.Peer == "" || cwserver.InstanceTag(i.ID) != cwserver.ProcessIDTag(pid) {
 			continue
 		}
 		go n.sendCancel(&cwpeer.Partner{Self: n.instanceID(), Address: i.Peer}, pid, secret)
--- a/internal/proxy/cwfront/consistency_test.go
+++ b/internal/proxy/cwserver/consistency_test.go
@@ -1,4 +1,4 @@
-package cwfront_test
+package cwserver_test
 
 import (
 	"context"
--- a/internal/proxy/cwfront/prepared.go
+++ b/internal/proxy/cwserver/prepared.go
@@ -1,4 +1,4 @@
-package cwfront
+package cwserver
 
 import (
 	"crypto/sha256"
--- a/internal/proxy/cwfront/relay.go
+++ b/internal/proxy/cwserver/relay.go
@@ -1,4 +1,4 @@
-package cwfront
+package cwserver
 
 import (
 	"context"
--- a/internal/proxy/cwfront/responses.go
+++ b/internal/proxy/cwserver/responses.go
@@ -1,4 +1,4 @@
-package cwfront
+package cwserver
 
 import (
 	"github.com/jackc/pgx/v5/pgproto3"
--- a/internal/proxy/cwfront/server.go
+++ b/internal/proxy/cwserver/server.go
@@ -1,4 +1,4 @@
-// Package cwfront implements the PostgreSQL wire protocol towards clients.
+// Package cwserver implements the PostgreSQL wire protocol towards clients.
 //
 // A Server accepts client connections and runs a session for each. A session
 // reads one request, which is a simple query or an extended-protocol batch, and
@@ -12,7 +12,7 @@
 // connection. What a client needs in order to continue on another connection or
 // proxy is in its session token; the settings and prepared statements of a
 // session are kept by the proxy and applied to whichever connection it borrows.
-package cwfront
+package cwserver
 
 import (
 	"context"
