--- a/internal/proxy/cwengine/conn_lease.go
+++ b/internal/proxy/cwengine/conn_lease.go
@@ -2,7 +2,7 @@
 
 import (
 	"cicadawalk.example/cicadawalk/internal/proxy/cwlead"
-	"cicadawalk.example/cicadawalk/internal/proxy/cwtargets"
+	"cicadawalk.example/cicadawalk/internal/proxy/cwtargetpool"
 )
 
 // connLease is a connection that a statement or transaction has taken from the pool.
@@ -10,14 +10,14 @@
 // queue.
 type connLease struct {
 	place cwlead.Placement
-	conn  *cwtargets.Conn
+	conn  *cwtargetpool.Conn
 	// turn is nil between two statements of a transaction.
-	turn *cwtargets.Admission
+	turn *cwtargetpool.Admission
 }
 
 // takeTurn waits in the target's queue for the turn of another statement of a
-// transaction. The error is a *cwtargets.OverloadedError if the turn cannot come in time.
-func (l *connLease) takeTurn(c cwtargets.Urgency) error {
+// transaction. The error is a *cwtargetpool.OverloadedError if the turn cannot come in time.
+func (l *connLease) takeTurn(c cwtargetpool.Urgency) error {
 	if l.turn != nil {
 		return nil
 	}
--- a/internal/proxy/cwengine/exchange.go
+++ b/internal/proxy/cwengine/exchange.go
@@ -8,7 +8,7 @@
 
 	"cicadawalk.example/cicadawalk/internal/core/cwstatement"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwport"
-	"cicadawalk.example/cicadawalk/internal/proxy/cwtargets"
+	"cicadawalk.example/cicadawalk/internal/proxy/cwtargetpool"
 )
 
 // preparedName returns the name under which targets know a prepared statement,
@@ -57,7 +57,7 @@
 
 // send sends a command on a connection and reads its answer. It first applies the
 // session's settings and prepares the statement if necessary.
-func (s *session) send(c *cwtargets.Conn, w work, l limits) exchangeResult {
+func (s *session) send(c *cwtargetpool.Conn, w work, l limits) exchangeResult {
 	clock := s.engine.cfg.Clock
 	r := exchangeResult{sentAt: clock.Now()}
 	if r.err = c.SetTimeout(max(time.Millisecond, l.deadline.Sub(r.sentAt))); r.err != nil {
@@ -103,7 +103,7 @@
 // connection. The proxy tracks what is set on the connection; before the statement is
 // sent, it sets what differs, or resets the connection if it has settings that the
 // session lacks or too many prepared statements.
-func (s *session) applySettings(c *cwtargets.Conn) error {
+func (s *session) applySettings(c *cwtargetpool.Conn) error {
 	reset := c.PreparedFull()
 	for name := range c.Settings {
 		if _, ok := s.settings[name]; !ok {
@@ -134,7 +134,7 @@
 
 // flushAndCheck sends the queued commands and reads n answers. The error is a
 // *cwport.RefusedError if one of them is no success.
-func flushAndCheck(c *cwtargets.Conn, n int) error {
+func flushAndCheck(c *cwtargetpool.Conn, n int) error {
 	if err := c.Flush(); err != nil {
 		return err
 	}
--- a/internal/proxy/cwengine/run.go
+++ b/internal/proxy/cwengine/run.go
@@ -11,7 +11,7 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwstatement"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwlead"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwport"
-	"cicadawalk.example/cicadawalk/internal/proxy/cwtargets"
+	"cicadawalk.example/cicadawalk/internal/proxy/cwtargetpool"
 )
 
 // Limits of running a statement.
@@ -41,8 +41,8 @@
 	priority int
 }
 
-func (l limits) urgency() cwtargets.Urgency {
-	return cwtargets.Urgency{Deadline: l.startBy, Priority: l.priority, Due: l.due}
+func (l limits) urgency() cwtargetpool.Urgency {
+	return cwtargetpool.Urgency{Deadline: l.startBy, Priority: l.priority, Due: l.due}
 }
 
 // newLimits returns the limits of a statement that arrived at began.
@@ -326,7 +326,7 @@
 // available. Nothing has run.
 func (t *task) placementFailure(err error) cwstatement.Response {
 	var none *cwlead.NoPrimaryError
-	var full *cwtargets.OverloadedError
+	var full *cwtargetpool.OverloadedError
 	var refused *cwport.RefusedError
 	switch {
 	case errors.As(err, &none):
--- a/internal/proxy/cwlead/health.go
+++ b/internal/proxy/cwlead/health.go
@@ -8,10 +8,10 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwgroup"
 	"cicadawalk.example/cicadawalk/internal/core/cwstatement"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwport"
-	"cicadawalk.example/cicadawalk/internal/proxy/cwtargets"
+	"cicadawalk.example/cicadawalk/internal/proxy/cwtargetpool"
 )
 
-// DialFailed implements cwtargets.Events.
+// DialFailed implements cwtargetpool.Events.
 func (g *Group) DialFailed(to cwport.Endpoint, err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -137,7 +137,7 @@
 		g.cfg.RemotePath.RecordOverdue(startedAt)
 	}
 	g.cfg.Log.Debug("noHealth", "group", g.cfg.Service, "target", m.ID, "cause", err)
-	var unreachable *cwtargets.UnreachableError
+	var unreachable *cwtargetpool.UnreachableError
 	if errors.As(err, &unreachable) {
 		// The pool allows far more time to open a connection than a probe does.
 		g.runProbe(m)
--- a/internal/proxy/cwlead/member.go
+++ b/internal/proxy/cwlead/member.go
@@ -6,13 +6,13 @@
 
 	"cicadawalk.example/cicadawalk/internal/core/cwgroup"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwport"
-	"cicadawalk.example/cicadawalk/internal/proxy/cwtargets"
+	"cicadawalk.example/cicadawalk/internal/proxy/cwtargetpool"
 )
 
 // Member is one target of a group with its connection pool.
 type Member struct {
 	cwport.ListedTarget
-	Pool *cwtargets.Pool
+	Pool *cwtargetpool.Pool
 	// leavingSince is when this proxy learnt that the member is leaving; zero if it
 	// stays.
 	leavingSince time.Time
@@ -89,7 +89,7 @@
 	}
 	if !ok {
 		to := cwport.Endpoint{ID: l.ID, Service: l.Service, Address: l.Address}
-		m = &Member{Pool: cwtargets.NewPool(to, ceiling, g.cfg.Dialer, g.cfg.Clock, g)}
+		m = &Member{Pool: cwtargetpool.NewPool(to, ceiling, g.cfg.Dialer, g.cfg.Clock, g)}
 		g.members[l.ID] = m
 		g.logProgress[l.ID] = &logProgress{}
 	}
--- a/internal/proxy/cwtargets/idle.go
+++ b/internal/proxy/cwtargetpool/idle.go
@@ -1,4 +1,4 @@
-package cwtargets
+package cwtargetpool
 
 import (
 	"slices"
--- a/internal/proxy/cwtargets/pool.go
+++ b/internal/proxy/cwtargetpool/pool.go
@@ -1,4 +1,4 @@
-// Package cwtargets implements a proxy's connection pool for one target.
+// Package cwtargetpool implements a proxy's connection pool for one target.
 //
 // A Pool lends connections to statements and transactions. A target accepts a
 // limited number of connections from all proxies together, and no proxy knows
@@ -10,7 +10,7 @@
 //
 // Besides, a Pool limits the number of statements that are in progress at the
 // target at once; see Pool.Admit.
-package cwtargets
+package cwtargetpool
 
 import (
 	"context"
