--- a/internal/proxy/cwnode/catalogue.go
+++ b/internal/proxy/cwnode/catalogue.go
@@ -11,7 +11,7 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwgroup"
 	"cicadawalk.example/cicadawalk/internal/core/cwlimit"
 	"cicadawalk.example/cicadawalk/internal/core/cwrendezvous"
-	"cicadawalk.example/cicadawalk/internal/proxy/cwpool"
+	"cicadawalk.example/cicadawalk/internal/proxy/cwpgpool"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwwatch"
 	"cicadawalk.example/cicadawalk/internal/wire/cwcodec"
 	"cicadawalk.example/cicadawalk/internal/wire/cwpeer"
@@ -236,7 +236,7 @@
 	}
 	n.pools[t.ID] = &poolState{
 		service: e.Service,
-		Pool: &cwpool.Pool{
+		Pool: &cwpgpool.Pool{
 			Address: t.Address,
 			Startup: cwtarget.Startup{User: "cicadawalk", Database: e.Service, Application: "cicadawalk"},
 			Clock:   n.cfg.Clock,
--- a/internal/proxy/cwnode/node.go
+++ b/internal/proxy/cwnode/node.go
@@ -27,7 +27,7 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwfailover"
 	"cicadawalk.example/cicadawalk/internal/core/cwgroup"
 	"cicadawalk.example/cicadawalk/internal/core/cwlimit"
-	"cicadawalk.example/cicadawalk/internal/proxy/cwpool"
+	"cicadawalk.example/cicadawalk/internal/proxy/cwpgpool"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwserver"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwwatch"
 	"cicadawalk.example/cicadawalk/internal/wire/cwpeer"
@@ -112,7 +112,7 @@
 
 // poolState is the pool of a target and this proxy's share of its connections.
 type poolState struct {
-	*cwpool.Pool
+	*cwpgpool.Pool
 	service      string
 	delayedShare cwlimit.DelayedShare
 	// drained is true once the target, which has a planned stop, was no longer a primary
@@ -261,7 +261,7 @@
 }
 
 // Pool implements cwserver.Proxy.
-func (n *Node) Pool(id cwgroup.MemberID) (*cwpool.Pool, bool) {
+func (n *Node) Pool(id cwgroup.MemberID) (*cwpgpool.Pool, bool) {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
 	p, ok := n.pools[id]
--- a/internal/proxy/cwpool/pool.go
+++ b/internal/proxy/cwpgpool/pool.go
@@ -1,4 +1,4 @@
-// Package cwpool implements a proxy's connection pool for one target that speaks
+// Package cwpgpool implements a proxy's connection pool for one target that speaks
 // the PostgreSQL protocol.
 //
 // A Pool limits the statements and transactions in progress to this proxy's share
@@ -6,7 +6,7 @@
 // connection. A connection is reused only if its last answer was read to the end
 // and no transaction is open on it; otherwise it is closed, so that no caller sees
 // the session state of another.
-package cwpool
+package cwpgpool
 
 import (
 	"context"
--- a/internal/proxy/cwserver/extended.go
+++ b/internal/proxy/cwserver/extended.go
@@ -8,7 +8,7 @@
 
 	"cicadawalk.example/cicadawalk/internal/core/cwrefusal"
 	"cicadawalk.example/cicadawalk/internal/core/cwrequestkey"
-	"cicadawalk.example/cicadawalk/internal/proxy/cwpool"
+	"cicadawalk.example/cicadawalk/internal/proxy/cwpgpool"
 	"cicadawalk.example/cicadawalk/internal/wire/cwsql"
 )
 
@@ -35,7 +35,7 @@
 	err error
 	// lease is the connection held from a Flush outside a transaction until the
 	// Sync; route and endWrite belong to it.
-	lease    *cwpool.Lease
+	lease    *cwpgpool.Lease
 	route    route
 	endWrite func()
 	// failed is true after an error that was sent to the client before the Sync.
@@ -225,7 +225,7 @@
 		}
 	}
 	req.digest = func() string { return digestBatch(messages) }
-	req.send = func(c *cwpool.Conn) *responseQueue {
+	req.send = func(c *cwpgpool.Conn) *responseQueue {
 		st := &responseQueue{conn: c}
 		for _, o := range messages {
 			st.sendMessage(o)
@@ -388,7 +388,7 @@
 		return
 	}
 	if req == nil {
-		req = &request{sync: true, readOnly: !r.primary, send: func(c *cwpool.Conn) *responseQueue {
+		req = &request{sync: true, readOnly: !r.primary, send: func(c *cwpgpool.Conn) *responseQueue {
 			c.Frontend.SendSync(&pgproto3.Sync{})
 			return nil
 		}}
--- a/internal/proxy/cwserver/fuzz_test.go
+++ b/internal/proxy/cwserver/fuzz_test.go
@@ -13,7 +13,7 @@
 
 	"cicadawalk.example/cicadawalk/internal/core/cwcatalogue"
 	"cicadawalk.example/cicadawalk/internal/core/cwgroup"
-	"cicadawalk.example/cicadawalk/internal/proxy/cwpool"
+	"cicadawalk.example/cicadawalk/internal/proxy/cwpgpool"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwwatch"
 )
 
@@ -26,9 +26,9 @@
 func (noGroupProxy) Entry(string) (cwcatalogue.Entry, bool) {
 	return cwcatalogue.Entry{Service: "s", Groups: []cwcatalogue.Group{{Name: "a"}, {Name: "b"}}}, true
 }
-func (noGroupProxy) Group(string) (*cwwatch.Group, bool)        { return nil, false }
-func (noGroupProxy) Pool(cwgroup.MemberID) (*cwpool.Pool, bool) { return nil, false }
-func (noGroupProxy) ForwardCancel(uint32, []byte)               {}
+func (noGroupProxy) Group(string) (*cwwatch.Group, bool)          { return nil, false }
+func (noGroupProxy) Pool(cwgroup.MemberID) (*cwpgpool.Pool, bool) { return nil, false }
+func (noGroupProxy) ForwardCancel(uint32, []byte)                 {}
 
 // FuzzSession sends arbitrary bytes after a start-up message. The session must end
 // once the client has closed the connection, and must never panic or hang.
--- a/internal/proxy/cwserver/relay.go
+++ b/internal/proxy/cwserver/relay.go
@@ -9,7 +9,7 @@
 
 	"cicadawalk.example/cicadawalk/internal/core/cwgroup"
 	"cicadawalk.example/cicadawalk/internal/core/cwrefusal"
-	"cicadawalk.example/cicadawalk/internal/proxy/cwpool"
+	"cicadawalk.example/cicadawalk/internal/proxy/cwpgpool"
 	"cicadawalk.example/cicadawalk/internal/wire/cwtarget"
 )
 
@@ -44,7 +44,7 @@
 
 // route is the member and the borrowed connection that a request runs on.
 type route struct {
-	lease  *cwpool.Lease
+	lease  *cwpgpool.Lease
 	member cwgroup.MemberID
 	// primary is true if the member was chosen as the primary of the term.
 	// Responses to writes are then held until the write is acknowledged.
@@ -190,7 +190,7 @@
 			w.reportedIdle = false
 			return msg, nil
 		}
-		if !cwpool.IsTimeout(err) {
+		if !cwpgpool.IsTimeout(err) {
 			return nil, &responseLostError{reason: "the connection to the database broke"}
 		}
 		if err := w.checkTarget(); err != nil {
--- a/internal/proxy/cwserver/request.go
+++ b/internal/proxy/cwserver/request.go
@@ -10,7 +10,7 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwrefusal"
 	"cicadawalk.example/cicadawalk/internal/core/cwroute"
 	"cicadawalk.example/cicadawalk/internal/core/cwsession"
-	"cicadawalk.example/cicadawalk/internal/proxy/cwpool"
+	"cicadawalk.example/cicadawalk/internal/proxy/cwpgpool"
 	"cicadawalk.example/cicadawalk/internal/wire/cwtarget"
 )
 
@@ -42,9 +42,9 @@
 	sync, endsFlushedBatch bool
 	// send queues the messages on the connection. It returns the responses that a
 	// batch expects, and nil for a simple query.
-	send func(c *cwpool.Conn) *responseQueue
+	send func(c *cwpgpool.Conn) *responseQueue
 	// onComplete, if not nil, is called after the response was relayed.
-	onComplete func(c *cwpool.Conn, rep responseSummary)
+	onComplete func(c *cwpgpool.Conn, rep responseSummary)
 	// digest returns the digest that ties the request to its request key. It is
 	// called only for requests with a key.
 	digest func() string
@@ -163,7 +163,7 @@
 }
 
 // applySettings makes the settings of a connection equal to the session's.
-func (s *session) applySettings(c *cwpool.Conn) error {
+func (s *session) applySettings(c *cwpgpool.Conn) error {
 	diff := s.settings.diff(c.Settings)
 	if diff == "" {
 		return nil
--- a/internal/proxy/cwserver/responses.go
+++ b/internal/proxy/cwserver/responses.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/jackc/pgx/v5/pgproto3"
 
-	"cicadawalk.example/cicadawalk/internal/proxy/cwpool"
+	"cicadawalk.example/cicadawalk/internal/proxy/cwpgpool"
 )
 
 // expectedResponse is the response to one message of a batch.
@@ -25,7 +25,7 @@
 // are prepared on the target connection: the proxy adds a Parse or Close where
 // the connection needs one and omits those that it does not need.
 type responseQueue struct {
-	conn     *cwpool.Conn
+	conn     *cwpgpool.Conn
 	expected []expectedResponse
 }
 
--- a/internal/proxy/cwserver/server.go
+++ b/internal/proxy/cwserver/server.go
@@ -31,7 +31,7 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwcatalogue"
 	"cicadawalk.example/cicadawalk/internal/core/cwgroup"
 	"cicadawalk.example/cicadawalk/internal/core/cwlimit"
-	"cicadawalk.example/cicadawalk/internal/proxy/cwpool"
+	"cicadawalk.example/cicadawalk/internal/proxy/cwpgpool"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwwatch"
 	"cicadawalk.example/cicadawalk/internal/wire/cwlisten"
 	"cicadawalk.example/cicadawalk/internal/wire/cwsql"
@@ -52,7 +52,7 @@
 	Group(name string) (*cwwatch.Group, bool)
 	// Pool returns the connection pool of a group member, and false if this proxy
 	// does not have it yet.
-	Pool(id cwgroup.MemberID) (*cwpool.Pool, bool)
+	Pool(id cwgroup.MemberID) (*cwpgpool.Pool, bool)
 	// ForwardCancel forwards a cancel request to the proxies whose tag is in the
 	// process id; see InstanceTag.
 	ForwardCancel(pid uint32, secret []byte)
--- a/internal/proxy/cwserver/session.go
+++ b/internal/proxy/cwserver/session.go
@@ -15,7 +15,7 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwrefusal"
 	"cicadawalk.example/cicadawalk/internal/core/cwrendezvous"
 	"cicadawalk.example/cicadawalk/internal/core/cwsession"
-	"cicadawalk.example/cicadawalk/internal/proxy/cwpool"
+	"cicadawalk.example/cicadawalk/internal/proxy/cwpgpool"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwwatch"
 )
 
@@ -58,7 +58,7 @@
 
 	// mu guards the fields that Drain and CancelSession use.
 	mu          sync.Mutex
-	activeLease *cwpool.Lease
+	activeLease *cwpgpool.Lease
 	idle        bool
 }
 
@@ -269,7 +269,7 @@
 
 // setActiveLease sets the target connection that a CancelRequest applies to; nil
 // means none.
-func (s *session) setActiveLease(l *cwpool.Lease) {
+func (s *session) setActiveLease(l *cwpgpool.Lease) {
 	s.mu.Lock()
 	s.activeLease = l
 	s.mu.Unlock()
--- a/internal/proxy/cwserver/simple.go
+++ b/internal/proxy/cwserver/simple.go
@@ -8,7 +8,7 @@
 
 	"cicadawalk.example/cicadawalk/internal/core/cwrefusal"
 	"cicadawalk.example/cicadawalk/internal/core/cwrequestkey"
-	"cicadawalk.example/cicadawalk/internal/proxy/cwpool"
+	"cicadawalk.example/cicadawalk/internal/proxy/cwpgpool"
 	"cicadawalk.example/cicadawalk/internal/wire/cwsql"
 )
 
@@ -44,7 +44,7 @@
 		mayCommit: st.Kind == cwsql.Commit,
 		sync:      true,
 		digest:    func() string { return cwrequestkey.Digest([]byte(text)) },
-		send: func(c *cwpool.Conn) *responseQueue {
+		send: func(c *cwpgpool.Conn) *responseQueue {
 			c.Frontend.SendQuery(&pgproto3.Query{String: text})
 			return nil
 		},
@@ -77,11 +77,11 @@
 // settingRecorder returns a function that records a SET or RESET in the session
 // and on the connection, to be called with the target's response. It returns nil
 // for other statements.
-func (s *session) settingRecorder(st cwsql.Statement) func(*cwpool.Conn, responseSummary) {
+func (s *session) settingRecorder(st cwsql.Statement) func(*cwpgpool.Conn, responseSummary) {
 	if st.Kind != cwsql.Set && st.Kind != cwsql.Reset {
 		return nil
 	}
-	return func(c *cwpool.Conn, rep responseSummary) {
+	return func(c *cwpgpool.Conn, rep responseSummary) {
 		if rep.errorCode != "" {
 			return
 		}
@@ -284,7 +284,7 @@
 		return
 	}
 	req.readOnly = req.readOnly && !req.mayCommit
-	req.send = func(c *cwpool.Conn) *responseQueue {
+	req.send = func(c *cwpgpool.Conn) *responseQueue {
 		c.Frontend.SendQuery(&pgproto3.Query{String: text})
 		return nil
 	}
--- a/internal/proxy/cwserver/transaction.go
+++ b/internal/proxy/cwserver/transaction.go
@@ -4,14 +4,14 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwgroup"
 	"cicadawalk.example/cicadawalk/internal/core/cwrefusal"
 	"cicadawalk.example/cicadawalk/internal/core/cwrequestkey"
-	"cicadawalk.example/cicadawalk/internal/proxy/cwpool"
+	"cicadawalk.example/cicadawalk/internal/proxy/cwpgpool"
 )
 
 // transaction is the client's open explicit transaction and the target
 // connection that it holds.
 type transaction struct {
 	// lease is nil after the connection to the target was lost.
-	lease   *cwpool.Lease
+	lease   *cwpgpool.Lease
 	member  cwgroup.MemberID
 	term    cwgroup.Term
 	primary bool
