--- a/internal/proxy/cwnode/node.go
+++ b/internal/proxy/cwpgproxy/node.go
@@ -1,4 +1,4 @@
-// Package cwnode assembles one PostgreSQL proxy: the catalogue, the groups, the
+// Package cwpgproxy assembles one PostgreSQL proxy: the catalogue, the groups, the
 // connection pools, the server for callers' sessions, the connections to other
 // proxies, and the HTTP endpoints.
 //
@@ -6,7 +6,7 @@
 // is in the platform's table and, while that is unavailable, at other proxies; the
 // primary of a group is known from the group's members; and the position up to which
 // a session has read or written is in the token that its caller keeps.
-package cwnode
+package cwpgproxy
 
 import (
 	"context"
--- a/internal/proxy/cwnode/operator_test.go
+++ b/internal/proxy/cwpgproxy/operator_test.go
@@ -1,4 +1,4 @@
-package cwnode_test
+package cwpgproxy_test
 
 import (
 	"context"
--- a/internal/proxy/cwnode/status.go
+++ b/internal/proxy/cwpgproxy/status.go
@@ -1,4 +1,4 @@
-package cwnode
+package cwpgproxy
 
 import (
 	"encoding/json"
--- a/internal/tool/cwcommand/proxy.go
+++ b/internal/tool/cwcommand/proxy.go
@@ -11,7 +11,7 @@
 	"github.com/jonboulle/clockwork"
 	"github.com/spf13/cobra"
 
-	"cicadawalk.example/cicadawalk/internal/proxy/cwnode"
+	"cicadawalk.example/cicadawalk/internal/proxy/cwpgproxy"
 	"cicadawalk.example/cicadawalk/internal/wire/cwplatform"
 )
 
@@ -85,7 +85,7 @@
 		return err
 	}
 	client := &cwplatform.Client{URL: strings.TrimRight(p.platform, "/")}
-	node, err := cwnode.New(cwnode.Config{
+	node, err := cwpgproxy.New(cwpgproxy.Config{
 		Instance:     p.instance,
 		DataCentre:   p.dataCentre,
 		Listen:       p.listen,
--- a/internal/tool/cwcommand/status.go
+++ b/internal/tool/cwcommand/status.go
@@ -10,7 +10,7 @@
 
 	"github.com/spf13/cobra"
 
-	"cicadawalk.example/cicadawalk/internal/proxy/cwnode"
+	"cicadawalk.example/cicadawalk/internal/proxy/cwpgproxy"
 )
 
 // statusTimeout is the timeout of the HTTP request to one proxy.
@@ -61,9 +61,9 @@
 
 // proxyStatus is the answer of one proxy, or the error of the request.
 type proxyStatus struct {
-	Address string             `json:"address"`
-	Error   string             `json:"error,omitempty"`
-	Status  *cwnode.StatusBody `json:"status,omitempty"`
+	Address string                `json:"address"`
+	Error   string                `json:"error,omitempty"`
+	Status  *cwpgproxy.StatusBody `json:"status,omitempty"`
 }
 
 // fetchStatuses queries the proxies one after another.
@@ -83,14 +83,14 @@
 }
 
 // fetchStatus requests the status of the proxy at an HTTP address.
-func fetchStatus(address string) (*cwnode.StatusBody, error) {
+func fetchStatus(address string) (*cwpgproxy.StatusBody, error) {
 	client := http.Client{Timeout: statusTimeout}
-	resp, err := client.Get("http://" + address + cwnode.PathStatus)
+	resp, err := client.Get("http://" + address + cwpgproxy.PathStatus)
 	if err != nil {
 		return nil, err
 	}
 	defer resp.Body.Close()
-	var s cwnode.StatusBody
+	var s cwpgproxy.StatusBody
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxStatusBytes)).Decode(&s); err != nil {
 		return nil, err
 	}
@@ -129,7 +129,7 @@
 
 // describeGroup returns the state of a group, its problem, what the system does and
 // what an operator has to do, as sentences.
-func describeGroup(g cwnode.GroupBody) string {
+func describeGroup(g cwpgproxy.GroupBody) string {
 	parts := []string{g.State}
 	if g.Problem != "" {
 		parts = append(parts, g.Problem)
--- a/internal/tool/cwdemo/cluster.go
+++ b/internal/tool/cwdemo/cluster.go
@@ -21,7 +21,7 @@
 
 	"cicadawalk.example/cicadawalk/internal/core/cwcatalogue"
 	"cicadawalk.example/cicadawalk/internal/core/cwgroup"
-	"cicadawalk.example/cicadawalk/internal/proxy/cwnode"
+	"cicadawalk.example/cicadawalk/internal/proxy/cwpgproxy"
 	"cicadawalk.example/cicadawalk/internal/standin/cwdatabase"
 	"cicadawalk.example/cicadawalk/internal/standin/cwtable"
 	"cicadawalk.example/cicadawalk/internal/wire/cwplatform"
@@ -86,7 +86,7 @@
 
 // Proxy is one running proxy of a Cluster.
 type Proxy struct {
-	*cwnode.Node
+	*cwpgproxy.Node
 	cancel context.CancelFunc
 	eg     errgroup.Group
 }
@@ -212,7 +212,7 @@
 		listen = b.opts.Listen[i]
 	}
 	client := &cwplatform.Client{URL: b.Platform.URL()}
-	node, err := cwnode.New(cwnode.Config{
+	node, err := cwpgproxy.New(cwpgproxy.Config{
 		Instance:     fmt.Sprintf("entry-%d", i+1),
 		DataCentre:   dataCentres[i%len(dataCentres)],
 		Listen:       listen,
