--- a/internal/proxy/cwinstance/instance.go
+++ b/internal/proxy/cwinstance/instance.go
@@ -25,9 +25,9 @@
 	"cicadawalk.example/cicadawalk/internal/proxy/cwengine"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwlead"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwmembers"
-	"cicadawalk.example/cicadawalk/internal/proxy/cwmeter"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwpeers"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwport"
+	"cicadawalk.example/cicadawalk/internal/proxy/cwquotameter"
 	"cicadawalk.example/cicadawalk/internal/wire/cwhandover"
 	"cicadawalk.example/cicadawalk/internal/wire/cwplatform"
 )
@@ -97,7 +97,7 @@
 	remotePath *cwlead.RemotePath
 	metrics    *cwengine.Metrics
 	directory  *cwdirectory.Directory
-	meter      *cwmeter.Meter
+	meter      *cwquotameter.Meter
 }
 
 // New returns an instance that serves once Run is called.
@@ -126,7 +126,7 @@
 		FirstStart: cfg.FirstStart,
 	}
 	if cfg.QuotaTolerance.Window > 0 {
-		in.meter = &cwmeter.Meter{
+		in.meter = &cwquotameter.Meter{
 			Tolerance: cfg.QuotaTolerance, Issuers: in.peers, Clock: cfg.Clock, Log: cfg.Log, QuotaOf: in.quota,
 			DataCentres: cfg.DataCentres, FirstStart: cfg.FirstStart,
 		}
--- a/internal/proxy/cwmeter/meter.go
+++ b/internal/proxy/cwquotameter/meter.go
@@ -1,11 +1,11 @@
-// Package cwmeter enforces the quotas of workspaces. The quota of a workspace is
+// Package cwquotameter enforces the quotas of workspaces. The quota of a workspace is
 // split into shards, each of which is kept by one instance, its issuer.
 //
 // For each operation, a Meter asks the issuers of the workspace's quota until one
 // allows it. It also answers the requests of other instances for the shards that
 // this instance keeps. How a quota is split and how much an issuer allows is
 // decided by cwquota.
-package cwmeter
+package cwquotameter
 
 import (
 	"context"
--- a/internal/proxy/cwmeter/meter_test.go
+++ b/internal/proxy/cwquotameter/meter_test.go
@@ -1,4 +1,4 @@
-package cwmeter
+package cwquotameter
 
 import (
 	"context"
