--- a/internal/proxy/cwengine/conn_lease.go
+++ b/internal/proxy/cwengine/conn_lease.go
@@ -1,7 +1,7 @@
 package cwengine
 
 import (
-	"cicadawalk.example/cicadawalk/internal/proxy/cwlead"
+	"cicadawalk.example/cicadawalk/internal/proxy/cwleadership"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwtargetpool"
 )
 
@@ -9,7 +9,7 @@
 // While a statement runs on it, it also has the statement's turn in the target's
 // queue.
 type connLease struct {
-	place cwlead.Placement
+	place cwleadership.Placement
 	conn  *cwtargetpool.Conn
 	// turn is nil between two statements of a transaction.
 	turn *cwtargetpool.Admission
--- a/internal/proxy/cwengine/engine.go
+++ b/internal/proxy/cwengine/engine.go
@@ -37,7 +37,7 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwfailover"
 	"cicadawalk.example/cicadawalk/internal/core/cwgroup"
 	"cicadawalk.example/cicadawalk/internal/core/cwstatement"
-	"cicadawalk.example/cicadawalk/internal/proxy/cwlead"
+	"cicadawalk.example/cicadawalk/internal/proxy/cwleadership"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwport"
 )
 
@@ -57,7 +57,7 @@
 	Clock clockwork.Clock
 	Log   *log.Logger
 	// NewGroup creates the group of a service.
-	NewGroup func(service string) *cwlead.Group
+	NewGroup func(service string) *cwleadership.Group
 	// GracePeriod is the time between the start of a shutdown and the exit of the
 	// process.
 	GracePeriod time.Duration
@@ -73,7 +73,7 @@
 	Holders cwport.Holders
 	// RemotePath tracks whether targets in other data centres answer. All groups share it;
 	// if it is nil, New creates one.
-	RemotePath *cwlead.RemotePath
+	RemotePath *cwleadership.RemotePath
 	// KeyRevocationBound is the time within which a revoked key must be out of use;
 	// zero means no bound. CatalogueConfirmedAt returns a time at which the store
 	// certainly had nothing newer than the catalogue in force.
@@ -148,7 +148,7 @@
 		cfg.Metrics = NewMetrics()
 	}
 	if cfg.RemotePath == nil {
-		cfg.RemotePath = &cwlead.RemotePath{}
+		cfg.RemotePath = &cwleadership.RemotePath{}
 	}
 	return &Engine{
 		cfg:                   cfg,
--- a/internal/proxy/cwengine/forwarded.go
+++ b/internal/proxy/cwengine/forwarded.go
@@ -9,7 +9,7 @@
 
 	"cicadawalk.example/cicadawalk/internal/core/cwcatalogue"
 	"cicadawalk.example/cicadawalk/internal/core/cwstatement"
-	"cicadawalk.example/cicadawalk/internal/proxy/cwlead"
+	"cicadawalk.example/cicadawalk/internal/proxy/cwleadership"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwport"
 )
 
@@ -153,7 +153,7 @@
 // reach them, and refusing the caller would be wrong. A statement that was refused
 // here with the guarantee that nothing of it is kept may run on another instance, as
 // may the first statement of a transaction.
-func (s *session) newForwardResponse(h cwport.ForwardRequest, group *cwlead.Group, a cwstatement.Response) cwport.ForwardResponse {
+func (s *session) newForwardResponse(h cwport.ForwardRequest, group *cwleadership.Group, a cwstatement.Response) cwport.ForwardResponse {
 	r := cwport.ForwardResponse{Answer: a}
 	first := h.Transaction == "" || h.Begin != cwstatement.UnknownVerb
 	if a.Code != cwstatement.OK {
@@ -226,5 +226,5 @@
 // another instance.
 type forwardedContext struct {
 	entry cwcatalogue.Entry
-	group *cwlead.Group
+	group *cwleadership.Group
 }
--- a/internal/proxy/cwengine/groups.go
+++ b/internal/proxy/cwengine/groups.go
@@ -7,13 +7,13 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwcatalogue"
 	"cicadawalk.example/cicadawalk/internal/core/cwfailover"
 	"cicadawalk.example/cicadawalk/internal/core/cwholder"
-	"cicadawalk.example/cicadawalk/internal/proxy/cwlead"
+	"cicadawalk.example/cicadawalk/internal/proxy/cwleadership"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwport"
 )
 
 // runningGroup is a group with the function that stops its background work.
 type runningGroup struct {
-	*cwlead.Group
+	*cwleadership.Group
 	cancel context.CancelFunc
 }
 
@@ -199,7 +199,7 @@
 }
 
 // Group returns the group of a service, and false if it is not running.
-func (e *Engine) Group(service string) (*cwlead.Group, bool) {
+func (e *Engine) Group(service string) (*cwleadership.Group, bool) {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
 	g, ok := e.groups[service]
@@ -218,7 +218,7 @@
 
 // ensureGroup returns the group of a service and starts it if it is not running. It
 // returns false if no entry names the service.
-func (e *Engine) ensureGroup(service string) (*cwlead.Group, bool) {
+func (e *Engine) ensureGroup(service string) (*cwleadership.Group, bool) {
 	if g, ok := e.Group(service); ok {
 		return g, true
 	}
--- a/internal/proxy/cwengine/harness_test.go
+++ b/internal/proxy/cwengine/harness_test.go
@@ -17,7 +17,7 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwcatalogue"
 	"cicadawalk.example/cicadawalk/internal/core/cwfailover"
 	"cicadawalk.example/cicadawalk/internal/core/cwstatement"
-	"cicadawalk.example/cicadawalk/internal/proxy/cwlead"
+	"cicadawalk.example/cicadawalk/internal/proxy/cwleadership"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwport"
 	"cicadawalk.example/cicadawalk/internal/standin/cwreplica"
 	"cicadawalk.example/cicadawalk/internal/wire/cwplatform"
@@ -88,11 +88,11 @@
 // engineWithConfig starts an engine with the default test configuration as modified by
 // change.
 func (env *testEnv) engineWithConfig(name string, change func(*Config)) *Engine {
-	logger, path := log.New(io.Discard), &cwlead.RemotePath{}
+	logger, path := log.New(io.Discard), &cwleadership.RemotePath{}
 	cfg := Config{
 		Clock: env.clock, Log: logger, GracePeriod: 6 * time.Second, Name: name, RemotePath: path, FirstStart: true,
-		NewGroup: func(service string) *cwlead.Group {
-			return cwlead.New(cwlead.Config{
+		NewGroup: func(service string) *cwleadership.Group {
+			return cwleadership.New(cwleadership.Config{
 				Self: cwfailover.InstanceID(name), DataCentre: "dc-a", Service: service, Clock: env.clock,
 				Log: logger, Dialer: env.group.DialerFrom(name), Table: env.table, Promoter: env.group, ClaimSeed: "test", RemotePath: path,
 			})
--- a/internal/proxy/cwengine/run.go
+++ b/internal/proxy/cwengine/run.go
@@ -9,7 +9,7 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwcatalogue"
 	"cicadawalk.example/cicadawalk/internal/core/cwgroup"
 	"cicadawalk.example/cicadawalk/internal/core/cwstatement"
-	"cicadawalk.example/cicadawalk/internal/proxy/cwlead"
+	"cicadawalk.example/cicadawalk/internal/proxy/cwleadership"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwport"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwtargetpool"
 )
@@ -114,7 +114,7 @@
 	// id is the caller's identifier of the statement, for logs.
 	id       string
 	entry    cwcatalogue.Entry
-	group    *cwlead.Group
+	group    *cwleadership.Group
 	limits   limits
 	began    time.Time
 	tried    []cwgroup.MemberID
@@ -171,7 +171,7 @@
 
 // handleRefusal converts an answer that is no success to the caller's answer. The
 // second result is true if the statement may be retried.
-func (t *task) handleRefusal(place cwlead.Placement, r exchangeResult, w work) (cwstatement.Response, bool) {
+func (t *task) handleRefusal(place cwleadership.Placement, r exchangeResult, w work) (cwstatement.Response, bool) {
 	a := r.answer
 	switch a.Code {
 	case cwstatement.NotPrimary:
@@ -194,12 +194,12 @@
 
 // recordAnswer records what an answer shows about the state of its target. led is true
 // if only a primary gives such an answer.
-func (t *task) recordAnswer(place cwlead.Placement, r exchangeResult, led bool) {
+func (t *task) recordAnswer(place cwleadership.Placement, r exchangeResult, led bool) {
 	t.group.ObservePosition(place.ID, r.answer.LogEnd, led && place.Primary, r.sentAt)
 }
 
 // recordRead records the evidence on which a successful read was placed.
-func (t *task) recordRead(place cwlead.Placement) {
+func (t *task) recordRead(place cwleadership.Placement) {
 	t.group.LogRead(t.id, place)
 	t.session.engine.cfg.Metrics.countRead(place.Primary, string(place.Evidence.Basis), t.session.engine.cfg.Clock.Since(place.Evidence.CompleteAt))
 }
@@ -289,7 +289,7 @@
 }
 
 // acquireAt waits for the statement's turn at a member and leases a connection to it.
-func (t *task) acquireAt(place cwlead.Placement) (*connLease, error) {
+func (t *task) acquireAt(place cwleadership.Placement) (*connLease, error) {
 	turn, err := place.Pool.Admit(t.limits.urgency())
 	if err != nil {
 		return nil, err
@@ -303,7 +303,7 @@
 }
 
 // place chooses the member on which a statement runs.
-func (t *task) place(n requirement) (cwlead.Placement, error) {
+func (t *task) place(n requirement) (cwleadership.Placement, error) {
 	ctx := context.Background()
 	switch n {
 	case requirePrimary:
@@ -312,7 +312,7 @@
 		return t.group.ConfirmedPrimary(ctx, t.began, t.limits.startBy)
 	case requireNewest:
 		place, err := t.group.ConfirmedPrimary(ctx, t.began, t.limits.startBy)
-		var none *cwlead.NoPrimaryError
+		var none *cwleadership.NoPrimaryError
 		if !errors.As(err, &none) {
 			return place, err
 		}
@@ -325,7 +325,7 @@
 // placementFailure returns the caller's answer to a statement for which no target was
 // available. Nothing has run.
 func (t *task) placementFailure(err error) cwstatement.Response {
-	var none *cwlead.NoPrimaryError
+	var none *cwleadership.NoPrimaryError
 	var full *cwtargetpool.OverloadedError
 	var refused *cwport.RefusedError
 	switch {
--- a/internal/proxy/cwengine/session.go
+++ b/internal/proxy/cwengine/session.go
@@ -11,7 +11,7 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwcatalogue"
 	"cicadawalk.example/cicadawalk/internal/core/cwgroup"
 	"cicadawalk.example/cicadawalk/internal/core/cwstatement"
-	"cicadawalk.example/cicadawalk/internal/proxy/cwlead"
+	"cicadawalk.example/cicadawalk/internal/proxy/cwleadership"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwport"
 )
 
@@ -216,7 +216,7 @@
 // localGroup returns the group of an entry for a statement that runs on this instance,
 // and starts the group if necessary. An instance that only forwards statements does not
 // need their groups, and callers use far more groups than run on one instance.
-func (s *session) localGroup(entry cwcatalogue.Entry) (*cwlead.Group, bool) {
+func (s *session) localGroup(entry cwcatalogue.Entry) (*cwleadership.Group, bool) {
 	if s.forwarded != nil {
 		return s.forwarded.group, true
 	}
@@ -314,11 +314,11 @@
 }
 
 // readRequirement returns how new the data must be that a read of the session sees.
-func (s *session) readRequirement(e cwcatalogue.Entry, began time.Time) cwlead.Read {
+func (s *session) readRequirement(e cwcatalogue.Entry, began time.Time) cwleadership.Read {
 	if e.Contract.Reads == cwcatalogue.ReadLatest {
-		return cwlead.Read{ArrivedAt: began}
+		return cwleadership.Read{ArrivedAt: began}
 	}
-	rd := cwlead.Read{ArrivedAt: began, MaxAge: e.Contract.MaxAge}
+	rd := cwleadership.Read{ArrivedAt: began, MaxAge: e.Contract.MaxAge}
 	if e.Contract.Reads == cwcatalogue.ReadYourWrites {
 		rd.LastWrite = s.lastWrites[e.Groups[0].Name]
 	}
--- a/internal/proxy/cwengine/transaction.go
+++ b/internal/proxy/cwengine/transaction.go
@@ -5,7 +5,7 @@
 
 	"cicadawalk.example/cicadawalk/internal/core/cwcatalogue"
 	"cicadawalk.example/cicadawalk/internal/core/cwstatement"
-	"cicadawalk.example/cicadawalk/internal/proxy/cwlead"
+	"cicadawalk.example/cicadawalk/internal/proxy/cwleadership"
 )
 
 // transaction is a caller's open transaction that runs on this instance. It has no
@@ -13,7 +13,7 @@
 type transaction struct {
 	session  *session
 	entry    cwcatalogue.Entry
-	group    *cwlead.Group
+	group    *cwleadership.Group
 	readOnly bool
 
 	// lease is nil before the first statement and after the transaction has ended at
--- a/internal/proxy/cwinstance/instance.go
+++ b/internal/proxy/cwinstance/instance.go
@@ -23,7 +23,7 @@
 	"cicadawalk.example/cicadawalk/internal/proxy/cwclaim"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwdirectory"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwengine"
-	"cicadawalk.example/cicadawalk/internal/proxy/cwlead"
+	"cicadawalk.example/cicadawalk/internal/proxy/cwleadership"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwmembers"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwpeers"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwport"
@@ -94,7 +94,7 @@
 	engine     *cwengine.Engine
 	peers      *cwpeers.Peers
 	members    *cwmembers.Recorder
-	remotePath *cwlead.RemotePath
+	remotePath *cwleadership.RemotePath
 	metrics    *cwengine.Metrics
 	directory  *cwdirectory.Directory
 	meter      *cwquotameter.Meter
@@ -102,7 +102,7 @@
 
 // New returns an instance that serves once Run is called.
 func New(cfg Config) *Instance {
-	in := &Instance{cfg: cfg, remotePath: &cwlead.RemotePath{}, metrics: cwengine.NewMetrics()}
+	in := &Instance{cfg: cfg, remotePath: &cwleadership.RemotePath{}, metrics: cwengine.NewMetrics()}
 	in.peers = &cwpeers.Peers{
 		Self:  cwholder.Instance{ID: cfg.Name, DataCentre: cfg.DataCentre, Address: cfg.PeerListen},
 		Table: cfg.Table, Dial: dialPeer, Clock: cfg.Clock, Log: cfg.Log, FirstStart: cfg.FirstStart, PathMonitor: in.remotePath,
@@ -192,8 +192,8 @@
 	return d.Dialer.Dial(ctx, to, workspace)
 }
 
-func (in *Instance) newGroup(service string) *cwlead.Group {
-	return cwlead.New(cwlead.Config{
+func (in *Instance) newGroup(service string) *cwleadership.Group {
+	return cwleadership.New(cwleadership.Config{
 		Self: cwfailover.InstanceID(in.cfg.Name), DataCentre: in.cfg.DataCentre, Service: service,
 		Clock: in.cfg.Clock, Log: in.cfg.Log, Dialer: countingDialer{in.cfg.Dialer, in.metrics}, Table: in.cfg.Table,
 		Era: in.cfg.Era, Promoter: in.cfg.Promoter, MinHolderInterval: in.cfg.MinHolderInterval, ClaimSeed: in.cfg.RunID, RemotePath: in.remotePath,
--- a/internal/proxy/cwlead/confirm.go
+++ b/internal/proxy/cwleadership/confirm.go
@@ -1,4 +1,4 @@
-package cwlead
+package cwleadership
 
 import "cicadawalk.example/cicadawalk/internal/core/cwgroup"
 
--- a/internal/proxy/cwlead/group.go
+++ b/internal/proxy/cwleadership/group.go
@@ -1,4 +1,4 @@
-// Package cwlead tracks, for one proxy, the primary of a group of targets that don't
+// Package cwleadership tracks, for one proxy, the primary of a group of targets that don't
 // report their state unasked, and replaces a primary that has failed.
 //
 // A Group learns the state of its members from the answers to statements, each of which
@@ -11,7 +11,7 @@
 // the old primary, so the old primary can't be confirmed after that. No proxy
 // acknowledges a commit of a new term before it has known that term for Lease. While a
 // confirmation is valid, the confirmed primary therefore has every acknowledged record.
-package cwlead
+package cwleadership
 
 import (
 	"sync"
--- a/internal/proxy/cwlead/member.go
+++ b/internal/proxy/cwleadership/member.go
@@ -1,4 +1,4 @@
-package cwlead
+package cwleadership
 
 import (
 	"slices"
