--- a/internal/core/cwsimulation/proxy_test.go
+++ b/internal/core/cwsimulation/proxy_test.go
@@ -257,7 +257,7 @@
 	}
 }
 
-// routeRead selects a member for a read in the same way as a cwwatch.Group.
+// routeRead selects a member for a read in the same way as a cwmonitor.Group.
 func (p *proxy) routeRead(rd cwroute.Read) cwroute.Decision {
 	var cands []cwroute.Candidate
 	v := p.supervisor.View()
--- a/internal/proxy/cwwatch/group.go
+++ b/internal/proxy/cwmonitor/group.go
@@ -1,4 +1,4 @@
-// Package cwwatch tracks, for one proxy, the state of one group of targets that report
+// Package cwmonitor tracks, for one proxy, the state of one group of targets that report
 // their state over control connections, and acts on it.
 //
 // A Group owns a control connection to each member and combines the reports received on
@@ -6,7 +6,7 @@
 // acknowledged, and whether the primary is to be replaced. The decisions are made by the
 // core packages; this package supplies events, the clock and a lock, and executes their
 // commands.
-package cwwatch
+package cwmonitor
 
 import (
 	"context"
--- a/internal/proxy/cwwatch/place.go
+++ b/internal/proxy/cwmonitor/place.go
@@ -1,4 +1,4 @@
-package cwwatch
+package cwmonitor
 
 import (
 	"context"
--- a/internal/proxy/cwpgproxy/audit.go
+++ b/internal/proxy/cwpgproxy/audit.go
@@ -31,7 +31,7 @@
 	return &auditRecorder{store: store, cfg: cfg, actions: make(chan cwstore.Action, maxQueuedActions)}
 }
 
-// Record implements cwwatch.Journal. It never blocks; if the queue is full, it drops
+// Record implements cwmonitor.Journal. It never blocks; if the queue is full, it drops
 // and logs the oldest action.
 func (j *auditRecorder) Record(kind, subject, before, after string) {
 	a := cwstore.Action{
--- a/internal/proxy/cwpgproxy/catalogue.go
+++ b/internal/proxy/cwpgproxy/catalogue.go
@@ -11,8 +11,8 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwgroup"
 	"cicadawalk.example/cicadawalk/internal/core/cwlimit"
 	"cicadawalk.example/cicadawalk/internal/core/cwrendezvous"
+	"cicadawalk.example/cicadawalk/internal/proxy/cwmonitor"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwpgpool"
-	"cicadawalk.example/cicadawalk/internal/proxy/cwwatch"
 	"cicadawalk.example/cicadawalk/internal/wire/cwcodec"
 	"cicadawalk.example/cicadawalk/internal/wire/cwpeer"
 	"cicadawalk.example/cicadawalk/internal/wire/cwtarget"
@@ -265,7 +265,7 @@
 		old.cancel()
 	}
 	ctx, cancel := context.WithCancel(n.runCtx)
-	group := cwwatch.New(cwwatch.Config{
+	group := cwmonitor.New(cwmonitor.Config{
 		Self:      n.instanceID(),
 		Service:   e.Service,
 		Group:     g,
@@ -356,10 +356,10 @@
 	}
 }
 
-func (n *Node) groupList() []*cwwatch.Group {
+func (n *Node) groupList() []*cwmonitor.Group {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
-	out := make([]*cwwatch.Group, 0, len(n.groups))
+	out := make([]*cwmonitor.Group, 0, len(n.groups))
 	for _, g := range n.groups {
 		out = append(out, g.Group)
 	}
--- a/internal/proxy/cwpgproxy/node.go
+++ b/internal/proxy/cwpgproxy/node.go
@@ -27,9 +27,9 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwfailover"
 	"cicadawalk.example/cicadawalk/internal/core/cwgroup"
 	"cicadawalk.example/cicadawalk/internal/core/cwlimit"
+	"cicadawalk.example/cicadawalk/internal/proxy/cwmonitor"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwpgpool"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwserver"
-	"cicadawalk.example/cicadawalk/internal/proxy/cwwatch"
 	"cicadawalk.example/cicadawalk/internal/wire/cwpeer"
 	"cicadawalk.example/cicadawalk/internal/wire/cwplatform"
 	"cicadawalk.example/cicadawalk/internal/wire/cwstore"
@@ -105,7 +105,7 @@
 
 // runningGroup is a group and the catalogue's description that it was created from.
 type runningGroup struct {
-	*cwwatch.Group
+	*cwmonitor.Group
 	spec   cwcatalogue.Group
 	cancel context.CancelFunc
 }
@@ -250,7 +250,7 @@
 func (n *Node) Ready() bool { return n.catalogueLoaded.Load() && n.revision.Load() > 0 }
 
 // Group implements cwserver.Proxy.
-func (n *Node) Group(name string) (*cwwatch.Group, bool) {
+func (n *Node) Group(name string) (*cwmonitor.Group, bool) {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
 	g, ok := n.groups[name]
@@ -271,7 +271,7 @@
 	return p.Pool, true
 }
 
-// Load implements cwwatch.Pools.
+// Load implements cwmonitor.Pools.
 func (n *Node) Load(id cwgroup.MemberID) float64 {
 	p, ok := n.Pool(id)
 	if !ok {
@@ -280,14 +280,14 @@
 	return p.Load()
 }
 
-// Cull implements cwwatch.Pools.
+// Cull implements cwmonitor.Pools.
 func (n *Node) Cull(id cwgroup.MemberID) {
 	if p, ok := n.Pool(id); ok {
 		p.RetireConnections()
 	}
 }
 
-// Live implements cwwatch.PeerWatchers.
+// Live implements cwmonitor.PeerWatchers.
 func (n *Node) Live() []string {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
--- a/internal/proxy/cwpgproxy/peers.go
+++ b/internal/proxy/cwpgproxy/peers.go
@@ -120,7 +120,7 @@
 	}
 }
 
-// Publish implements cwwatch.PeerWatchers. It sends a changed vote at once.
+// Publish implements cwmonitor.PeerWatchers. It sends a changed vote at once.
 func (n *Node) Publish() { n.sendHeartbeats(n.runCtx) }
 
 // Heartbeat implements cwpeer.Handler. If the partner has a higher revision, it
--- a/internal/proxy/cwserver/fuzz_test.go
+++ b/internal/proxy/cwserver/fuzz_test.go
@@ -13,8 +13,8 @@
 
 	"cicadawalk.example/cicadawalk/internal/core/cwcatalogue"
 	"cicadawalk.example/cicadawalk/internal/core/cwgroup"
+	"cicadawalk.example/cicadawalk/internal/proxy/cwmonitor"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwpgpool"
-	"cicadawalk.example/cicadawalk/internal/proxy/cwwatch"
 )
 
 // noGroupProxy is a stub Proxy whose only entry has two groups, so that
@@ -26,7 +26,7 @@
 func (noGroupProxy) Entry(string) (cwcatalogue.Entry, bool) {
 	return cwcatalogue.Entry{Service: "s", Groups: []cwcatalogue.Group{{Name: "a"}, {Name: "b"}}}, true
 }
-func (noGroupProxy) Group(string) (*cwwatch.Group, bool)          { return nil, false }
+func (noGroupProxy) Group(string) (*cwmonitor.Group, bool)        { return nil, false }
 func (noGroupProxy) Pool(cwgroup.MemberID) (*cwpgpool.Pool, bool) { return nil, false }
 func (noGroupProxy) ForwardCancel(uint32, []byte)                 {}
 
--- a/internal/proxy/cwserver/server.go
+++ b/internal/proxy/cwserver/server.go
@@ -31,8 +31,8 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwcatalogue"
 	"cicadawalk.example/cicadawalk/internal/core/cwgroup"
 	"cicadawalk.example/cicadawalk/internal/core/cwlimit"
+	"cicadawalk.example/cicadawalk/internal/proxy/cwmonitor"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwpgpool"
-	"cicadawalk.example/cicadawalk/internal/proxy/cwwatch"
 	"cicadawalk.example/cicadawalk/internal/wire/cwlisten"
 	"cicadawalk.example/cicadawalk/internal/wire/cwsql"
 )
@@ -49,7 +49,7 @@
 	Entry(service string) (cwcatalogue.Entry, bool)
 	// Group returns the monitored state of a replication group, and false if this
 	// proxy does not have it yet.
-	Group(name string) (*cwwatch.Group, bool)
+	Group(name string) (*cwmonitor.Group, bool)
 	// Pool returns the connection pool of a group member, and false if this proxy
 	// does not have it yet.
 	Pool(id cwgroup.MemberID) (*cwpgpool.Pool, bool)
--- a/internal/proxy/cwserver/session.go
+++ b/internal/proxy/cwserver/session.go
@@ -15,8 +15,8 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwrefusal"
 	"cicadawalk.example/cicadawalk/internal/core/cwrendezvous"
 	"cicadawalk.example/cicadawalk/internal/core/cwsession"
+	"cicadawalk.example/cicadawalk/internal/proxy/cwmonitor"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwpgpool"
-	"cicadawalk.example/cicadawalk/internal/proxy/cwwatch"
 )
 
 // session serves one client connection. Its goroutine owns all fields except
@@ -36,7 +36,7 @@
 	revision uint64
 	// group is the replication group that has the client's data. It is nil while
 	// the entry has several groups and the client has not set cicadawalk.shard.
-	group *cwwatch.Group
+	group *cwmonitor.Group
 
 	token cwsession.Token
 	// reportedToken is the encoded token last reported to the client.
