--- a/internal/proxy/cwinstance/instance.go
+++ b/internal/proxy/cwinstance/instance.go
@@ -28,7 +28,7 @@
 	"cicadawalk.example/cicadawalk/internal/proxy/cwpeers"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwport"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwquotameter"
-	"cicadawalk.example/cicadawalk/internal/wire/cwhandover"
+	"cicadawalk.example/cicadawalk/internal/wire/cwforward"
 	"cicadawalk.example/cicadawalk/internal/wire/cwplatform"
 )
 
@@ -177,7 +177,7 @@
 func (in *Instance) refreshHolders() { in.engine.RefreshHolders() }
 
 func dialPeer(ctx context.Context, name, address string) (cwpeers.Conn, error) {
-	return cwhandover.Dial(ctx, name, address)
+	return cwforward.Dial(ctx, name, address)
 }
 
 // countingDialer counts the connections to targets in the metrics.
@@ -231,7 +231,7 @@
 	eg.Go(func() error { return in.members.Run(run) })
 	eg.Go(func() error { return in.peers.Run(run) })
 	eg.Go(func() error {
-		return (&cwhandover.Server{Handler: in.engine, News: in.directory, Quotas: in.quotaServer()}).Run(run, peerListener)
+		return (&cwforward.Server{Handler: in.engine, News: in.directory, Quotas: in.quotaServer()}).Run(run, peerListener)
 	})
 	eg.Go(func() error { return in.engine.Serve(callerListener, in.cfg.NewCallerConn) })
 	in.cfg.Log.Info("started", "instance", in.cfg.Name, "dataCentre", in.cfg.DataCentre, "listen", in.cfg.CallerListen)
--- a/internal/wire/cwhandover/handover.go
+++ b/internal/wire/cwforward/handover.go
@@ -1,4 +1,4 @@
-// Package cwhandover implements the protocol between instances: JSON-RPC 2.0 over
+// Package cwforward implements the protocol between instances: JSON-RPC 2.0 over
 // TCP.
 //
 // An instance forwards a caller's statement to a holder, which is one of the
@@ -12,7 +12,7 @@
 //   - news requests the changes that the other instance has received from the
 //     platform's store.
 //   - quota takes one operation from a workspace's quota.
-package cwhandover
+package cwforward
 
 import (
 	"encoding/json"
--- a/internal/wire/cwhandover/handover_test.go
+++ b/internal/wire/cwforward/handover_test.go
@@ -1,4 +1,4 @@
-package cwhandover
+package cwforward
 
 import (
 	"bytes"
