--- a/internal/proxy/cwdirectory/serve.go
+++ b/internal/proxy/cwdirectory/serve.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"cicadawalk.example/cicadawalk/internal/proxy/cwport"
-	"cicadawalk.example/cicadawalk/internal/wire/cwpack"
+	"cicadawalk.example/cicadawalk/internal/wire/cwcompress"
 )
 
 // maxResponseWait bounds how long a request of another instance is held, whatever wait
@@ -96,10 +96,10 @@
 
 // packedRow returns a row as it is sent to other instances: compressed if it is large.
 func (d *Directory) packedRow(r cwport.Row) cwport.Row {
-	if len(r.Value) < cwpack.MinSize {
+	if len(r.Value) < cwcompress.MinSize {
 		return r
 	}
-	packed, err := cwpack.Compress(r.Value)
+	packed, err := cwcompress.Compress(r.Value)
 	if err != nil {
 		d.Log.Error("rowNotPacked", "key", r.Key, "cause", err)
 		return r
@@ -116,7 +116,7 @@
 // text, and the root of a data centre encoded a message for each of sixteen followers at
 // once, the busiest of 302 instances would take 168 MB, more than they have.
 func (d *Directory) rowForChangeLog(r cwport.Row, compress bool) cwport.Row {
-	if len(r.Value) < cwpack.MinSize {
+	if len(r.Value) < cwcompress.MinSize {
 		return r
 	}
 	if len(r.Packed) > 0 {
--- a/internal/wire/cwpack/pack.go
+++ b/internal/wire/cwcompress/pack.go
@@ -1,5 +1,5 @@
-// Package cwpack compresses large values that are sent between instances.
-package cwpack
+// Package cwcompress compresses large values that are sent between instances.
+package cwcompress
 
 import (
 	"fmt"
--- a/internal/wire/cwpack/pack_test.go
+++ b/internal/wire/cwcompress/pack_test.go
@@ -1,4 +1,4 @@
-package cwpack
+package cwcompress
 
 import (
 	"bytes"
--- a/internal/wire/cwforward/handover_test.go
+++ b/internal/wire/cwforward/handover_test.go
@@ -17,7 +17,7 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwgroup"
 	"cicadawalk.example/cicadawalk/internal/core/cwstatement"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwport"
-	"cicadawalk.example/cicadawalk/internal/wire/cwpack"
+	"cicadawalk.example/cicadawalk/internal/wire/cwcompress"
 )
 
 func exampleStatement() cwport.ForwardRequest {
@@ -94,7 +94,7 @@
 	})
 	t.Run("a packed row", func(t *testing.T) {
 		value := bytes.Repeat([]byte("route "), 10_000)
-		packed, err := cwpack.Compress(value)
+		packed, err := cwcompress.Compress(value)
 		qt.Assert(t, err, qt.IsNil)
 		n := exampleNews()
 		n.Topics[cwport.TopicDesired].Rows = []cwport.Row{{Key: "config", Version: 7, Packed: packed}}
--- a/internal/wire/cwforward/news.go
+++ b/internal/wire/cwforward/news.go
@@ -7,7 +7,7 @@
 
 	"cicadawalk.example/cicadawalk/internal/core/cwfeed"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwport"
-	"cicadawalk.example/cicadawalk/internal/wire/cwpack"
+	"cicadawalk.example/cicadawalk/internal/wire/cwcompress"
 )
 
 type newsRequestBody struct {
@@ -120,7 +120,7 @@
 	if err != nil {
 		return nil, err
 	}
-	packed, err := cwpack.Compress(text)
+	packed, err := cwcompress.Compress(text)
 	if err == nil && t.Complete {
 		*kept = compressedTopic{version: t.Version, bytes: packed}
 	}
@@ -160,7 +160,7 @@
 	if len(b.Packed) == 0 {
 		return b.Rows, nil
 	}
-	text, err := cwpack.Decompress(b.Packed)
+	text, err := cwcompress.Decompress(b.Packed)
 	if err != nil {
 		return nil, &MalformedMessageError{Reason: "packed rows: " + err.Error()}
 	}
@@ -176,7 +176,7 @@
 	if len(r.Packed) == 0 {
 		return r, nil
 	}
-	value, err := cwpack.Decompress(r.Packed)
+	value, err := cwcompress.Decompress(r.Packed)
 	if err != nil {
 		return cwport.Row{}, &MalformedMessageError{Reason: "packed row " + r.Key + ": " + err.Error()}
 	}
