--- a/internal/proxy/cwpgproxy/catalogue.go
+++ b/internal/proxy/cwpgproxy/catalogue.go
@@ -13,7 +13,7 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwrendezvous"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwmonitor"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwpgpool"
-	"cicadawalk.example/cicadawalk/internal/wire/cwcodec"
+	"cicadawalk.example/cicadawalk/internal/wire/cwcataloguejson"
 	"cicadawalk.example/cicadawalk/internal/wire/cwpeer"
 	"cicadawalk.example/cicadawalk/internal/wire/cwtarget"
 )
@@ -101,9 +101,9 @@
 	var next cwcatalogue.Catalogue
 	switch {
 	case len(u.Document) > 0:
-		next, err = cwcodec.Decode(u.Document)
+		next, err = cwcataloguejson.Decode(u.Document)
 	case u.Base == known.Revision:
-		next, err = cwcodec.ApplyParts(known, u.Changed, u.Revision)
+		next, err = cwcataloguejson.ApplyParts(known, u.Changed, u.Revision)
 	default:
 		return false
 	}
@@ -127,7 +127,7 @@
 // recordChange appends the difference between old and next to changes. The caller holds
 // mu.
 func (n *Node) recordChange(old, next cwcatalogue.Catalogue) {
-	changed, err := cwcodec.ChangedParts(old, next)
+	changed, err := cwcataloguejson.ChangedParts(old, next)
 	if err != nil || old.Revision == 0 {
 		n.changes = nil
 		return
@@ -163,7 +163,7 @@
 		}
 	}
 	var err error
-	u.Document, err = cwcodec.Encode(c)
+	u.Document, err = cwcataloguejson.Encode(c)
 	return u, err
 }
 
--- a/internal/tool/cwcommand/catalogue.go
+++ b/internal/tool/cwcommand/catalogue.go
@@ -14,7 +14,7 @@
 	"github.com/spf13/cobra"
 
 	"cicadawalk.example/cicadawalk/internal/core/cwcatalogue"
-	"cicadawalk.example/cicadawalk/internal/wire/cwcodec"
+	"cicadawalk.example/cicadawalk/internal/wire/cwcataloguejson"
 	"cicadawalk.example/cicadawalk/internal/wire/cwplatform"
 	"cicadawalk.example/cicadawalk/internal/wire/cwstore"
 )
@@ -111,7 +111,7 @@
 		}
 		c = old.WithRevision(c.Revision)
 	}
-	text, err := cwcodec.Encode(c)
+	text, err := cwcataloguejson.Encode(c)
 	if err != nil {
 		return err
 	}
@@ -152,7 +152,7 @@
 	if err != nil {
 		return cwcatalogue.Catalogue{}, &ExitError{Code: ExitUsage, Err: err}
 	}
-	c, err := cwcodec.Decode(text)
+	c, err := cwcataloguejson.Decode(text)
 	if err != nil {
 		return c, &ExitError{Code: ExitUsage, Err: &CatalogueFileError{Name: name, Err: err}}
 	}
--- a/internal/wire/cwcodec/document.go
+++ b/internal/wire/cwcataloguejson/document.go
@@ -1,10 +1,10 @@
-// Package cwcodec encodes and decodes the catalogue as JSON.
+// Package cwcataloguejson encodes and decodes the catalogue as JSON.
 //
 // The format has camelCase names, and durations in milliseconds. It is defined by
 // separate types, so that changes of the catalogue's types do not change the format.
 // Unknown fields are rejected. Decoding reports all faults of a valid JSON document
 // together, each with its line and field.
-package cwcodec
+package cwcataloguejson
 
 import (
 	"bytes"
--- a/internal/wire/cwcodec/locate.go
+++ b/internal/wire/cwcataloguejson/locate.go
@@ -1,4 +1,4 @@
-package cwcodec
+package cwcataloguejson
 
 import (
 	"bytes"
--- a/internal/wire/cwstore/audit.go
+++ b/internal/wire/cwstore/audit.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"slices"
 
-	"cicadawalk.example/cicadawalk/internal/wire/cwcodec"
+	"cicadawalk.example/cicadawalk/internal/wire/cwcataloguejson"
 	"cicadawalk.example/cicadawalk/internal/wire/cwplatform"
 )
 
@@ -49,7 +49,7 @@
 	for _, r := range rows {
 		var b actBody
 		if err := json.Unmarshal(r.Value, &b); err != nil {
-			return nil, &cwcodec.PartError{Part: r.Key, Cause: err}
+			return nil, &cwcataloguejson.PartError{Part: r.Key, Cause: err}
 		}
 		out = append(out, Action(b))
 	}
--- a/internal/wire/cwstore/store.go
+++ b/internal/wire/cwstore/store.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"cicadawalk.example/cicadawalk/internal/core/cwcatalogue"
-	"cicadawalk.example/cicadawalk/internal/wire/cwcodec"
+	"cicadawalk.example/cicadawalk/internal/wire/cwcataloguejson"
 	"cicadawalk.example/cicadawalk/internal/wire/cwplatform"
 )
 
@@ -121,7 +121,7 @@
 }
 
 // Revision returns the current revision, or zero if there is no catalogue yet. Its
-// errors are those of cwplatform.Table, or a *cwcodec.PartError.
+// errors are those of cwplatform.Table, or a *cwcataloguejson.PartError.
 func (s Store) Revision(ctx context.Context) (cwcatalogue.Revision, error) {
 	r, _, err := s.revision(ctx)
 	return r, err
@@ -138,7 +138,7 @@
 	}
 	var b revisionBody
 	if err := json.Unmarshal(row.Value, &b); err != nil {
-		return 0, "", &cwcodec.PartError{Part: keyRevision, Cause: err}
+		return 0, "", &cwcataloguejson.PartError{Part: keyRevision, Cause: err}
 	}
 	return cwcatalogue.Revision(b.Revision), row.ETag, nil
 }
@@ -166,7 +166,7 @@
 		for _, r := range rows {
 			parts[strings.TrimPrefix(r.Key, keyParts)] = r.Value
 		}
-		c, err := cwcodec.JoinParts(parts)
+		c, err := cwcataloguejson.JoinParts(parts)
 		return c.WithRevision(after), err
 	}
 }
@@ -192,7 +192,7 @@
 			changed[name] = value
 		}
 	}
-	return cwcodec.ApplyParts(known, changed, rev)
+	return cwcataloguejson.ApplyParts(known, changed, rev)
 }
 
 func auditKey(r cwcatalogue.Revision) string { return fmt.Sprintf("%s%012d", keyAudit, r) }
@@ -208,7 +208,7 @@
 func decodeChange(row cwplatform.Row) (Change, error) {
 	var b changeBody
 	if err := json.Unmarshal(row.Value, &b); err != nil {
-		return Change{}, &cwcodec.PartError{Part: row.Key, Cause: err}
+		return Change{}, &cwcataloguejson.PartError{Part: row.Key, Cause: err}
 	}
 	return Change{
 		Revision: cwcatalogue.Revision(b.Revision), ID: b.ID, Who: b.Who, At: b.At,
@@ -268,7 +268,7 @@
 	if s.Objects == nil {
 		return
 	}
-	if text, err := cwcodec.Encode(c); err == nil {
+	if text, err := cwcataloguejson.Encode(c); err == nil {
 		_ = s.Objects.PutObject(ctx, copyKey(c.Revision), text)
 	}
 }
@@ -278,7 +278,7 @@
 func (s Store) LoadRevision(ctx context.Context, r cwcatalogue.Revision) (cwcatalogue.Catalogue, error) {
 	if s.Objects != nil {
 		if text, err := s.Objects.GetObject(ctx, copyKey(r)); err == nil {
-			return cwcodec.Decode(text)
+			return cwcataloguejson.Decode(text)
 		}
 	}
 	history, err := s.History(ctx)
@@ -296,7 +296,7 @@
 			}
 		}
 	}
-	c, err := cwcodec.JoinParts(parts)
+	c, err := cwcataloguejson.JoinParts(parts)
 	return c.WithRevision(r), err
 }
 
@@ -308,11 +308,11 @@
 }
 
 func (s Store) buildCommit(current, next cwcatalogue.Catalogue, tag string, c *Change) (cwplatform.Change, error) {
-	before, err := cwcodec.SplitParts(current)
+	before, err := cwcataloguejson.SplitParts(current)
 	if err != nil {
 		return cwplatform.Change{}, err
 	}
-	changed, err := cwcodec.ChangedParts(current, next)
+	changed, err := cwcataloguejson.ChangedParts(current, next)
 	if err != nil {
 		return cwplatform.Change{}, err
 	}
