--- a/internal/proxy/cwpgproxy/audit.go
+++ b/internal/proxy/cwpgproxy/audit.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"cicadawalk.example/cicadawalk/internal/wire/cwstore"
+	"cicadawalk.example/cicadawalk/internal/wire/cwcataloguestore"
 )
 
 // Limits of the audit recorder.
@@ -22,19 +22,19 @@
 // in the platform's table. While the table is unavailable, actions are queued in
 // memory, and are lost if the process ends.
 type auditRecorder struct {
-	store   cwstore.Store
+	store   cwcataloguestore.Store
 	cfg     Config
-	actions chan cwstore.Action
+	actions chan cwcataloguestore.Action
 }
 
-func newAuditRecorder(store cwstore.Store, cfg Config) *auditRecorder {
-	return &auditRecorder{store: store, cfg: cfg, actions: make(chan cwstore.Action, maxQueuedActions)}
+func newAuditRecorder(store cwcataloguestore.Store, cfg Config) *auditRecorder {
+	return &auditRecorder{store: store, cfg: cfg, actions: make(chan cwcataloguestore.Action, maxQueuedActions)}
 }
 
 // Record implements cwmonitor.Journal. It never blocks; if the queue is full, it drops
 // and logs the oldest action.
 func (j *auditRecorder) Record(kind, subject, before, after string) {
-	a := cwstore.Action{
+	a := cwcataloguestore.Action{
 		Who: "proxy " + j.cfg.Instance, At: j.cfg.Clock.Now().UTC(),
 		Kind: kind, Subject: subject, Before: before, After: after,
 	}
@@ -66,7 +66,7 @@
 
 // write writes an action and retries until that succeeds or ctx ends. The id makes the
 // retries idempotent.
-func (j *auditRecorder) write(ctx context.Context, id string, a cwstore.Action) {
+func (j *auditRecorder) write(ctx context.Context, id string, a cwcataloguestore.Action) {
 	for ctx.Err() == nil {
 		if j.store.RecordAction(ctx, id, a) == nil {
 			return
--- a/internal/proxy/cwpgproxy/cluster_test.go
+++ b/internal/proxy/cwpgproxy/cluster_test.go
@@ -14,8 +14,8 @@
 	"cicadawalk.example/cicadawalk/internal/standin/cwlink"
 	"cicadawalk.example/cicadawalk/internal/tool/cwdemo"
 	"cicadawalk.example/cicadawalk/internal/tool/cwload"
+	"cicadawalk.example/cicadawalk/internal/wire/cwcataloguestore"
 	"cicadawalk.example/cicadawalk/internal/wire/cwplatform"
-	"cicadawalk.example/cicadawalk/internal/wire/cwstore"
 )
 
 var background = context.Background()
@@ -69,8 +69,8 @@
 	return conn
 }
 
-func (b *testCluster) store() cwstore.Store {
-	return cwstore.Store{Table: &cwplatform.Client{URL: b.Platform.URL()}}
+func (b *testCluster) store() cwcataloguestore.Store {
+	return cwcataloguestore.Store{Table: &cwplatform.Client{URL: b.Platform.URL()}}
 }
 
 // runLoad runs sessions for d that switch proxies and use request keys, and calls fault
--- a/internal/proxy/cwpgproxy/failure_test.go
+++ b/internal/proxy/cwpgproxy/failure_test.go
@@ -14,7 +14,7 @@
 	"cicadawalk.example/cicadawalk/internal/standin/cwtable"
 	"cicadawalk.example/cicadawalk/internal/tool/cwdemo"
 	"cicadawalk.example/cicadawalk/internal/tool/cwload"
-	"cicadawalk.example/cicadawalk/internal/wire/cwstore"
+	"cicadawalk.example/cicadawalk/internal/wire/cwcataloguestore"
 )
 
 // Guards against the loss of acknowledged writes, for example of one that was committed
@@ -106,7 +106,7 @@
 	t.Parallel()
 	c, b := newTestCluster(t, cwdemo.Options{})
 	b.Databases[0].Stop()
-	var acts []cwstore.Action
+	var acts []cwcataloguestore.Action
 	waitFor(c, "an entry in the audit trail", func() bool {
 		acts, _ = b.store().Actions(background)
 		return len(acts) > 0
--- a/internal/proxy/cwpgproxy/node.go
+++ b/internal/proxy/cwpgproxy/node.go
@@ -30,9 +30,9 @@
 	"cicadawalk.example/cicadawalk/internal/proxy/cwmonitor"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwpgpool"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwserver"
+	"cicadawalk.example/cicadawalk/internal/wire/cwcataloguestore"
 	"cicadawalk.example/cicadawalk/internal/wire/cwpeer"
 	"cicadawalk.example/cicadawalk/internal/wire/cwplatform"
-	"cicadawalk.example/cicadawalk/internal/wire/cwstore"
 )
 
 // Error is the class of errors that New returns.
@@ -70,7 +70,7 @@
 // Node is one proxy. Make one with New.
 type Node struct {
 	cfg         Config
-	store       cwstore.Store
+	store       cwcataloguestore.Store
 	server      *cwserver.Server
 	metricSet   *metrics.Set
 	failoverGap *metrics.Histogram
@@ -125,7 +125,7 @@
 	n := &Node{
 		cfg:       cfg,
 		live:      []string{cfg.Instance},
-		store:     cwstore.Store{Table: cfg.Table},
+		store:     cwcataloguestore.Store{Table: cfg.Table},
 		metricSet: metrics.NewSet(),
 		entries:   make(map[string]cwcatalogue.Entry),
 		groups:    make(map[string]*runningGroup),
--- a/internal/proxy/cwpgproxy/operator_test.go
+++ b/internal/proxy/cwpgproxy/operator_test.go
@@ -14,7 +14,7 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwgroup"
 	"cicadawalk.example/cicadawalk/internal/standin/cwtable"
 	"cicadawalk.example/cicadawalk/internal/tool/cwdemo"
-	"cicadawalk.example/cicadawalk/internal/wire/cwstore"
+	"cicadawalk.example/cicadawalk/internal/wire/cwcataloguestore"
 )
 
 // Guards against lost updates of the catalogue. If two operators edit it concurrently,
@@ -30,7 +30,7 @@
 	apply := func(cat cwcatalogue.Catalogue, who string, timeout time.Duration) error {
 		e, _ := cat.Entry(cwdemo.ServiceName)
 		e.Contract.StatementTimeout = timeout
-		_, err := store.Apply(background, cat.WithEntry(e), cwstore.Change{ID: who, Who: who, At: time.Now(), Summary: []string{"changed the time limit"}})
+		_, err := store.Apply(background, cat.WithEntry(e), cwcataloguestore.Change{ID: who, Who: who, At: time.Now(), Summary: []string{"changed the time limit"}})
 		return err
 	}
 	inForce := func(rev uint64) func() bool {
@@ -46,7 +46,7 @@
 	c.Run("concurrent changes", func(c *qt.C) {
 		c.Assert(apply(base, "maria", 9*time.Second), qt.IsNil)
 		err := apply(base, "jorge", 8*time.Second)
-		var conflict *cwstore.ConflictError
+		var conflict *cwcataloguestore.ConflictError
 		c.Assert(err, qt.ErrorAs, &conflict)
 		c.Assert(conflict.Since[0].Who, qt.Equals, "maria")
 		waitFor(c, "revision 2 everywhere", inForce(2))
@@ -109,7 +109,7 @@
 						continue
 					}
 					_, err = b.store().Apply(background, cat.WithPlannedStop(cwcatalogue.PlannedStop{Target: id, PlannedBy: "ana"}),
-						cwstore.Change{ID: fmt.Sprint(time.Now()), Who: "ana", At: time.Now()})
+						cwcataloguestore.Change{ID: fmt.Sprint(time.Now()), Who: "ana", At: time.Now()})
 					c.Check(err, qt.IsNil)
 				}
 			})
--- a/internal/tool/cwcommand/catalogue.go
+++ b/internal/tool/cwcommand/catalogue.go
@@ -15,8 +15,8 @@
 
 	"cicadawalk.example/cicadawalk/internal/core/cwcatalogue"
 	"cicadawalk.example/cicadawalk/internal/wire/cwcataloguejson"
+	"cicadawalk.example/cicadawalk/internal/wire/cwcataloguestore"
 	"cicadawalk.example/cicadawalk/internal/wire/cwplatform"
-	"cicadawalk.example/cicadawalk/internal/wire/cwstore"
 )
 
 // platformFlags holds the flags of the commands that use the platform's table
@@ -64,14 +64,14 @@
 	return cmd
 }
 
-func (o *platformFlags) store() cwstore.Store {
+func (o *platformFlags) store() cwcataloguestore.Store {
 	client := &cwplatform.Client{URL: strings.TrimRight(o.platform, "/")}
-	return cwstore.Store{Table: client, Objects: client}
+	return cwcataloguestore.Store{Table: client, Objects: client}
 }
 
 // newChange returns an audit record with a random id.
-func (o *platformFlags) newChange(summary []string) cwstore.Change {
-	return cwstore.Change{ID: rand.Text(), Who: o.author, At: time.Now().UTC(), Note: o.note, Summary: summary}
+func (o *platformFlags) newChange(summary []string) cwcataloguestore.Change {
+	return cwcataloguestore.Change{ID: rand.Text(), Who: o.author, At: time.Now().UTC(), Note: o.note, Summary: summary}
 }
 
 func catalogueCommand() *cobra.Command {
@@ -233,7 +233,7 @@
 
 // withConflictExitCode adds ExitConflict to the error of a concurrent change.
 func withConflictExitCode(err error) error {
-	var conflict *cwstore.ConflictError
+	var conflict *cwcataloguestore.ConflictError
 	if errors.As(err, &conflict) {
 		return &ExitError{Code: ExitConflict, Err: err}
 	}
@@ -253,7 +253,7 @@
 
 // printHistory prints the changes of the catalogue and the actions of the proxies,
 // merged by time.
-func printHistory(ctx context.Context, w io.Writer, store cwstore.Store) error {
+func printHistory(ctx context.Context, w io.Writer, store cwcataloguestore.Store) error {
 	changes, err := store.History(ctx)
 	if err != nil {
 		return err
@@ -275,7 +275,7 @@
 	return nil
 }
 
-func printChange(w io.Writer, c cwstore.Change) {
+func printChange(w io.Writer, c cwcataloguestore.Change) {
 	fmt.Fprintf(w, "%s  %s: revision %d (change %s) %s\n", c.At.Format(time.RFC3339), c.Who, c.Revision, c.ID, c.Note)
 	for _, s := range c.Summary {
 		fmt.Fprintf(w, "    %s\n", s)
--- a/internal/tool/cwcommand/stop.go
+++ b/internal/tool/cwcommand/stop.go
@@ -9,7 +9,7 @@
 
 	"cicadawalk.example/cicadawalk/internal/core/cwcatalogue"
 	"cicadawalk.example/cicadawalk/internal/core/cwgroup"
-	"cicadawalk.example/cicadawalk/internal/wire/cwstore"
+	"cicadawalk.example/cicadawalk/internal/wire/cwcataloguestore"
 )
 
 func stopCommand() *cobra.Command {
@@ -52,7 +52,7 @@
 			// A planned stop is compatible with any other change, so after a
 			// conflict it is applied again to the newer revision.
 			err = o.apply(cmd, change(current, id, &o), true)
-			var conflict *cwstore.ConflictError
+			var conflict *cwcataloguestore.ConflictError
 			if !errors.As(err, &conflict) {
 				return err
 			}
--- a/internal/tool/cwdemo/cluster.go
+++ b/internal/tool/cwdemo/cluster.go
@@ -24,8 +24,8 @@
 	"cicadawalk.example/cicadawalk/internal/proxy/cwpgproxy"
 	"cicadawalk.example/cicadawalk/internal/standin/cwdatabase"
 	"cicadawalk.example/cicadawalk/internal/standin/cwtable"
+	"cicadawalk.example/cicadawalk/internal/wire/cwcataloguestore"
 	"cicadawalk.example/cicadawalk/internal/wire/cwplatform"
-	"cicadawalk.example/cicadawalk/internal/wire/cwstore"
 )
 
 // Error is the class of the demo's errors.
@@ -124,8 +124,8 @@
 	}
 	b.Platform = p
 	client := &cwplatform.Client{URL: p.URL()}
-	change := cwstore.Change{ID: "demo", Who: "demo", At: time.Now().UTC(), Note: "first catalogue"}
-	if _, err := (cwstore.Store{Table: client}).Apply(context.Background(), b.Catalogue(), change); err != nil {
+	change := cwcataloguestore.Change{ID: "demo", Who: "demo", At: time.Now().UTC(), Note: "first catalogue"}
+	if _, err := (cwcataloguestore.Store{Table: client}).Apply(context.Background(), b.Catalogue(), change); err != nil {
 		return err
 	}
 	for i := range b.opts.Proxies {
--- a/internal/wire/cwstore/store.go
+++ b/internal/wire/cwcataloguestore/store.go
@@ -1,11 +1,11 @@
-// Package cwstore stores the catalogue and the audit trail in the platform's table.
+// Package cwcataloguestore stores the catalogue and the audit trail in the platform's table.
 //
 // There is one row for the revision, one for each part of the catalogue, and one audit
 // row for each revision. A change is committed in one transaction, on condition that
 // the revision row was not modified since it was read. Of two concurrent changes only
 // one can succeed, and the audit trail has no gaps. Automatic actions of the proxies
 // are recorded in separate rows.
-package cwstore
+package cwcataloguestore
 
 import (
 	"context"
--- a/internal/wire/cwstore/store_test.go
+++ b/internal/wire/cwcataloguestore/store_test.go
@@ -1,4 +1,4 @@
-package cwstore
+package cwcataloguestore
 
 import (
 	"context"
