--- a/internal/proxy/cwpgproxy/failure_test.go
+++ b/internal/proxy/cwpgproxy/failure_test.go
@@ -11,7 +11,7 @@
 
 	"cicadawalk.example/cicadawalk/internal/standin/cwdatabase"
 	"cicadawalk.example/cicadawalk/internal/standin/cwlink"
-	"cicadawalk.example/cicadawalk/internal/standin/cwtable"
+	"cicadawalk.example/cicadawalk/internal/standin/cwplatformserver"
 	"cicadawalk.example/cicadawalk/internal/tool/cwdemo"
 	"cicadawalk.example/cicadawalk/internal/tool/cwload"
 	"cicadawalk.example/cicadawalk/internal/wire/cwcataloguestore"
@@ -61,11 +61,11 @@
 		}},
 		{"network to the primary cut", func(b *testCluster) { b.links[0].SetFaults(cwlink.Faults{Cut: true}) }},
 		{"table down and primary killed", func(b *testCluster) {
-			b.Platform.SetFaults(cwtable.Faults{Down: true})
+			b.Platform.SetFaults(cwplatformserver.Faults{Down: true})
 			b.Databases[0].Stop()
 		}},
 		{"table slow, its answer lost, and primary killed", func(b *testCluster) {
-			b.Platform.SetFaults(cwtable.Faults{Delay: 50 * time.Millisecond, LoseCommitAnswers: 3})
+			b.Platform.SetFaults(cwplatformserver.Faults{Delay: 50 * time.Millisecond, LoseCommitAnswers: 3})
 			b.Databases[0].Stop()
 		}},
 		{"answers of commits lost", func(b *testCluster) {
@@ -332,7 +332,7 @@
 	exec(c, conn, "INSERT INTO ronda VALUES (1)")
 	aged := b.connect(c, 1, "cicadawalk.maxAge", "2500ms")
 	c.Assert(queryInt(c, aged, "SELECT count(*) FROM ronda"), qt.Equals, int64(1))
-	b.Platform.SetFaults(cwtable.Faults{Down: true})
+	b.Platform.SetFaults(cwplatformserver.Faults{Down: true})
 	b.links[0].SetFaults(cwlink.Faults{Cut: true})
 	b.links[2].SetFaults(cwlink.Faults{Cut: true})
 	waitFor(c, "detection of the network failure", func() bool { return b.Proxies[0].Status().Groups[0].State == "readsOnly" })
@@ -348,7 +348,7 @@
 	})
 	b.links[0].SetFaults(cwlink.Faults{})
 	b.links[2].SetFaults(cwlink.Faults{})
-	b.Platform.SetFaults(cwtable.Faults{})
+	b.Platform.SetFaults(cwplatformserver.Faults{})
 	waitFor(c, "resumption of writes", func() bool {
 		_, err := conn.Exec(background, "INSERT INTO ronda VALUES (3)")
 		return err == nil
--- a/internal/proxy/cwpgproxy/operator_test.go
+++ b/internal/proxy/cwpgproxy/operator_test.go
@@ -12,7 +12,7 @@
 
 	"cicadawalk.example/cicadawalk/internal/core/cwcatalogue"
 	"cicadawalk.example/cicadawalk/internal/core/cwgroup"
-	"cicadawalk.example/cicadawalk/internal/standin/cwtable"
+	"cicadawalk.example/cicadawalk/internal/standin/cwplatformserver"
 	"cicadawalk.example/cicadawalk/internal/tool/cwdemo"
 	"cicadawalk.example/cicadawalk/internal/wire/cwcataloguestore"
 )
@@ -54,7 +54,7 @@
 	c.Run("the table's answer is lost", func(c *qt.C) {
 		cat, err := store.Load(background)
 		c.Assert(err, qt.IsNil)
-		b.Platform.SetFaults(cwtable.Faults{LoseCommitAnswers: 1})
+		b.Platform.SetFaults(cwplatformserver.Faults{LoseCommitAnswers: 1})
 		c.Assert(apply(cat, "ana", 7*time.Second), qt.IsNil)
 		history, err := store.History(background)
 		c.Assert(err, qt.IsNil)
@@ -81,11 +81,11 @@
 		waitFor(c, "revision 4 everywhere", inForce(4))
 	})
 	c.Run("the table is down", func(c *qt.C) {
-		b.Platform.SetFaults(cwtable.Faults{Down: true})
+		b.Platform.SetFaults(cwplatformserver.Faults{Down: true})
 		p, err := b.StartProxy(len(b.Proxies))
 		c.Assert(err, qt.IsNil)
 		c.Assert(p.Ready(), qt.IsFalse)
-		b.Platform.SetFaults(cwtable.Faults{})
+		b.Platform.SetFaults(cwplatformserver.Faults{})
 		waitFor(c, "readiness of the new proxy", p.Ready)
 		c.Assert(p.Revision(), qt.Equals, uint64(4))
 	})
--- a/internal/standin/cwcontrol/control.go
+++ b/internal/standin/cwcontrol/control.go
@@ -18,7 +18,7 @@
 
 	"cicadawalk.example/cicadawalk/internal/standin/cwdatabase"
 	"cicadawalk.example/cicadawalk/internal/standin/cwlink"
-	"cicadawalk.example/cicadawalk/internal/standin/cwtable"
+	"cicadawalk.example/cicadawalk/internal/standin/cwplatformserver"
 )
 
 // Error is the class of the package's own errors.
@@ -35,7 +35,7 @@
 	NoReplication    bool  `json:"noReplication"`
 }
 
-// platformFaults is the JSON form of cwtable.Faults.
+// platformFaults is the JSON form of cwplatformserver.Faults.
 type platformFaults struct {
 	Down        bool  `json:"down"`
 	DelayMs     int64 `json:"delayMs"`
@@ -72,9 +72,9 @@
 }
 
 // Platform returns the control handler of a platform.
-func Platform(p *cwtable.Platform) http.Handler {
+func Platform(p *cwplatformserver.Platform) http.Handler {
 	return faultsHandler(func(f platformFaults) {
-		p.SetFaults(cwtable.Faults{Down: f.Down, Delay: time.Duration(f.DelayMs) * time.Millisecond, LoseCommitAnswers: f.LoseAnswers})
+		p.SetFaults(cwplatformserver.Faults{Down: f.Down, Delay: time.Duration(f.DelayMs) * time.Millisecond, LoseCommitAnswers: f.LoseAnswers})
 	}, func() platformFaults {
 		f := p.Faults()
 		return platformFaults{Down: f.Down, DelayMs: f.Delay.Milliseconds(), LoseAnswers: f.LoseCommitAnswers}
--- a/internal/standin/cwtable/table.go
+++ b/internal/standin/cwplatformserver/table.go
@@ -1,11 +1,11 @@
-// Package cwtable emulates the platform over HTTP, in memory, for tests and demos:
+// Package cwplatformserver emulates the platform over HTTP, in memory, for tests and demos:
 // the transactional table, the object store, and the list of instances, which
 // shows changes with a delay.
 //
 // Each row has a version, which clients see as an ETag. A commit writes several
 // rows atomically if the expected ETags still match. Faults make the platform
 // unavailable or slow, or lose the answer to a commit that took effect.
-package cwtable
+package cwplatformserver
 
 import (
 	"encoding/json"
--- a/internal/standin/cwtable/table_test.go
+++ b/internal/standin/cwplatformserver/table_test.go
@@ -1,4 +1,4 @@
-package cwtable
+package cwplatformserver
 
 import (
 	"context"
--- a/internal/standin/cwprogram/program.go
+++ b/internal/standin/cwprogram/program.go
@@ -15,7 +15,7 @@
 	"cicadawalk.example/cicadawalk/internal/standin/cwcontrol"
 	"cicadawalk.example/cicadawalk/internal/standin/cwdatabase"
 	"cicadawalk.example/cicadawalk/internal/standin/cwlink"
-	"cicadawalk.example/cicadawalk/internal/standin/cwtable"
+	"cicadawalk.example/cicadawalk/internal/standin/cwplatformserver"
 	"cicadawalk.example/cicadawalk/internal/wire/cwplatform"
 )
 
@@ -81,7 +81,7 @@
   (instances.json: [{"id":"entry-1","dataCentre":"hall-rufino","peer":"127.0.1.1:6544","state":"live"}])`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			p, err := cwtable.Start(listen, lag)
+			p, err := cwplatformserver.Start(listen, lag)
 			if err != nil {
 				return err
 			}
@@ -106,7 +106,7 @@
 }
 
 // loadInstances sets the platform's list of instances from a JSON file.
-func loadInstances(p *cwtable.Platform, name string) error {
+func loadInstances(p *cwplatformserver.Platform, name string) error {
 	text, err := os.ReadFile(name)
 	if err != nil {
 		return err
--- a/internal/tool/cwdemo/cluster.go
+++ b/internal/tool/cwdemo/cluster.go
@@ -23,7 +23,7 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwgroup"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwpgproxy"
 	"cicadawalk.example/cicadawalk/internal/standin/cwdatabase"
-	"cicadawalk.example/cicadawalk/internal/standin/cwtable"
+	"cicadawalk.example/cicadawalk/internal/standin/cwplatformserver"
 	"cicadawalk.example/cicadawalk/internal/wire/cwcataloguestore"
 	"cicadawalk.example/cicadawalk/internal/wire/cwplatform"
 )
@@ -79,7 +79,7 @@
 type Cluster struct {
 	// Databases are the databases of all groups, three for each group.
 	Databases []*cwdatabase.RunningMember
-	Platform  *cwtable.Platform
+	Platform  *cwplatformserver.Platform
 	Proxies   []*Proxy
 	opts      Options
 }
@@ -118,7 +118,7 @@
 	if err := b.startDatabases(); err != nil {
 		return err
 	}
-	p, err := cwtable.Start("127.0.0.1:0", b.opts.ListLag)
+	p, err := cwplatformserver.Start("127.0.0.1:0", b.opts.ListLag)
 	if err != nil {
 		return err
 	}
