--- a/internal/proxy/cwengine/harness_test.go
+++ b/internal/proxy/cwengine/harness_test.go
@@ -19,7 +19,7 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwstatement"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwleadership"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwport"
-	"cicadawalk.example/cicadawalk/internal/standin/cwreplica"
+	"cicadawalk.example/cicadawalk/internal/standin/cwreplicaset"
 	"cicadawalk.example/cicadawalk/internal/wire/cwplatform"
 )
 
@@ -28,7 +28,7 @@
 type testEnv struct {
 	c     *qt.C
 	clock *clockwork.FakeClock
-	group *cwreplica.Group
+	group *cwreplicaset.Group
 	table *memoryTable
 	entry cwcatalogue.Entry
 	// listed are the members in the list of targets that an engine gets at its start.
@@ -47,7 +47,7 @@
 	c := qt.New(t)
 	env := &testEnv{
 		c: c, clock: clockwork.NewFakeClockAt(time.Unix(1000, 0)),
-		group: cwreplica.NewGroup(testService, "a", "b", "c"), table: &memoryTable{rows: map[string]cwplatform.Row{}},
+		group: cwreplicaset.NewGroup(testService, "a", "b", "c"), table: &memoryTable{rows: map[string]cwplatform.Row{}},
 		listed: []string{"a", "b", "c"},
 	}
 	env.entry = cwcatalogue.Entry{
--- a/internal/proxy/cwtargetpool/pool_test.go
+++ b/internal/proxy/cwtargetpool/pool_test.go
@@ -11,7 +11,7 @@
 	"github.com/jonboulle/clockwork"
 
 	"cicadawalk.example/cicadawalk/internal/proxy/cwport"
-	"cicadawalk.example/cicadawalk/internal/standin/cwreplica"
+	"cicadawalk.example/cicadawalk/internal/standin/cwreplicaset"
 )
 
 // countingDialer counts the attempts to open a connection.
@@ -29,8 +29,8 @@
 
 func (noEvents) DialFailed(cwport.Endpoint, error) {}
 
-func newPool(t *testing.T) (*Pool, *cwreplica.Group, *countingDialer, *clockwork.FakeClock) {
-	g := cwreplica.NewGroup("s", "a")
+func newPool(t *testing.T) (*Pool, *cwreplicaset.Group, *countingDialer, *clockwork.FakeClock) {
+	g := cwreplicaset.NewGroup("s", "a")
 	d := &countingDialer{Dialer: g.DialerFrom("x")}
 	clock := clockwork.NewFakeClock()
 	p := NewPool(cwport.Endpoint{ID: "a", Service: "s"}, 4, d, clock, noEvents{})
--- a/internal/standin/cwreplica/conn.go
+++ b/internal/standin/cwreplicaset/conn.go
@@ -1,4 +1,4 @@
-package cwreplica
+package cwreplicaset
 
 import (
 	"maps"
--- a/internal/standin/cwreplica/group.go
+++ b/internal/standin/cwreplicaset/group.go
@@ -1,4 +1,4 @@
-// Package cwreplica emulates a group of replicated databases, for tests. It runs
+// Package cwreplicaset emulates a group of replicated databases, for tests. It runs
 // in memory and without a wire protocol: connections implement cwport.TargetConn
 // directly. The emulated databases push no notifications and accept orders from
 // any instance.
@@ -14,7 +14,7 @@
 // demoted or can reach the new primary, and for a configurable time after that. A
 // member that restarts keeps its log but loses its fence. Paths between instances
 // and members, and between members, can be cut, and answers can be lost.
-package cwreplica
+package cwreplicaset
 
 import (
 	"context"
--- a/internal/tool/cwsoak/environment.go
+++ b/internal/tool/cwsoak/environment.go
@@ -18,7 +18,7 @@
 	"cicadawalk.example/cicadawalk/internal/core/cwstatement"
 	"cicadawalk.example/cicadawalk/internal/proxy/cwport"
 	"cicadawalk.example/cicadawalk/internal/standin/cwlink"
-	"cicadawalk.example/cicadawalk/internal/standin/cwreplica"
+	"cicadawalk.example/cicadawalk/internal/standin/cwreplicaset"
 )
 
 // Error is the class of errors that prevent a run, as opposed to violations.
@@ -56,7 +56,7 @@
 // group is a group of targets with the network paths to them and their entries in the
 // store.
 type group struct {
-	*cwreplica.Group
+	*cwreplicaset.Group
 	ids     []cwgroup.MemberID
 	links   map[cwgroup.MemberID]*cwlink.Link
 	entries map[cwgroup.MemberID]*entry
@@ -157,7 +157,7 @@
 	for i := range membersPerGroup {
 		g.ids = append(g.ids, cwgroup.MemberID(fmt.Sprintf("%s-%d", name, i)))
 	}
-	g.Group = cwreplica.NewGroup(name, g.ids...)
+	g.Group = cwreplicaset.NewGroup(name, g.ids...)
 	clock := clockwork.NewRealClock()
 	g.SetPromotionDelay(promotionDuration, clock)
 	g.SetStepDownDelay(replacedPrimaryLingers, clock)
--- a/internal/tool/cwsoak/ledger.go
+++ b/internal/tool/cwsoak/ledger.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"cicadawalk.example/cicadawalk/internal/standin/cwreplica"
+	"cicadawalk.example/cicadawalk/internal/standin/cwreplicaset"
 )
 
 // Guarantee is a guarantee that can be violated.
@@ -165,7 +165,7 @@
 }
 
 // checkGroup checks the items and the promotions of one group.
-func (l *ledger) checkGroup(g *cwreplica.Group) {
+func (l *ledger) checkGroup(g *cwreplicaset.Group) {
 	seen := make(map[string]map[int]int)
 	for _, writes := range g.Records() {
 		for name, value := range writes {
@@ -211,7 +211,7 @@
 
 // checkPromotions checks that each fence was used by one holder and that fences never
 // decrease.
-func (l *ledger) checkPromotions(g *cwreplica.Group) {
+func (l *ledger) checkPromotions(g *cwreplicaset.Group) {
 	holders := make(map[uint64]string)
 	highest := uint64(0)
 	for _, p := range g.Promotions() {
--- a/internal/tool/cwsoak/reads.go
+++ b/internal/tool/cwsoak/reads.go
@@ -7,7 +7,7 @@
 
 	"cicadawalk.example/cicadawalk/internal/core/cwcatalogue"
 	"cicadawalk.example/cicadawalk/internal/core/cwgroup"
-	"cicadawalk.example/cicadawalk/internal/standin/cwreplica"
+	"cicadawalk.example/cicadawalk/internal/standin/cwreplicaset"
 )
 
 // sentRead is a read that was sent, with what it must see.
@@ -99,7 +99,7 @@
 
 // writeLengths returns, for each write, the number of records that a log must have to
 // contain it.
-func writeLengths(log cwreplica.Log) map[itemWrite]int {
+func writeLengths(log cwreplicaset.Log) map[itemWrite]int {
 	lengths := make(map[itemWrite]int)
 	for i := range log.Len() {
 		for name, value := range log.Writes(i) {
