--- a/cmd/cicadastandin/main.go
+++ b/cmd/cicadastandin/main.go
@@ -5,8 +5,8 @@
 import (
 	"os"
 
-	"cicadawalk.example/cicadawalk/internal/standin/cwprogram"
+	"cicadawalk.example/cicadawalk/internal/standin/cwstandin"
 	"cicadawalk.example/cicadawalk/internal/tool/cwcommand"
 )
 
-func main() { os.Exit(cwcommand.Main(cwprogram.NewCommand())) }
+func main() { os.Exit(cwcommand.Main(cwstandin.NewCommand())) }
--- a/internal/standin/cwprogram/program.go
+++ b/internal/standin/cwstandin/program.go
@@ -1,6 +1,6 @@
-// Package cwprogram implements cicadastandin, the command line of the stand-ins:
+// Package cwstandin implements cicadastandin, the command line of the stand-ins:
 // it runs an emulated database, platform or network path in a process of its own.
-package cwprogram
+package cwstandin
 
 import (
 	"encoding/json"
